--- a/internal/rule/place/assign.go
+++ b/internal/rule/place/assign.go
@@ -18,17 +18,17 @@
 	routers    []ident.Router
 	capacities Capacities
 	// least is the smallest of the capacities.
-	least ident.Cores
+	minCores ident.Cores
 	// choices are the shards' first few routers and one more.
-	choices []choice
-	homes   map[ShardID]ident.Router
-	mu      sync.Mutex
+	candidates []shardCandidates
+	homes      map[ShardID]ident.Router
+	mu         sync.Mutex
 	// without are the homes of assignments that lack one router, made when asked for.
-	without map[ident.Router]map[ShardID]ident.Router
+	excluding map[ident.Router]map[ShardID]ident.Router
 }
 
 // firstFew is among how many routers a shard chooses.
-const firstFew = 8
+const maxCandidates = 8
 
 // Assign assigns the shards of all pools of a region to its live routers, which can all
 // carry the same.
@@ -42,19 +42,19 @@
 }
 
 // assign gives each shard to one of its first few routers, leaving one out.
-func (a *Assignment) assign(without ident.Router) map[ShardID]ident.Router {
-	counts := make(map[ident.Router]int, len(a.choices))
+func (a *Assignment) assign(excluding ident.Router) map[ShardID]ident.Router {
+	counts := make(map[ident.Router]int, len(a.candidates))
 	// load is how busy a router is once it has some more shards.
-	load := func(r ident.Router, more int) float64 { return float64(counts[r]+more) / a.capacities.of(r, a.least) }
-	homes := make(map[ShardID]ident.Router, len(a.choices))
-	left := make([]choice, len(a.choices))
-	for i, c := range a.choices {
-		left[i] = c.without(without)
+	load := func(r ident.Router, n int) float64 { return float64(counts[r]+n) / a.capacities.of(r, a.minCores) }
+	homes := make(map[ShardID]ident.Router, len(a.candidates))
+	remaining := make([]shardCandidates, len(a.candidates))
+	for i, c := range a.candidates {
+		remaining[i] = c.excluding(excluding)
 	}
-	slices.SortFunc(left, firmest)
-	for _, c := range left {
-		home := c.few[0].router
-		for _, other := range c.few[1:firstFew] {
+	slices.SortFunc(remaining, byTopScore)
+	for _, c := range remaining {
+		home := c.top[0].router
+		for _, other := range c.top[1:maxCandidates] {
 			if other.router != "" && load(other.router, 1) < load(home, 0) {
 				home = other.router
 			}
@@ -66,23 +66,23 @@
 }
 
 // scored is a router with its rendezvous score for a shard.
-type scored struct {
+type scoredRouter struct {
 	router ident.Router
 	score  float64
 }
 
 // choice is a shard's first few routers and one more, the first one first.
-type choice struct {
+type shardCandidates struct {
 	id  ShardID
-	few [firstFew + 1]scored
+	top [maxCandidates + 1]scoredRouter
 }
 
 // without returns the choice as it would be without a router; of that the first few are right.
-func (c choice) without(router ident.Router) choice {
-	for i := range c.few {
-		if router != "" && c.few[i].router == router {
-			copy(c.few[i:], c.few[i+1:])
-			c.few[firstFew] = scored{}
+func (c shardCandidates) excluding(router ident.Router) shardCandidates {
+	for i := range c.top {
+		if router != "" && c.top[i].router == router {
+			copy(c.top[i:], c.top[i+1:])
+			c.top[maxCandidates] = scoredRouter{}
 			break
 		}
 	}
@@ -91,22 +91,22 @@
 
 // firmest orders shards by their first choices, the firmest first, so that a router's
 // nearest shards stay with it.
-func firmest(a, b choice) int {
-	return cmp.Or(cmp.Compare(b.few[0].score, a.few[0].score),
+func byTopScore(a, b shardCandidates) int {
+	return cmp.Or(cmp.Compare(b.top[0].score, a.top[0].score),
 		cmp.Compare(a.id.Pool, b.id.Pool), cmp.Compare(a.id.Shard, b.id.Shard))
 }
 
 // offer puts a router in its place among the first few.
-func (c *choice) offer(s scored) {
-	for i := range c.few {
-		if s.before(c.few[i]) {
-			c.few[i], s = s, c.few[i]
+func (c *shardCandidates) insert(s scoredRouter) {
+	for i := range c.top {
+		if s.before(c.top[i]) {
+			c.top[i], s = s, c.top[i]
 		}
 	}
 }
 
 // before reports whether a router comes before another, or before none.
-func (s scored) before(other scored) bool {
+func (s scoredRouter) before(other scoredRouter) bool {
 	if other.router == "" || s.score != other.score {
 		return other.router == "" || s.score > other.score
 	}
@@ -126,16 +126,16 @@
 func (a *Assignment) Next(id ShardID, home ident.Router) ident.Router {
 	a.mu.Lock()
 	defer a.mu.Unlock()
-	without, ok := a.without[home]
+	excluding, ok := a.excluding[home]
 	if !ok {
-		without = a.assign(home)
-		a.without[home] = without
+		excluding = a.assign(home)
+		a.excluding[home] = excluding
 	}
-	if next, ok := without[id]; ok {
+	if next, ok := excluding[id]; ok {
 		return next
 	}
-	left := slices.DeleteFunc(slices.Clone(a.routers), func(r ident.Router) bool { return r == home })
-	return homeOf(id, left)
+	remaining := slices.DeleteFunc(slices.Clone(a.routers), func(r ident.Router) bool { return r == home })
+	return homeOf(id, remaining)
 }
 
 // Standbys returns the routers that a shard's home tells its counts: the next in
--- a/internal/rule/place/assign_test.go
+++ b/internal/rule/place/assign_test.go
@@ -41,8 +41,8 @@
 	for i := range 80 {
 		ids = append(ids, place.ShardID{Pool: ident.Pool(fmt.Sprint("pool-", i/16)), Shard: ident.Shard(i % 16)})
 	}
-	whole := place.Assign(ids, routers)
-	if got := whole.Busiest(); got > 2 {
+	all := place.Assign(ids, routers)
+	if got := all.Busiest(); got > 2 {
 		t.Errorf("a router is home of %d shards", got)
 	}
 	moved := 0
@@ -50,13 +50,13 @@
 		left := slices.Delete(slices.Clone(routers), i, i+1)
 		without := place.Assign(ids, left)
 		for _, id := range ids {
-			if whole.Home(id) != without.Home(id) {
+			if all.Home(id) != without.Home(id) {
 				moved++
 			}
 		}
 	}
 	perLeaving := float64(moved) / float64(len(routers))
-	t.Logf("%.2f shards move when one of %d routers leaves, %d at most at one router", perLeaving, len(routers), whole.Busiest())
+	t.Logf("%.2f shards move when one of %d routers leaves, %d at most at one router", perLeaving, len(routers), all.Busiest())
 	if perLeaving > 3 {
 		t.Errorf("%.2f shards move when a router leaves", perLeaving)
 	}
@@ -80,14 +80,14 @@
 }
 
 // The next in line is who would be home without the home, whatever the boxes' sizes.
-func TestNextIsTheHomeWithoutTheHome(t *testing.T) {
+func TestNextIsHomeWhenHomeIsRemoved(t *testing.T) {
 	ids, routers, capacities := mixedFleet(64, 40)
 	for _, n := range []int{1, 2, 5, 8, 9, 10, 40} {
-		whole := place.AssignBy(ids, routers[:n], capacities)
+		all := place.AssignBy(ids, routers[:n], capacities)
 		for i, router := range routers[:n] {
 			left := place.AssignBy(ids, slices.Delete(slices.Clone(routers[:n]), i, i+1), capacities)
 			for _, id := range ids {
-				if diff := cmp.Diff(left.Home(id), whole.Next(id, router)); diff != "" {
+				if diff := cmp.Diff(left.Home(id), all.Next(id, router)); diff != "" {
 					t.Fatalf("%d routers, without %s, shard %d: %s", n, router, id.Shard, diff)
 				}
 			}
--- a/internal/rule/place/assigner.go
+++ b/internal/rule/place/assigner.go
@@ -12,23 +12,23 @@
 // depends on nobody else, so that only those that came or went are looked at anew: at 1,000 routers of which
 // one moves, a thousandth of the work.
 type Assigner struct {
-	ids     []ShardID
-	seeds   []uint64
-	least   ident.Cores
-	routers map[ident.Router]candidate
-	choices []choice
+	ids        []ShardID
+	seeds      []uint64
+	minCores   ident.Cores
+	routers    map[ident.Router]routerInfo
+	candidates []shardCandidates
 }
 
 // candidate is a router among which shards choose.
-type candidate struct {
-	hash  uint64
-	cores ident.Cores
-	pull  float64
+type routerInfo struct {
+	hash   uint64
+	cores  ident.Cores
+	weight float64
 }
 
 // Assign assigns shards to routers by what these can carry.
 func (a *Assigner) Assign(ids []ShardID, routers []ident.Router, capacities Capacities) *Assignment {
-	a.reset(ids, capacities.least())
+	a.reset(ids, capacities.minCores())
 	a.remove(routers, capacities)
 	for _, r := range routers {
 		if _, known := a.routers[r]; !known {
@@ -36,77 +36,77 @@
 		}
 	}
 	out := &Assignment{
-		routers: routers, capacities: capacities, least: a.least, without: map[ident.Router]map[ShardID]ident.Router{},
+		routers: routers, capacities: capacities, minCores: a.minCores, excluding: map[ident.Router]map[ShardID]ident.Router{},
 	}
 	if len(routers) > 0 {
-		out.choices = slices.Clone(a.choices)
+		out.candidates = slices.Clone(a.candidates)
 	}
 	out.homes = out.assign("")
 	return out
 }
 
 // reset begins anew if the shards are others, or the measure of what boxes carry is.
-func (a *Assigner) reset(ids []ShardID, least ident.Cores) {
-	if a.routers != nil && a.least == least && slices.Equal(a.ids, ids) {
+func (a *Assigner) reset(ids []ShardID, minCores ident.Cores) {
+	if a.routers != nil && a.minCores == minCores && slices.Equal(a.ids, ids) {
 		return
 	}
-	a.ids, a.least = slices.Clone(ids), least
+	a.ids, a.minCores = slices.Clone(ids), minCores
 	a.seeds = make([]uint64, len(ids))
-	a.choices = make([]choice, len(ids))
-	a.routers = map[ident.Router]candidate{}
+	a.candidates = make([]shardCandidates, len(ids))
+	a.routers = map[ident.Router]routerInfo{}
 	for i, id := range ids {
 		a.seeds[i] = shardSeed(id)
-		a.choices[i].id = id
+		a.candidates[i].id = id
 	}
 }
 
 // remove takes out the routers that are not among some any more, or can carry more or less than before.
 func (a *Assigner) remove(routers []ident.Router, capacities Capacities) {
-	stay := 0
+	keptCount := 0
 	for _, r := range routers {
 		if c, known := a.routers[r]; known && c.cores == capacities[r] {
-			stay++
+			keptCount++
 		}
 	}
-	if stay == len(a.routers) {
+	if keptCount == len(a.routers) {
 		return
 	}
-	kept := make(map[ident.Router]candidate, stay)
+	kept := make(map[ident.Router]routerInfo, keptCount)
 	for _, r := range routers {
 		if c, known := a.routers[r]; known && c.cores == capacities[r] {
 			kept[r] = c
 		}
 	}
-	gone := func(s scored) bool {
-		_, stays := kept[s.router]
-		return s.router != "" && !stays
+	gone := func(s scoredRouter) bool {
+		_, isKept := kept[s.router]
+		return s.router != "" && !isKept
 	}
 	a.routers = kept
-	for i := range a.choices {
-		if slices.ContainsFunc(a.choices[i].few[:], gone) {
-			a.choose(i)
+	for i := range a.candidates {
+		if slices.ContainsFunc(a.candidates[i].top[:], gone) {
+			a.recompute(i)
 		}
 	}
 }
 
 // choose finds a shard's first few among all routers.
-func (a *Assigner) choose(i int) {
-	a.choices[i] = choice{id: a.ids[i]}
+func (a *Assigner) recompute(i int) {
+	a.candidates[i] = shardCandidates{id: a.ids[i]}
 	for r, c := range a.routers {
-		a.choices[i].offer(c.score(r, a.seeds[i]))
+		a.candidates[i].insert(c.score(r, a.seeds[i]))
 	}
 }
 
 // add has all shards look at a router.
 func (a *Assigner) add(r ident.Router, capacities Capacities) {
-	c := candidate{hash: xxhash.Sum64String(string(r)), cores: capacities[r], pull: pull(capacities.of(r, a.least))}
+	c := routerInfo{hash: xxhash.Sum64String(string(r)), cores: capacities[r], weight: weight(capacities.of(r, a.minCores))}
 	a.routers[r] = c
-	for i := range a.choices {
-		a.choices[i].offer(c.score(r, a.seeds[i]))
+	for i := range a.candidates {
+		a.candidates[i].insert(c.score(r, a.seeds[i]))
 	}
 }
 
 // score is a router's rendezvous score for a shard.
-func (c candidate) score(r ident.Router, seed uint64) scored {
-	return scored{router: r, score: drawn(ident.Mix(seed, c.hash), c.pull)}
+func (c routerInfo) score(r ident.Router, seed uint64) scoredRouter {
+	return scoredRouter{router: r, score: weighted(ident.Mix(seed, c.hash), c.weight)}
 }
--- a/internal/rule/place/assigner_test.go
+++ b/internal/rule/place/assigner_test.go
@@ -23,7 +23,7 @@
 
 // Routers that follow the same fleet through other histories must come to the same homes, so that an assignment
 // that was brought up to date is the same as one made anew.
-func TestAssignmentsDependOnNoHistory(t *testing.T) {
+func TestAssignmentIsIndependentOfHistory(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
 		ids, names, capacities := mixedFleet(24, 60)
--- a/internal/rule/place/avoid_test.go
+++ b/internal/rule/place/avoid_test.go
@@ -20,14 +20,14 @@
 	)
 	h, list := newHome(listed)
 	for n := uint64(1); n <= spread; n++ {
-		h.Place(start, ask(n, ident.ChatKey(n)))
+		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
 	var avoid []ident.TargetHash
 	for _, e := range list[1:] {
 		avoid = append(avoid, e.Hash)
 	}
 	for n := uint64(spread + 1); n <= spread+more; n++ {
-		request := ask(n, ident.ChatKey(n))
+		request := permitRequest(n, ident.ChatKey(n))
 		request.Must = true
 		request.Avoid = avoid
 		d := h.Place(start, request)
--- a/internal/rule/place/backoff.go
+++ b/internal/rule/place/backoff.go
@@ -14,15 +14,15 @@
 
 // mostShared bounds for how long an engine is kept from edges that it has told nothing, as an engine is that
 // fails many requests.
-const mostShared = poorMost
+const maxSharedBackoff = maxBlockTime
 
 // sharedBackoff is what edges of one availability zone, or of several, have been told by one engine.
 type sharedBackoff struct {
 	// from is the edge or zone that was told first, several is set once another was: what a single one is told
 	// may hold for that one only.
-	from    string
-	several bool
-	until   time.Time
+	from     string
+	multiple bool
+	until    time.Time
 }
 
 // backoffs are the engines that want no requests, as the edges were told.
@@ -37,38 +37,38 @@
 
 // note takes in what an edge was told, and reports whether that keeps the engine from edges which were told
 // nothing: from those of a zone once two there were told, from all once two zones were.
-func (b *backoffs) note(now time.Time, edge ident.Router, zone ident.Zone, told Backoff) bool {
-	until := now.Add(min(told.Left, mostShared))
+func (b *backoffs) record(now time.Time, edge ident.Router, zone ident.Zone, reported Backoff) bool {
+	until := now.Add(min(reported.Left, maxSharedBackoff))
 	if zone == allZones {
-		return b.noteIn(now, recordKey{told.Engine, allZones}, string(edge), until)
+		return b.recordIn(now, recordKey{reported.Engine, allZones}, string(edge), until)
 	}
-	here := b.noteIn(now, recordKey{told.Engine, zone}, string(edge), until)
-	everywhere := b.noteIn(now, recordKey{told.Engine, allZones}, string(zone), until)
+	here := b.recordIn(now, recordKey{reported.Engine, zone}, string(edge), until)
+	everywhere := b.recordIn(now, recordKey{reported.Engine, allZones}, string(zone), until)
 	return here || everywhere
 }
 
 // noteIn takes in what one of a group was told, and reports whether the group is kept off by that.
-func (b *backoffs) noteIn(now time.Time, key recordKey, from string, until time.Time) bool {
+func (b *backoffs) recordIn(now time.Time, key recordKey, from string, until time.Time) bool {
 	known := b.shared[key]
 	if !now.Before(known.until) {
 		known = sharedBackoff{from: from}
 	}
-	turned := !known.several && known.from != from
-	known.several = known.several || turned
+	becameShared := !known.multiple && known.from != from
+	known.multiple = known.multiple || becameShared
 	if until.After(known.until) {
 		known.until = until
 	}
 	b.shared[key] = known
-	if known.several && known.until.After(b.until) {
+	if known.multiple && known.until.After(b.until) {
 		b.until = known.until
 	}
-	return turned
+	return becameShared
 }
 
 // keeps reports whether an engine is kept from a zone's edges.
-func (b *backoffs) keeps(now time.Time, engine ident.TargetHash, zone ident.Zone) bool {
+func (b *backoffs) blocks(now time.Time, engine ident.TargetHash, zone ident.Zone) bool {
 	for _, z := range []ident.Zone{allZones, zone} {
-		if known := b.shared[recordKey{engine, z}]; known.several && now.Before(known.until) {
+		if known := b.shared[recordKey{engine, z}]; known.multiple && now.Before(known.until) {
 			return true
 		}
 	}
@@ -87,12 +87,12 @@
 // Backoffs notes which engines want no requests from an edge, and returns those that are kept from others too
 // from now on. They are a last resort then: 300 edges before 150 engines, a third of them refusing, were turned
 // away 14,100 times in 27,000 requests while each learnt for itself, in a model.
-func (h *Home) Backoffs(now time.Time, edge ident.Router, zone ident.Zone, told []Backoff) []Backoff {
-	var kept []Backoff
-	for _, one := range told {
-		if _, known := h.index[one.Engine]; known && h.backoffs.note(now, edge, zone, one) {
-			kept = append(kept, one)
+func (h *Home) Backoffs(now time.Time, edge ident.Router, zone ident.Zone, reported []Backoff) []Backoff {
+	var blocked []Backoff
+	for _, one := range reported {
+		if _, known := h.index[one.Engine]; known && h.backoffs.record(now, edge, zone, one) {
+			blocked = append(blocked, one)
 		}
 	}
-	return kept
+	return blocked
 }
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -14,7 +14,7 @@
 func (h *Home) holder(req Request, at chatPlace, other ident.TargetHash) ident.TargetHash {
 	var elsewhere ident.TargetHash
 	for _, s := range at.at {
-		if s == (spot{}) || s.engine == other || slices.Contains(req.Lost, s.engine) {
+		if s == (engineRun{}) || s.engine == other || slices.Contains(req.Lost, s.engine) {
 			continue
 		}
 		i, known := h.index[s.engine]
@@ -33,13 +33,13 @@
 		return req.Last
 	}
 	if h.bound.Steady > 0 && !req.Once {
-		return h.likely(req.Key, other, req.Lost)
+		return h.firstPreferred(req.Key, other, req.Lost)
 	}
 	return 0
 }
 
 // inPool reports whether an engine at which a chat ran is still there, in whatever shard.
-func (h *Home) inPool(s spot) bool {
+func (h *Home) inPool(s engineRun) bool {
 	if h.roster == nil {
 		return false
 	}
@@ -48,7 +48,7 @@
 }
 
 // likely returns the first engine of a chat's own order, other than one.
-func (h *Home) likely(key ident.ChatKey, other ident.TargetHash, lost []ident.TargetHash) ident.TargetHash {
+func (h *Home) firstPreferred(key ident.ChatKey, other ident.TargetHash, lost []ident.TargetHash) ident.TargetHash {
 	var best ranked
 	for i := range h.engines {
 		e := &h.engines[i]
@@ -67,14 +67,14 @@
 // these is there or all are busy: a doubtful engine is better than waiting. total is the work on
 // the pool's engines without the request's.
 func (h *Home) choose(now time.Time, req Request, total ident.Work) (int, Result, bool) {
-	poor := h.poor(now, req.Zone)
-	if len(poor) == 0 {
+	blockedEngines := h.blockedEngines(now, req.Zone)
+	if len(blockedEngines) == 0 {
 		return h.chooseAmong(now, req, total)
 	}
-	sound := req
-	sound.Avoid = slices.Concat(req.Avoid, poor)
-	i, result, warm := h.chooseAmong(now, sound, total)
-	if result == Empty || result == Busy || result == Full && req.placedHere() {
+	filtered := req
+	filtered.Avoid = slices.Concat(req.Avoid, blockedEngines)
+	i, result, warm := h.chooseAmong(now, filtered, total)
+	if result == Empty || result == Busy || result == Full && req.finalShard() {
 		return h.chooseAmong(now, req, total)
 	}
 	return i, result, warm
@@ -84,10 +84,10 @@
 // before, else the least loaded.
 func (h *Home) chooseAmong(now time.Time, req Request, total ident.Work) (int, Result, bool) {
 	limit := h.limit(total + req.Work)
-	if req.placedHere() {
+	if req.finalShard() {
 		limit = max(limit, h.shardLimit(req))
 	}
-	if i, found := h.remembered(now, req, limit); found {
+	if i, found := h.findWarm(now, req, limit); found {
 		return i, Placed, true
 	}
 	var best, first ranked
@@ -99,7 +99,7 @@
 			continue
 		}
 		if verdict != Placed {
-			outcome = worse(outcome, verdict)
+			outcome = mergeRejection(outcome, verdict)
 			continue
 		}
 		r := h.rank(i, req)
@@ -120,7 +120,7 @@
 
 // remembered finds an engine where the chat ran, as this home or else the edge remembers,
 // that takes the request.
-func (h *Home) remembered(now time.Time, req Request, limit float64) (int, bool) {
+func (h *Home) findWarm(now time.Time, req Request, limit float64) (int, bool) {
 	at, _ := h.places.get(req.Key)
 	for _, s := range at.at {
 		i, known := h.index[s.engine]
@@ -167,7 +167,7 @@
 func (h *Home) rank(i int, req Request) ranked {
 	e := &h.engines[i]
 	return ranked{
-		index: i, set: true, load: e.load(), near: e.Zone == req.Zone,
+		index: i, set: true, load: e.load(), sameZone: e.Zone == req.Zone,
 		score: ident.Mix(uint64(req.Key), uint64(e.Hash)),
 	}
 }
@@ -175,12 +175,12 @@
 // ranked is an engine with what decides between it and others.
 type ranked struct {
 	// index is a home's engine, hash names any.
-	index int
-	hash  ident.TargetHash
-	set   bool
-	load  ident.Work
-	near  bool
-	score uint64
+	index    int
+	hash     ident.TargetHash
+	set      bool
+	load     ident.Work
+	sameZone bool
+	score    uint64
 	// shard is the place of the engine's shard in the key's order.
 	shard int
 }
@@ -206,8 +206,8 @@
 		if other.load < r.load {
 			return other
 		}
-	case r.near != other.near:
-		if other.near {
+	case r.sameZone != other.sameZone:
+		if other.sameZone {
 			return other
 		}
 	case other.score > r.score:
@@ -217,7 +217,7 @@
 }
 
 // worse keeps the finding that leaves the caller more hope elsewhere.
-func worse(old, found Result) Result {
+func mergeRejection(old, found Result) Result {
 	if old == Full || found == Full {
 		return Full
 	}
@@ -226,7 +226,7 @@
 
 // placedHere reports whether no other shard is asked any more. Such a request keeps to the bound
 // like any other, but the mean of this shard will do, and engines that join need not be spared.
-func (r *Request) placedHere() bool { return r.Must || r.Over }
+func (r *Request) finalShard() bool { return r.Must || r.Over }
 
 // admits says whether one engine may take the request's work now.
 func (h *Home) admits(now time.Time, i int, req Request, limit float64) Result {
@@ -242,14 +242,14 @@
 	if slots > 0 && load+req.Work > slots && load > 0 {
 		return Busy
 	}
-	share := h.share()
-	if !e.pace.bears(now, e.Cold, share) {
+	ownShare := h.ownShare()
+	if !e.pacer.allows(now, e.Cold, ownShare) {
 		return Busy
 	}
-	if !req.placedHere() {
+	if !req.finalShard() {
 		limit *= h.ramp(now, e)
 	}
-	if float64(load) >= limit || float64(e.own) >= limit*share {
+	if float64(load) >= limit || float64(e.own) >= limit*ownShare {
 		return Full
 	}
 	return Placed
@@ -260,19 +260,19 @@
 // itself: the sum keeps to the bound then, however old or doubled the others' counts are that it
 // knows. In a model of seven routers that disagree, 1 to 2 in 100 requests reached engines above
 // twice the mean without it, and 1 in 1,000 with it.
-func (h *Home) share() float64 {
-	if h.elsewhere <= 0 {
+func (h *Home) ownShare() float64 {
+	if h.peerWork <= 0 {
 		return 1
 	}
 	// With the new request, so that a home that begins has a share at all.
 	own := h.granted + ident.OneRequest
-	return float64(own) / float64(own+h.elsewhere)
+	return float64(own) / float64(own+h.peerWork)
 }
 
 // limit is the load that an engine must be below to take more work: the bound's
 // factor times the pool's mean with the new work counted.
 func (h *Home) limit(total ident.Work) float64 {
-	return h.bound.limit((1-returning)*float64(total), h.poolEngines)
+	return h.bound.limit((1-pendingReleaseRatio)*float64(total), h.poolEngines)
 }
 
 // shardLimit is the limit by the mean of this shard's engines alone, for requests that must be
@@ -287,15 +287,15 @@
 			engines++
 		}
 	}
-	return h.bound.limit((1-returning)*float64(h.Work()+req.Work), engines)
+	return h.bound.limit((1-pendingReleaseRatio)*float64(h.Work()+req.Work), engines)
 }
 
 // returning is the share of the permits whose requests are thought to have ended
 // already, while the permits are on their way back.
-const returning = 0.03
+const pendingReleaseRatio = 0.03
 
 // minRamp is the share that an engine has as it joins.
-const minRamp = 0.1
+const minRampShare = 0.1
 
 // ramp is the share of the limit that an engine has as it joins, one later on.
 func (h *Home) ramp(now time.Time, e *engineLoad) float64 {
@@ -303,5 +303,5 @@
 		return 1
 	}
 	share := float64(now.Sub(e.Joined)) / float64(h.bound.Ramp)
-	return min(max(share, minRamp), 1)
+	return min(max(share, minRampShare), 1)
 }
--- a/internal/rule/place/cold_test.go
+++ b/internal/rule/place/cold_test.go
@@ -12,12 +12,12 @@
 const (
 	// coldRate is how many requests a second a cold engine bears, coldMost what it may get in any
 	// second before it falls over.
-	coldRate = 13
-	coldMost = 1.5*coldRate + 5
+	coldRate    = 13
+	maxColdRate = 1.5*coldRate + 5
 )
 
 // most returns how many of some times lie within the same second at most.
-func most(times []time.Time) int {
+func maxPerSecond(times []time.Time) int {
 	highest := 0
 	for i := range times {
 		n := 0
@@ -33,7 +33,7 @@
 
 // A cold engine gets no more than it bears, also when all others are full and requests must be
 // placed; once it is warm it gets its part.
-func TestColdEngineGetsNoMoreThanItBears(t *testing.T) {
+func TestColdEngineStaysWithinRate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const coldFor = 3 * time.Second
 	cold := place.Engine{
@@ -45,8 +45,8 @@
 	h.SetEngines([]place.Engine{cold, warm}, []int{2})
 	var sent []time.Time
 	permit := uint64(0)
-	send := func(lasts time.Duration) {
-		for range int(lasts / (5 * time.Millisecond)) {
+	send := func(duration time.Duration) {
+		for range int(duration / (5 * time.Millisecond)) {
 			now = now.Add(5 * time.Millisecond)
 			permit++
 			d := h.Place(now, place.Request{Edge: "e", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, Must: true})
@@ -60,39 +60,39 @@
 		}
 	}
 	send(coldFor)
-	if got := most(sent); float64(got) > coldMost || got < coldRate/2 {
+	if got := maxPerSecond(sent); float64(got) > maxColdRate || got < coldRate/2 {
 		t.Errorf("the cold engine got %d requests in a second, want about %d", got, coldRate)
 	}
 	sent = nil
 	send(time.Second)
-	if got := most(sent); float64(got) < 3*coldRate {
+	if got := maxPerSecond(sent); float64(got) < 3*coldRate {
 		t.Errorf("the warm engine got %d requests in a second of 200", got)
 	}
 }
 
 // An engine that bears few requests a second gets these, also if several routers share its shard.
-func TestColdEngineGetsWhatItBears(t *testing.T) {
-	const rate, lasts = 2, 10 * time.Second
+func TestColdEngineReachesRate(t *testing.T) {
+	const rate, duration = 2, 10 * time.Second
 	now := time.Unix(1000, 0)
 	h := place.NewHome(place.ShardID{Pool: "p"}, "self", place.BoundOf(2), 1)
 	h.SetEngines([]place.Engine{{ID: "cold", Hash: 1, Cold: place.Cold{Until: now.Add(time.Minute), Rate: rate}}}, []int{1})
 	sent := 0
-	for i := range uint64(lasts / (10 * time.Millisecond)) {
+	for i := range uint64(duration / (10 * time.Millisecond)) {
 		now = now.Add(10 * time.Millisecond)
 		if h.Place(now, place.Request{Edge: "e", Permit: i, Work: ident.OneRequest, Must: true}).Result == place.Placed {
 			sent++
 			h.Release("e", i)
 		}
 	}
-	want := int(rate * lasts.Seconds())
+	want := int(rate * duration.Seconds())
 	if sent < want*9/10 || sent > want+1 {
-		t.Errorf("the engine got %d requests in %v, want %d", sent, lasts, want)
+		t.Errorf("the engine got %d requests in %v, want %d", sent, duration, want)
 	}
 }
 
 // Pattern: 295 routers that reach no home, and an engine that comes back cold. Each of them may send
 // it only a part of a request a second; if each rounded that up, all would at once.
-func TestRoutersAloneSpareColdEngines(t *testing.T) {
+func TestLocalPlacementLimitsColdEngine(t *testing.T) {
 	const routers = 295
 	start := time.Unix(1000, 0)
 	engines := []place.Engine{
@@ -112,13 +112,13 @@
 			}
 		}
 	}
-	if got := most(sent); float64(got) > coldMost || got == 0 {
-		t.Errorf("the cold engine got %d requests in a second, want some and %v at most", got, coldMost)
+	if got := maxPerSecond(sent); float64(got) > maxColdRate || got == 0 {
+		t.Errorf("the cold engine got %d requests in a second, want some and %v at most", got, maxColdRate)
 	}
 }
 
 // A cold engine that starts anew owes nothing for what its earlier start got.
-func TestColdEngineThatStartsAnew(t *testing.T) {
+func TestRestartResetsColdPacing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := place.Engine{
 		ID: "cold", Hash: ident.Target("cold").Hash(), Slots: 12 * ident.OneRequest, Incarnation: 1,
@@ -126,13 +126,13 @@
 	}
 	h := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 0)
 	h.SetEngines([]place.Engine{e}, []int{1})
-	ask := func(permit uint64) place.Result {
+	request := func(permit uint64) place.Result {
 		return h.Place(now, place.Request{Edge: "edge", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true}).Result
 	}
-	first, second := ask(1), ask(2)
+	first, second := request(1), request(2)
 	e.Incarnation++
 	h.SetEngines([]place.Engine{e}, []int{1})
-	third := ask(3)
+	third := request(3)
 	if first != place.Placed || second == place.Placed || third != place.Placed {
 		t.Errorf("got %v, %v, and %v from the new start", first, second, third)
 	}
--- a/internal/rule/place/cost_test.go
+++ b/internal/rule/place/cost_test.go
@@ -11,9 +11,9 @@
 func benchmarkHome(n int) (*place.Home, func(uint64) place.Request) {
 	h, _ := newHome(n)
 	for i := range uint64(n * 13) {
-		h.Place(start, ask(i+1, ident.ChatKey(i)))
+		h.Place(start, permitRequest(i+1, ident.ChatKey(i)))
 	}
-	return h, func(i uint64) place.Request { return ask(1_000_000+i, ident.ChatKey(i%5000)) }
+	return h, func(i uint64) place.Request { return permitRequest(1_000_000+i, ident.ChatKey(i%5000)) }
 }
 
 func BenchmarkPlace(b *testing.B) {
--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -37,13 +37,13 @@
 }
 
 // sums holds the latest known work of each shard of a pool.
-type sums [MaxShards]struct {
+type shardLoads [MaxShards]struct {
 	at   time.Time
 	work ident.Work
 }
 
 // note keeps a sum if it is later than the one known, and reports whether it was.
-func (s *sums) note(now time.Time, sum Sum) bool {
+func (s *shardLoads) update(now time.Time, sum Sum) bool {
 	if sum.Shard >= MaxShards {
 		return false
 	}
@@ -60,20 +60,20 @@
 // less, so that a mean from old news is too low, which costs an ask elsewhere,
 // rather than too high, which would break the bound.
 const (
-	staleAtOnce    = 0.01
-	stalePerSecond = 0.02
-	staleAtMost    = 0.25
+	baseStaleRatio      = 0.01
+	staleRatioPerSecond = 0.02
+	maxStaleRatio       = 0.25
 )
 
 // total adds up what is not older than a limit, without one shard.
-func (s *sums) total(now time.Time, life time.Duration, without ident.Shard) ident.Work {
+func (s *shardLoads) total(now time.Time, maxAge time.Duration, without ident.Shard) ident.Work {
 	total := 0.0
 	for i := range s {
 		age := now.Sub(s[i].at)
-		if ident.Shard(i) == without || age > life {
+		if ident.Shard(i) == without || age > maxAge {
 			continue
 		}
-		stale := min(staleAtOnce+stalePerSecond*age.Seconds(), staleAtMost)
+		stale := min(baseStaleRatio+staleRatioPerSecond*age.Seconds(), maxStaleRatio)
 		total += float64(s[i].work) * (1 - stale)
 	}
 	return ident.Work(total)
@@ -81,7 +81,7 @@
 
 // reweigh lowers the sums of shards that have lost engines: what their homes said
 // still has the lost engines' work in it.
-func (s *sums) reweigh(before, after []int) {
+func (s *shardLoads) scaleToWeights(before, after []int) {
 	for i := range min(len(before), len(after)) {
 		if after[i] < before[i] {
 			s[i].work = s[i].work * ident.Work(after[i]) / ident.Work(before[i])
@@ -90,7 +90,7 @@
 }
 
 // foreign is what another home of the same shard admitted.
-type foreign struct {
+type peerShare struct {
 	digest Digest
 	at     time.Time
 }
@@ -105,8 +105,8 @@
 			d.Loads = append(d.Loads, EngineWork{Engine: e.Hash, Work: e.own})
 		}
 	}
-	d.Places = slices.Clone(h.moves)
-	h.moves = h.moves[:0]
+	d.Places = slices.Clone(h.placeChanges)
+	h.placeChanges = h.placeChanges[:0]
 	return d
 }
 
@@ -122,19 +122,19 @@
 }
 
 // SureWork is the work on the shard's usable engines without that of edges that may be gone.
-func (h *Home) SureWork() ident.Work { return max(h.Work()-h.doubtedWork(), 0) }
+func (h *Home) SureWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
 
 // MergeSums takes in other shards' work as an edge heard of it.
 func (h *Home) MergeSums(now time.Time, list []Sum) {
 	for _, s := range list {
 		if s.Shard != h.id.Shard {
-			h.sums.note(now, s)
+			h.shardLoads.update(now, s)
 		}
 	}
 }
 
 // sumsInAnswer is how many other shards' work an answer carries.
-const sumsInAnswer = 4
+const maxLoadsPerResponse = 4
 
 // NextSums returns some other shards' work, other ones with each call, so that news
 // spreads from edge to edge through the homes that they ask.
@@ -142,14 +142,14 @@
 	var out []Sum
 	shards := len(h.weights)
 	for range shards {
-		h.told = (h.told + 1) % shards
-		s := &h.sums[h.told]
+		h.lastSentShard = (h.lastSentShard + 1) % shards
+		s := &h.shardLoads[h.lastSentShard]
 		age := now.Sub(s.at)
-		if ident.Shard(h.told) == h.id.Shard || age > h.bound.DigestLife {
+		if ident.Shard(h.lastSentShard) == h.id.Shard || age > h.bound.DigestLife {
 			continue
 		}
-		out = append(out, Sum{Shard: ident.Shard(h.told), Age: age, Work: s.work})
-		if len(out) == sumsInAnswer {
+		out = append(out, Sum{Shard: ident.Shard(h.lastSentShard), Age: age, Work: s.work})
+		if len(out) == maxLoadsPerResponse {
 			break
 		}
 	}
@@ -163,21 +163,21 @@
 		return
 	}
 	if d.ID.Shard != h.id.Shard {
-		h.sums.note(now, Sum{Shard: d.ID.Shard, Work: d.Work})
+		h.shardLoads.update(now, Sum{Shard: d.ID.Shard, Work: d.Work})
 		return
 	}
-	if old, ok := h.foreign[d.Home]; ok && old.digest.Seq >= d.Seq {
+	if old, ok := h.peerShare[d.Home]; ok && old.digest.Seq >= d.Seq {
 		return
 	}
-	h.foreign[d.Home] = foreign{digest: d, at: now}
+	h.peerShare[d.Home] = peerShare{digest: d, at: now}
 	h.recount()
 }
 
 // expire drops other homes' shares that were not renewed in time.
 func (h *Home) expire(now time.Time) {
-	for home, f := range h.foreign {
+	for home, f := range h.peerShare {
 		if now.Sub(f.at) > h.bound.DigestLife {
-			delete(h.foreign, home)
+			delete(h.peerShare, home)
 			h.recount()
 		}
 	}
@@ -186,14 +186,14 @@
 // recount adds other homes' shares of this shard to its engines' loads.
 func (h *Home) recount() {
 	for i := range h.engines {
-		h.engines[i].foreign = 0
+		h.engines[i].peerShare = 0
 	}
-	h.elsewhere = 0
-	for _, f := range h.foreign {
+	h.peerWork = 0
+	for _, f := range h.peerShare {
 		for _, l := range f.digest.Loads {
-			h.elsewhere += l.Work
+			h.peerWork += l.Work
 			if i, ok := h.index[l.Engine]; ok {
-				h.engines[i].foreign += l.Work
+				h.engines[i].peerShare += l.Work
 			}
 		}
 	}
--- a/internal/rule/place/export.go
+++ b/internal/rule/place/export.go
@@ -42,7 +42,7 @@
 // chatsOf lists the chats whose last place is an engine, the most recent first.
 func (h *Home) chatsOf(engine ident.TargetHash) []ChatPlace {
 	var chats []ChatPlace
-	for _, p := range h.latest() {
+	for _, p := range h.lastPlaces() {
 		if p.Engine == engine {
 			chats = append(chats, p)
 		}
@@ -59,11 +59,11 @@
 	if !ok {
 		return
 	}
-	to := spot{engine: e.To, incarnation: h.engines[i].Incarnation}
+	to := engineRun{engine: e.To, incarnation: h.engines[i].Incarnation}
 	for _, key := range e.Keys {
 		at, _ := h.places.get(key)
-		next := at.moved(to, now.Unix())
+		next := at.movedTo(to, now.Unix())
 		h.places.put(key, next)
-		h.note(key, next)
+		h.recordPlace(key, next)
 	}
 }
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -13,15 +13,15 @@
 	healthHalfLife = 2 * time.Second
 	// leastFailures is how many failures beyond those expected make an engine poor. At 8 in
 	// 100 requests that fail wherever they run, one engine in 1,000 has as many in a second.
-	leastFailures = 3
+	minExcessFailures = 3
 	// failureDoubt is the multiple of the failures expected that still counts as chance.
-	failureDoubt = 2
+	expectedFailureFactor = 2
 	// failureShare is the least part of an engine's requests that fail when it is poor.
-	failureShare = 0.2
+	minFailureRatio = 0.2
 	// poorPause is how long a poor engine gets no new work; it doubles each time that the
 	// engine turns out poor again soon after, up to poorMost.
-	poorPause = 2 * time.Second
-	poorMost  = 8 * time.Second
+	minBlockTime = 2 * time.Second
+	maxBlockTime = 8 * time.Second
 )
 
 // record counts the requests of one availability zone's edges, or of all, at an engine.
@@ -32,11 +32,11 @@
 	at time.Time
 	// edge reported the latest failure; several is set once another did too. What a single
 	// edge sees may be its own link's fault.
-	edge    ident.Router
-	several bool
+	edge     ident.Router
+	multiple bool
 	// until is until when the engine gets no new work, pause how long that is.
-	until time.Time
-	pause time.Duration
+	until     time.Time
+	blockTime time.Duration
 }
 
 // decay lets what was counted earlier count less.
@@ -51,34 +51,34 @@
 
 // take leaves out of the record of all engines what one of them did, which must have
 // decayed as far.
-func (r *record) take(one record) {
+func (r *record) subtract(one record) {
 	r.sent = max(r.sent-one.sent, 0)
 	r.failed = max(r.failed-one.failed, 0)
 }
 
 // blame counts a failure that an edge saw.
-func (r *record) blame(edge ident.Router) {
+func (r *record) addFailure(edge ident.Router) {
 	r.failed++
-	r.several = r.several || (r.edge != "" && r.edge != edge)
+	r.multiple = r.multiple || (r.edge != "" && r.edge != edge)
 	r.edge = edge
 }
 
 // poor reports whether an engine fails many more requests than the others do.
-func (r *record) poor(others record) bool {
+func (r *record) unhealthy(others record) bool {
 	expected := 0.0
 	if others.sent > 0 {
 		expected = r.sent * min(others.failed/others.sent, 1)
 	}
-	return r.several && r.failed >= leastFailures+failureDoubt*expected && r.failed >= failureShare*r.sent
+	return r.multiple && r.failed >= minExcessFailures+expectedFailureFactor*expected && r.failed >= minFailureRatio*r.sent
 }
 
 // block keeps new work off for a pause and starts the counts anew.
 func (r *record) block(now time.Time) {
-	pause := poorPause
-	if r.pause > 0 && now.Sub(r.until) < poorMost {
-		pause = min(2*r.pause, poorMost)
+	blockTime := minBlockTime
+	if r.blockTime > 0 && now.Sub(r.until) < maxBlockTime {
+		blockTime = min(2*r.blockTime, maxBlockTime)
 	}
-	*r = record{at: now, until: now.Add(pause), pause: pause}
+	*r = record{at: now, until: now.Add(blockTime), blockTime: blockTime}
 }
 
 // recordKey names a record.
@@ -139,10 +139,10 @@
 // failedIn notes a failure in the records of one zone, or of all.
 func (h *health) failedIn(now time.Time, edge ident.Router, zone ident.Zone, engine ident.TargetHash) {
 	one, all := h.record(now, engine, zone), h.record(now, allEngines, zone)
-	one.blame(edge)
-	all.blame(edge)
-	if one.poor(record{sent: all.sent - one.sent, failed: all.failed - one.failed}) {
-		all.take(*one)
+	one.addFailure(edge)
+	all.addFailure(edge)
+	if one.unhealthy(record{sent: all.sent - one.sent, failed: all.failed - one.failed}) {
+		all.subtract(*one)
 		one.block(now)
 		if one.until.After(h.until) {
 			h.until = one.until
@@ -168,7 +168,7 @@
 		}
 		if all, ok := h.records[recordKey{allEngines, key.zone}]; ok {
 			one.decay(all.at)
-			all.take(*one)
+			all.subtract(*one)
 		}
 		delete(h.records, key)
 	}
@@ -192,14 +192,14 @@
 
 // poor lists the engines that get no new work of a zone's edges because they fail many
 // requests, or want none.
-func (h *Home) poor(now time.Time, zone ident.Zone) []ident.TargetHash {
+func (h *Home) blockedEngines(now time.Time, zone ident.Zone) []ident.TargetHash {
 	if !now.Before(h.health.until) && !now.Before(h.backoffs.until) {
 		return nil
 	}
 	var out []ident.TargetHash
 	for i := range h.engines {
 		e := &h.engines[i]
-		if e.usable() && (h.health.blocked(now, e.Hash, zone) || h.backoffs.keeps(now, e.Hash, zone)) {
+		if e.usable() && (h.health.blocked(now, e.Hash, zone) || h.backoffs.blocks(now, e.Hash, zone)) {
 			out = append(out, e.Hash)
 		}
 	}
--- a/internal/rule/place/health_test.go
+++ b/internal/rule/place/health_test.go
@@ -17,26 +17,26 @@
 )
 
 // ward drives a home of some engines of which a few fail a part of their requests.
-type ward struct {
+type healthFixture struct {
 	home *place.Home
 	now  time.Time
 	rng  *rand.Rand
 	// fails is the part of requests from a zone that an engine fails.
-	fails   func(engine ident.TargetHash, zone ident.Zone) float64
-	permits uint64
-	got     map[ident.Zone]map[ident.TargetHash]int
-	blocked int
+	failureRatio func(engine ident.TargetHash, zone ident.Zone) float64
+	permits      uint64
+	placed       map[ident.Zone]map[ident.TargetHash]int
+	blocked      int
 }
 
-func newWard(fails func(ident.TargetHash, ident.Zone) float64) *ward {
-	return &ward{
-		home: steadyHome(8), now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), fails: fails,
-		got: map[ident.Zone]map[ident.TargetHash]int{zoneA: {}, zoneB: {}},
+func newHealthFixture(failureRatio func(ident.TargetHash, ident.Zone) float64) *healthFixture {
+	return &healthFixture{
+		home: steadyHome(8), now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), failureRatio: failureRatio,
+		placed: map[ident.Zone]map[ident.TargetHash]int{zoneA: {}, zoneB: {}},
 	}
 }
 
 // run sends requests of new keys from an edge for a while, 100 a second.
-func (w *ward) run(edge ident.Router, zone ident.Zone, seconds float64) {
+func (w *healthFixture) run(edge ident.Router, zone ident.Zone, seconds float64) {
 	for range int(seconds * 100) {
 		w.now = w.now.Add(10 * time.Millisecond)
 		w.permits++
@@ -46,64 +46,66 @@
 		if d.Result != place.Placed {
 			continue
 		}
-		w.got[zone][d.Engine]++
+		w.placed[zone][d.Engine]++
 		w.home.Release(edge, w.permits)
-		if w.rng.Float64() < w.fails(d.Engine, zone) {
+		if w.rng.Float64() < w.failureRatio(d.Engine, zone) {
 			w.blocked += len(w.home.Blame(w.now, edge, zone, []ident.TargetHash{d.Engine}))
 		}
 	}
 }
 
 // both lets an edge of each zone send by turns.
-func (w *ward) both(seconds int) {
+func (w *healthFixture) alternate(seconds int) {
 	for range seconds * 10 {
 		w.run("edge-a", zoneA, 0.1)
 		w.run("edge-b", zoneB, 0.1)
 	}
 }
 
-func (w *ward) clear() { w.got = map[ident.Zone]map[ident.TargetHash]int{zoneA: {}, zoneB: {}} }
+func (w *healthFixture) clear() {
+	w.placed = map[ident.Zone]map[ident.TargetHash]int{zoneA: {}, zoneB: {}}
+}
 
 // An engine that fails two fifths of its requests gets few, however many edges share them.
-func TestEngineThatFailsIsAvoided(t *testing.T) {
-	bad := engineOf(3).Hash
-	w := newWard(func(e ident.TargetHash, _ ident.Zone) float64 {
+func TestFailingEngineIsAvoided(t *testing.T) {
+	bad := newEngine(3).Hash
+	w := newHealthFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
 		if e == bad {
 			return 0.4
 		}
 		return 0.07
 	})
-	w.both(2)
+	w.alternate(2)
 	w.clear()
-	w.both(6)
-	if got, share := w.got[zoneA][bad]+w.got[zoneB][bad], 1200/8; got > share/3 {
-		t.Errorf("the failing engine got %d requests, an equal share is %d", got, share)
+	w.alternate(6)
+	if placed, share := w.placed[zoneA][bad]+w.placed[zoneB][bad], 1200/8; placed > share/3 {
+		t.Errorf("the failing engine got %d requests, an equal share is %d", placed, share)
 	}
 }
 
 // An engine that is well again gets its share again.
-func TestEngineThatIsWellAgain(t *testing.T) {
-	bad, ill := engineOf(3).Hash, true
-	w := newWard(func(e ident.TargetHash, _ ident.Zone) float64 {
-		if ill && e == bad {
+func TestRecoveredEngineGetsItsShare(t *testing.T) {
+	bad, failing := newEngine(3).Hash, true
+	w := newHealthFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
+		if failing && e == bad {
 			return 1
 		}
 		return 0.02
 	})
-	w.both(3)
-	ill = false
-	w.both(8)
+	w.alternate(3)
+	failing = false
+	w.alternate(8)
 	w.clear()
-	w.both(5)
-	if got, share := w.got[zoneA][bad]+w.got[zoneB][bad], 1000/8; got < share/2 {
-		t.Errorf("the engine got %d requests, an equal share is %d", got, share)
+	w.alternate(5)
+	if placed, share := w.placed[zoneA][bad]+w.placed[zoneB][bad], 1000/8; placed < share/2 {
+		t.Errorf("the engine got %d requests, an equal share is %d", placed, share)
 	}
 }
 
 // What fails requests of one zone only serves the others.
-func TestEngineThatFailsOneZone(t *testing.T) {
-	bad := engineOf(3).Hash
-	w := newWard(func(e ident.TargetHash, zone ident.Zone) float64 {
+func TestEngineFailingOneZone(t *testing.T) {
+	bad := newEngine(3).Hash
+	w := newHealthFixture(func(e ident.TargetHash, zone ident.Zone) float64 {
 		if e == bad && zone == zoneA {
 			return 0.5
 		}
@@ -117,17 +119,17 @@
 	}
 	w.clear()
 	w.run("edge-a", zoneA, 1)
-	if got := w.got[zoneA][bad]; got != 0 {
-		t.Errorf("zone a: %d requests", got)
+	if placed := w.placed[zoneA][bad]; placed != 0 {
+		t.Errorf("zone a: %d requests", placed)
 	}
 }
 
 // Requests go to an engine that fails many while the others have no free slot.
-func TestPoorEngineIsBetterThanWaiting(t *testing.T) {
+func TestUnhealthyEngineIsUsedWhenOthersAreBusy(t *testing.T) {
 	home := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 1)
 	var list []place.Engine
 	for i := range 2 {
-		e := engineOf(i)
+		e := newEngine(i)
 		e.Slots = ident.OneRequest
 		list = append(list, e)
 	}
@@ -138,30 +140,30 @@
 		blocked = home.Blame(now, "edge-a", zoneA, []ident.TargetHash{poor})
 		blocked = append(blocked, home.Blame(now, "edge-b", zoneA, []ident.TargetHash{poor})...)
 	}
-	var got []ident.TargetHash
+	var placed []ident.TargetHash
 	for permit := range uint64(2) {
 		d := home.Place(now, place.Request{Edge: "edge-a", Permit: permit + 1, Key: 7, Work: ident.OneRequest, Zone: zoneA})
-		got = append(got, d.Engine)
+		placed = append(placed, d.Engine)
 	}
-	if diff := cmp.Diff([]ident.TargetHash{list[1].Hash, poor}, got); diff != "" {
+	if diff := cmp.Diff([]ident.TargetHash{list[1].Hash, poor}, placed); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // When all engines fail alike, or one edge alone complains, nothing is blocked.
-func TestNobodyIsBlamedForWhatAllHave(t *testing.T) {
-	all := newWard(func(ident.TargetHash, ident.Zone) float64 { return 0.45 })
-	all.both(20)
+func TestCommonFailuresBlockNoEngine(t *testing.T) {
+	all := newHealthFixture(func(ident.TargetHash, ident.Zone) float64 { return 0.45 })
+	all.alternate(20)
 	if diff := cmp.Diff(0, all.blocked); diff != "" {
 		t.Errorf("all engines fail: %s", diff)
 	}
-	poison := newWard(func(ident.TargetHash, ident.Zone) float64 { return 0.08 })
-	poison.both(60)
-	if diff := cmp.Diff(0, poison.blocked); diff != "" {
+	badRequests := newHealthFixture(func(ident.TargetHash, ident.Zone) float64 { return 0.08 })
+	badRequests.alternate(60)
+	if diff := cmp.Diff(0, badRequests.blocked); diff != "" {
 		t.Errorf("requests that fail everywhere: %s", diff)
 	}
-	bad := engineOf(3).Hash
-	link := newWard(func(e ident.TargetHash, _ ident.Zone) float64 {
+	bad := newEngine(3).Hash
+	link := newHealthFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
 		if e == bad {
 			return 1
 		}
@@ -175,9 +177,9 @@
 
 // Two engines that fail together are both found soon: what the first one did is not held
 // against the others once it is blocked.
-func TestTwoEnginesFailTogether(t *testing.T) {
-	worst, bad := engineOf(2).Hash, engineOf(5).Hash
-	w := newWard(func(e ident.TargetHash, _ ident.Zone) float64 {
+func TestTwoFailingEngines(t *testing.T) {
+	worst, bad := newEngine(2).Hash, newEngine(5).Hash
+	w := newHealthFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
 		switch e {
 		case worst:
 			return 1
@@ -187,9 +189,9 @@
 			return 0
 		}
 	})
-	w.both(2)
-	got := w.got[zoneA][bad] + w.got[zoneB][bad]
-	if share := 400 / 8; got > share/2 {
-		t.Errorf("the second engine got %d requests, an equal share is %d", got, share)
+	w.alternate(2)
+	placed := w.placed[zoneA][bad] + w.placed[zoneB][bad]
+	if share := 400 / 8; placed > share/2 {
+		t.Errorf("the second engine got %d requests, an equal share is %d", placed, share)
 	}
 }
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -113,14 +113,14 @@
 type engineLoad struct {
 	Engine
 	// own is the work of permits given here, foreign what another home of this shard published.
-	own     ident.Work
-	foreign ident.Work
-	present bool
+	own       ident.Work
+	peerShare ident.Work
+	present   bool
 	// pace follows what a cold engine got lately.
-	pace coldPace
+	pacer coldPacer
 }
 
-func (e *engineLoad) load() ident.Work { return e.own + e.foreign }
+func (e *engineLoad) load() ident.Work { return e.own + e.peerShare }
 
 func (e *engineLoad) usable() bool { return e.present && !e.Leaving }
 
@@ -135,47 +135,47 @@
 	index   map[ident.TargetHash]int
 	permits map[permitKey]Permit
 	// granted is the work of all permits, elsewhere the work of this shard that other homes published.
-	granted   ident.Work
-	elsewhere ident.Work
+	granted  ident.Work
+	peerWork ident.Work
 	// held counts the permits of each edge.
-	held map[ident.Router]int
+	permitCount map[ident.Router]int
 	// doubted are edges that may be gone, whose requests may have ended.
-	doubted map[ident.Router]bool
+	suspectEdges map[ident.Router]bool
 	// heard is when each edge that holds permits was heard of last.
-	heard  map[ident.Router]time.Time
-	places memory[chatPlace]
+	lastContact map[ident.Router]time.Time
+	places      lru[chatPlace]
 	// sums are the other shards' work, foreign other homes' shares of this one.
-	sums    sums
-	foreign map[ident.Router]foreign
+	shardLoads shardLoads
+	peerShare  map[ident.Router]peerShare
 	// weights are the numbers of usable engines of the pool's shards, poolEngines their sum.
 	weights     []int
 	poolEngines int
 	seq         uint64
 	// moves are the chats that went elsewhere since the last digest.
-	moves []ChatPlace
+	placeChanges []ChatPlace
 	// told is the shard whose work was told last with an answer.
-	told     int
-	health   health
-	backoffs backoffs
+	lastSentShard int
+	health        health
+	backoffs      backoffs
 }
 
 // NewHome returns a home without engines or permits; its digests are numbered from
 // seq on, which must exceed what an earlier home of this router used.
 func NewHome(id ShardID, self ident.Router, bound Bound, seq uint64) *Home {
 	return &Home{
-		id:       id,
-		self:     self,
-		bound:    bound,
-		index:    map[ident.TargetHash]int{},
-		permits:  map[permitKey]Permit{},
-		held:     map[ident.Router]int{},
-		doubted:  map[ident.Router]bool{},
-		heard:    map[ident.Router]time.Time{},
-		places:   newMemory[chatPlace](bound.Places),
-		foreign:  map[ident.Router]foreign{},
-		seq:      seq,
-		health:   newHealth(),
-		backoffs: newBackoffs(),
+		id:           id,
+		self:         self,
+		bound:        bound,
+		index:        map[ident.TargetHash]int{},
+		permits:      map[permitKey]Permit{},
+		permitCount:  map[ident.Router]int{},
+		suspectEdges: map[ident.Router]bool{},
+		lastContact:  map[ident.Router]time.Time{},
+		places:       newLRU[chatPlace](bound.Places),
+		peerShare:    map[ident.Router]peerShare{},
+		seq:          seq,
+		health:       newHealth(),
+		backoffs:     newBackoffs(),
 	}
 }
 
@@ -200,7 +200,7 @@
 
 // setWeights replaces the numbers of usable engines of all the pool's shards.
 func (h *Home) setWeights(weights []int) {
-	h.sums.reweigh(h.weights, weights)
+	h.shardLoads.scaleToWeights(h.weights, weights)
 	h.weights = weights
 	h.poolEngines = 0
 	for _, w := range weights {
@@ -230,7 +230,7 @@
 		}
 		if known && h.engines[i].Incarnation < e.Incarnation {
 			h.forget(e.Hash)
-			h.engines[i].pace = coldPace{}
+			h.engines[i].pacer = coldPacer{}
 		}
 		h.engines[i].Engine = e
 		h.engines[i].present = true
@@ -276,7 +276,7 @@
 	e := &h.engines[i]
 	h.hold(Permit{Edge: req.Edge, ID: req.Permit, Engine: e.Hash, Work: req.Work})
 	h.health.sent(now, req.Zone, e.Hash)
-	e.pace.sent(now, e.Cold, h.share())
+	e.pacer.sent(now, e.Cold, h.ownShare())
 	d := Decision{Result: Placed, Engine: e.Hash, Basis: h.basis(req, total+req.Work, e)}
 	if req.Once {
 		return d
@@ -292,27 +292,27 @@
 // remember notes that a chat has gone to an engine and returns its place before.
 func (h *Home) remember(now time.Time, key ident.ChatKey, e *engineLoad) chatPlace {
 	at, _ := h.places.get(key)
-	next := at.moved(spot{engine: e.Hash, incarnation: e.Incarnation}, now.Unix())
+	next := at.movedTo(engineRun{engine: e.Hash, incarnation: e.Incarnation}, now.Unix())
 	h.places.put(key, next)
 	if next.last() != at.last() {
-		h.note(key, next)
+		h.recordPlace(key, next)
 	}
 	return at
 }
 
 // Total is the work on the pool's usable engines as far as this home knows.
 func (h *Home) Total(now time.Time) ident.Work {
-	return h.SureWork() + h.sums.total(now, h.bound.DigestLife, h.id.Shard)
+	return h.SureWork() + h.shardLoads.total(now, h.bound.DigestLife, h.id.Shard)
 }
 
 // Counts are the work on the shard's engines that this home and others admitted, and the mean
 // work on the pool's engines.
-func (h *Home) Counts(now time.Time) (own, foreign, mean ident.Work) {
+func (h *Home) Counts(now time.Time) (own, peerShare, mean ident.Work) {
 	for i := range h.engines {
 		own += h.engines[i].own
-		foreign += h.engines[i].foreign
+		peerShare += h.engines[i].peerShare
 	}
-	return own, foreign, h.Total(now) / ident.Work(max(h.poolEngines, 1))
+	return own, peerShare, h.Total(now) / ident.Work(max(h.poolEngines, 1))
 }
 
 // ID returns the shard that this home counts.
--- a/internal/rule/place/home_test.go
+++ b/internal/rule/place/home_test.go
@@ -22,7 +22,7 @@
 			switch rapid.IntRange(0, 5).Draw(r, "action") {
 			case 0, 1, 2:
 				next++
-				d := h.Place(start, ask(next, ident.ChatKey(rapid.Uint64Range(0, 20).Draw(r, "key"))))
+				d := h.Place(start, permitRequest(next, ident.ChatKey(rapid.Uint64Range(0, 20).Draw(r, "key"))))
 				if d.Result != place.Placed {
 					r.Fatalf("a pool without slots refused: %v", d.Result)
 				}
@@ -30,7 +30,7 @@
 				if e := excess(h, list, d.Engine); e > 1 {
 					r.Fatalf("%.2f requests above the bound", e)
 				}
-				if again := h.Place(start, ask(next, 0)); again.Engine != d.Engine {
+				if again := h.Place(start, permitRequest(next, 0)); again.Engine != d.Engine {
 					r.Fatal("the same request again got another engine")
 				}
 			case 3, 4:
@@ -52,38 +52,38 @@
 	})
 }
 
-func TestReturningChatsFindTheirEngine(t *testing.T) {
+func TestChatReturnsToItsEngine(t *testing.T) {
 	h, _ := newHome(5)
-	first := h.Place(start, ask(1, 7))
+	first := h.Place(start, permitRequest(1, 7))
 	h.Release("router-b", 1)
 	for n := uint64(2); n < 6; n++ {
-		h.Place(start, ask(n, ident.ChatKey(n)))
+		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
-	if again := h.Place(start, ask(9, 7)); !again.Warm || again.Engine != first.Engine {
+	if again := h.Place(start, permitRequest(9, 7)); !again.Warm || again.Engine != first.Engine {
 		t.Errorf("got %+v, want a warm place at %d", again, first.Engine)
 	}
 }
 
 func TestRestartedEngineIsCold(t *testing.T) {
 	h, list := newHome(1)
-	h.Place(start, ask(1, 7))
+	h.Place(start, permitRequest(1, 7))
 	h.Release("router-b", 1)
 	list[0].Incarnation = 2
 	h.SetEngines(list, []int{1})
-	if d := h.Place(start, ask(2, 7)); d.Warm {
+	if d := h.Place(start, permitRequest(2, 7)); d.Warm {
 		t.Error("a restarted engine counts as having the chat's prefix")
 	}
 	list[0].Incarnation = 1
 	h.SetEngines(list, []int{1})
 	h.Release("router-b", 2)
-	if d := h.Place(start, ask(3, 7)); !d.Warm {
+	if d := h.Place(start, permitRequest(3, 7)); !d.Warm {
 		t.Error("an old list brought an earlier incarnation back")
 	}
 }
 
-func TestEvictedChatIsColdAndPlaceBeforeIsTried(t *testing.T) {
+func TestEvictedChatUsesPreviousEngine(t *testing.T) {
 	h, list := newHome(2)
-	first := h.Place(start, ask(1, 7))
+	first := h.Place(start, permitRequest(1, 7))
 	other := list[0].Hash
 	if other == first.Engine {
 		other = list[1].Hash
@@ -92,17 +92,17 @@
 	h.Release("router-b", 1)
 	h.Release("router-b", 2)
 	h.Evicted(other, 7)
-	if d := h.Place(start, ask(3, 7)); !d.Warm || d.Engine != first.Engine {
+	if d := h.Place(start, permitRequest(3, 7)); !d.Warm || d.Engine != first.Engine {
 		t.Errorf("got %+v, want the place before", d)
 	}
 }
 
-func TestLeavingEngineGetsNothingNew(t *testing.T) {
+func TestLeavingEngineGetsNoNewRequests(t *testing.T) {
 	h, list := newHome(2)
 	list[0].Leaving = true
 	h.SetEngines(list, []int{1})
 	for n := uint64(1); n < 10; n++ {
-		if d := h.Place(start, ask(n, ident.ChatKey(n))); d.Engine != list[1].Hash {
+		if d := h.Place(start, permitRequest(n, ident.ChatKey(n))); d.Engine != list[1].Hash {
 			t.Fatalf("got %+v", d)
 		}
 	}
@@ -111,14 +111,14 @@
 func TestSlowStart(t *testing.T) {
 	h, list := newHome(2)
 	for n := uint64(1); n <= 40; n++ {
-		h.Place(start, ask(n, ident.ChatKey(n)))
+		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
 	fresh := engines(3)[2]
 	fresh.Joined = start
 	h.SetEngines(append(list, fresh), []int{3})
 	half := start.Add(place.DefaultBound.Ramp / 2)
 	for n := uint64(100); n < 200; n++ {
-		if d := h.Place(half, ask(n, ident.ChatKey(n))); d.Engine != fresh.Hash {
+		if d := h.Place(half, permitRequest(n, ident.ChatKey(n))); d.Engine != fresh.Hash {
 			break
 		}
 	}
@@ -135,22 +135,22 @@
 	}
 	h.SetEngines(list, []int{2})
 	for n := uint64(1); n <= 4; n++ {
-		h.Place(start, ask(n, ident.ChatKey(n)))
+		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
-	if d := h.Place(start, ask(5, 5)); d.Result != place.Busy {
+	if d := h.Place(start, permitRequest(5, 5)); d.Result != place.Busy {
 		t.Errorf("got %v without a free slot, want busy", d.Result)
 	}
 	// Another shard without work: this one is far above the mean, which is no reason to wait.
-	far, farList := newHome(2)
-	far.SetEngines(farList, []int{2, 18})
-	far.Place(start, ask(1, 1))
-	far.Place(start, ask(2, 2))
-	if d := far.Place(start, ask(3, 3)); d.Result != place.Full {
+	overloaded, overloadedList := newHome(2)
+	overloaded.SetEngines(overloadedList, []int{2, 18})
+	overloaded.Place(start, permitRequest(1, 1))
+	overloaded.Place(start, permitRequest(2, 2))
+	if d := overloaded.Place(start, permitRequest(3, 3)); d.Result != place.Full {
 		t.Errorf("got %v, want full", d.Result)
 	}
-	must := ask(3, 3)
+	must := permitRequest(3, 3)
 	must.Must = true
-	if d := far.Place(start, must); d.Result != place.Placed {
+	if d := overloaded.Place(start, must); d.Result != place.Placed {
 		t.Errorf("got %v for a request that must be placed", d.Result)
 	}
 }
--- a/internal/rule/place/local.go
+++ b/internal/rule/place/local.go
@@ -15,7 +15,7 @@
 	if usable == 0 {
 		return Decision{Result: Empty}
 	}
-	chosen := p.chooseAlone(now, req, routers, p.bound.limit(float64(total+req.Work), usable))
+	chosen := p.chooseLocal(now, req, routers, p.bound.limit(float64(total+req.Work), usable))
 	if !chosen.set {
 		return Decision{Result: Busy}
 	}
@@ -29,34 +29,34 @@
 }
 
 // beforeAllShards is the place in a key's order of the engine that has its prompt.
-const beforeAllShards = -1
+const lastEngineRank = -1
 
 // chooseAlone picks an engine given the limit that all routers together keep to.
-func (p *Pool) chooseAlone(now time.Time, req Request, routers int, limit float64) ranked {
-	preference := p.preference(req.Key)
+func (p *Pool) chooseLocal(now time.Time, req Request, routers int, limit float64) ranked {
+	shardRanks := p.shardRanks(req.Key)
 	edge := uint64(req.Edge.Hash())
-	part := limit / float64(max(routers, 1))
-	var first, least ranked
+	localShare := limit / float64(max(routers, 1))
+	var first, leastLoaded ranked
 	for e := range p.roster.all() {
 		load := p.Estimate(e.Hash, routers)
-		pair := ident.Mix(edge, uint64(e.Hash))
-		if !e.takes(req, load) || !e.Cold.bearsPart(now, pair, routers) {
+		pairHash := ident.Mix(edge, uint64(e.Hash))
+		if !e.canRun(req, load) || !e.Cold.allowsShare(now, pairHash, routers) {
 			continue
 		}
-		r := p.rank(e, req, preference)
+		r := p.rank(e, req, shardRanks)
 		r.load = load
 		if e.Hash == req.Last {
-			r.shard = beforeAllShards
+			r.shard = lastEngineRank
 		}
-		least = least.better(r.withScore(pair))
-		if p.hasPart(req.Work, e, part, pair) && r.preferred(first) {
+		leastLoaded = leastLoaded.better(r.withScore(pairHash))
+		if p.withinLocalShare(req.Work, e, localShare, pairHash) && r.preferred(first) {
 			first = r
 		}
 	}
 	if first.set {
 		return first
 	}
-	return least
+	return leastLoaded
 }
 
 // hasPart reports whether an engine has room for work in this router's part of the limit. The part
@@ -64,14 +64,14 @@
 // first request of a popular subject to the same engine, and a third of all requests reached
 // engines above twice the mean. So each pair of router and engine, by a hash of both, rounds its
 // own way, and as many of the routers have room as together make the limit.
-func (p *Pool) hasPart(work ident.Work, e *Engine, part float64, pair uint64) bool {
-	return float64(p.own[e.Hash]+work) <= part+ident.Unit(pair)*float64(work)
+func (p *Pool) withinLocalShare(work ident.Work, e *Engine, localShare float64, pairHash uint64) bool {
+	return float64(p.own[e.Hash]+work) <= localShare+ident.Unit(pairHash)*float64(work)
 }
 
 // withScore ranks an engine by a hash of router and engine in place of the key's own order, so that
 // routers without room anywhere do not all take the same engine for a key.
-func (r ranked) withScore(pair uint64) ranked {
-	r.score = pair
+func (r ranked) withScore(pairHash uint64) ranked {
+	r.score = pairHash
 	return r
 }
 
@@ -93,7 +93,7 @@
 }
 
 // takes reports whether an engine with some load may run a request beside it.
-func (e *Engine) takes(req Request, load ident.Work) bool {
+func (e *Engine) canRun(req Request, load ident.Work) bool {
 	if e.Leaving || slices.Contains(req.Avoid, e.Hash) {
 		return false
 	}
@@ -102,15 +102,15 @@
 
 // rank says how well an engine suits a key, its load aside; preference is what the
 // method of that name returns for the key.
-func (p *Pool) rank(e *Engine, req Request, preference []int) ranked {
+func (p *Pool) rank(e *Engine, req Request, shardRanks []int) ranked {
 	return ranked{
-		hash: e.Hash, set: true, near: e.Zone == req.Zone, score: ident.Mix(uint64(req.Key), uint64(e.Hash)),
-		shard: preference[ShardOf(e.Hash, p.Shards())],
+		hash: e.Hash, set: true, sameZone: e.Zone == req.Zone, score: ident.Mix(uint64(req.Key), uint64(e.Hash)),
+		shard: shardRanks[ShardOf(e.Hash, p.Shards())],
 	}
 }
 
 // preference gives each shard its place in a key's order.
-func (p *Pool) preference(key ident.ChatKey) []int {
+func (p *Pool) shardRanks(key ident.ChatKey) []int {
 	var order [MaxShards]ident.Shard
 	n := p.Order(key, order[:])
 	out := make([]int, p.Shards())
@@ -132,17 +132,17 @@
 	case req.Last != 0 && !slices.Contains(req.Lost, req.Last):
 		return req.Last
 	default:
-		return p.likelyHolder(req, chosen)
+		return p.preferredHolder(req, chosen)
 	}
 }
 
 // likelyHolder is the engine that a key's own order puts first beside the one chosen:
 // homes and routers that decide alone tend to send the key there.
-func (p *Pool) likelyHolder(req Request, chosen ident.TargetHash) ident.TargetHash {
-	preference := p.preference(req.Key)
+func (p *Pool) preferredHolder(req Request, chosen ident.TargetHash) ident.TargetHash {
+	shardRanks := p.shardRanks(req.Key)
 	var best ranked
 	for e := range p.roster.all() {
-		r := p.rank(e, req, preference)
+		r := p.rank(e, req, shardRanks)
 		if e.Hash != chosen && !slices.Contains(req.Lost, e.Hash) && r.preferred(best) {
 			best = r
 		}
--- a/internal/rule/place/local_test.go
+++ b/internal/rule/place/local_test.go
@@ -10,7 +10,7 @@
 	"valescale/internal/rule/place"
 )
 
-func TestLocalSharesKeepTheBoundTogether(t *testing.T) {
+func TestLocalKeepsBound(t *testing.T) {
 	p := place.NewPool("judge@co", 2, place.DefaultBound)
 	p.SetEngines(engines(4))
 	counts := map[ident.TargetHash]int{}
--- a/internal/rule/place/memory.go
+++ b/internal/rule/place/memory.go
@@ -8,31 +8,31 @@
 
 // spots is how many engines are remembered for one chat. Prefixes that many requests
 // share lie on four or five engines after a day with failures.
-const spots = 4
+const maxEnginesPerChat = 4
 
 // chatPlace is where a chat ran, the last engine first: when that is full or gone,
 // those before may still have the chat's prefix.
 type chatPlace struct {
 	seen int64
-	at   [spots]spot
+	at   [maxEnginesPerChat]engineRun
 }
 
 // last is where the chat ran last.
-func (p chatPlace) last() spot { return p.at[0] }
+func (p chatPlace) last() engineRun { return p.at[0] }
 
 // spot is one incarnation of an engine.
-type spot struct {
+type engineRun struct {
 	incarnation ident.Incarnation
 	engine      ident.TargetHash
 }
 
 // moved returns the place after the chat ran at a spot.
-func (p chatPlace) moved(to spot, seen int64) chatPlace {
+func (p chatPlace) movedTo(to engineRun, seen int64) chatPlace {
 	p.seen = seen
-	next := [spots]spot{to}
+	next := [maxEnginesPerChat]engineRun{to}
 	n := 1
 	for _, s := range p.at {
-		if s != to && s != (spot{}) && n < spots {
+		if s != to && s != (engineRun{}) && n < maxEnginesPerChat {
 			next[n] = s
 			n++
 		}
@@ -43,10 +43,10 @@
 
 // without returns the place after an engine dropped the chat's prefix.
 func (p chatPlace) without(engine ident.TargetHash) chatPlace {
-	var left [spots]spot
+	var left [maxEnginesPerChat]engineRun
 	n := 0
 	for _, s := range p.at {
-		if s.engine != engine && s != (spot{}) {
+		if s.engine != engine && s != (engineRun{}) {
 			left[n] = s
 			n++
 		}
@@ -57,21 +57,21 @@
 
 // memory keeps something of the most recently used chats in two generations: when the
 // young one is full it becomes the old one, and what the old one held is forgotten.
-type memory[V any] struct {
-	young, old map[ident.ChatKey]V
-	half       int
+type lru[V any] struct {
+	young, old      map[ident.ChatKey]V
+	generationLimit int
 }
 
 // newMemory returns an empty memory of at most limit chats.
-func newMemory[V any](limit int) memory[V] {
-	return memory[V]{
-		young: map[ident.ChatKey]V{},
-		old:   map[ident.ChatKey]V{},
-		half:  max(limit/2, 1),
+func newLRU[V any](limit int) lru[V] {
+	return lru[V]{
+		young:           map[ident.ChatKey]V{},
+		old:             map[ident.ChatKey]V{},
+		generationLimit: max(limit/2, 1),
 	}
 }
 
-func (m *memory[V]) get(key ident.ChatKey) (V, bool) {
+func (m *lru[V]) get(key ident.ChatKey) (V, bool) {
 	if p, ok := m.young[key]; ok {
 		return p, true
 	}
@@ -79,8 +79,8 @@
 	return p, ok
 }
 
-func (m *memory[V]) put(key ident.ChatKey, p V) {
-	if len(m.young) >= m.half {
+func (m *lru[V]) put(key ident.ChatKey, p V) {
+	if len(m.young) >= m.generationLimit {
 		if _, ok := m.young[key]; !ok {
 			m.young, m.old = m.old, m.young
 			clear(m.young)
@@ -89,12 +89,12 @@
 	m.young[key] = p
 }
 
-func (m *memory[V]) remove(key ident.ChatKey) {
+func (m *lru[V]) remove(key ident.ChatKey) {
 	delete(m.young, key)
 	delete(m.old, key)
 }
 
-func (m *memory[V]) len() int { return len(m.young) + len(m.old) }
+func (m *lru[V]) len() int { return len(m.young) + len(m.old) }
 
 // ChatPlace is a remembered place in the form that a handoff carries.
 type ChatPlace struct {
@@ -111,7 +111,7 @@
 	for _, generation := range []map[ident.ChatKey]chatPlace{h.places.young, h.places.old} {
 		for key, p := range generation {
 			for _, s := range slices.Backward(p.at[:]) {
-				if s == (spot{}) {
+				if s == (engineRun{}) {
 					continue
 				}
 				if len(out) == limit {
@@ -125,7 +125,7 @@
 }
 
 // latest lists the last places of all remembered chats.
-func (h *Home) latest() []ChatPlace {
+func (h *Home) lastPlaces() []ChatPlace {
 	out := make([]ChatPlace, 0, h.places.len())
 	for _, generation := range []map[ident.ChatKey]chatPlace{h.places.young, h.places.old} {
 		for key, p := range generation {
@@ -137,47 +137,47 @@
 }
 
 // Learn takes over places from another home; a later place that is known here stays.
-func (h *Home) Learn(places []ChatPlace) { learn(&h.places, places) }
+func (h *Home) Learn(places []ChatPlace) { mergePlaces(&h.places, places) }
 
 // learn takes places into a memory; a later place that is known there stays.
-func learn(m *memory[chatPlace], places []ChatPlace) {
+func mergePlaces(m *lru[chatPlace], places []ChatPlace) {
 	for _, p := range places {
 		known, ok := m.get(p.Key)
 		if ok && known.seen > p.SeenUnix {
 			continue
 		}
-		m.put(p.Key, known.moved(spot{engine: p.Engine, incarnation: p.Incarnation}, p.SeenUnix))
+		m.put(p.Key, known.movedTo(engineRun{engine: p.Engine, incarnation: p.Incarnation}, p.SeenUnix))
 	}
 }
 
 // Replica is the memory of chat places that a router keeps for a shard of which it
 // would be home if another were gone.
 type Replica struct {
-	memory memory[chatPlace]
+	lru lru[chatPlace]
 }
 
 // NewReplica returns an empty replica memory of a bound's size.
-func NewReplica(bound Bound) *Replica { return &Replica{memory: newMemory[chatPlace](bound.Places)} }
+func NewReplica(bound Bound) *Replica { return &Replica{lru: newLRU[chatPlace](bound.Places)} }
 
 // Learn takes in places from the shard's home.
-func (s *Replica) Learn(places []ChatPlace) { learn(&s.memory, places) }
+func (s *Replica) Learn(places []ChatPlace) { mergePlaces(&s.lru, places) }
 
 // Len is the number of places kept.
-func (s *Replica) Len() int { return s.memory.len() }
+func (s *Replica) Len() int { return s.lru.len() }
 
 // Adopt makes a replica memory the home's own; the replica must not be used afterwards.
-func (h *Home) Adopt(s *Replica) { h.places = s.memory }
+func (h *Home) Adopt(s *Replica) { h.places = s.lru }
 
 // maxMoves bounds the places that are kept for the next digest; of more, the
 // standby learns the latest.
-const maxMoves = 512
+const maxPlaceChanges = 512
 
 // note keeps a chat's move for the next digest.
-func (h *Home) note(key ident.ChatKey, at chatPlace) {
-	if len(h.moves) >= maxMoves {
-		h.moves = h.moves[:copy(h.moves, h.moves[maxMoves/2:])]
+func (h *Home) recordPlace(key ident.ChatKey, at chatPlace) {
+	if len(h.placeChanges) >= maxPlaceChanges {
+		h.placeChanges = h.placeChanges[:copy(h.placeChanges, h.placeChanges[maxPlaceChanges/2:])]
 	}
-	h.moves = append(h.moves, ChatPlace{
+	h.placeChanges = append(h.placeChanges, ChatPlace{
 		Key: key, Engine: at.last().engine, Incarnation: at.last().incarnation, SeenUnix: at.seen,
 	})
 }
@@ -189,7 +189,7 @@
 		return
 	}
 	left := p.without(engine)
-	if left.last() == (spot{}) {
+	if left.last() == (engineRun{}) {
 		h.places.remove(key)
 		return
 	}
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -34,7 +34,7 @@
 	}
 	h.engines[i].own += p.Work
 	h.granted += p.Work
-	h.held[p.Edge]++
+	h.permitCount[p.Edge]++
 }
 
 func (h *Home) drop(key permitKey) {
@@ -45,9 +45,9 @@
 	delete(h.permits, key)
 	h.engines[h.index[p.Engine]].own -= p.Work
 	h.granted -= p.Work
-	h.held[p.Edge]--
-	if h.held[p.Edge] == 0 {
-		delete(h.held, p.Edge)
+	h.permitCount[p.Edge]--
+	if h.permitCount[p.Edge] == 0 {
+		delete(h.permitCount, p.Edge)
 	}
 }
 
@@ -74,7 +74,7 @@
 // claim takes permits that are new here off what another home published. Its next
 // digest, if there is one, says the same.
 func (h *Home) claim(from ident.Router, held []Permit) {
-	f, ok := h.foreign[from]
+	f, ok := h.peerShare[from]
 	if !ok {
 		return
 	}
@@ -90,7 +90,7 @@
 		}
 	}
 	f.digest.Loads = loads
-	h.foreign[from] = f
+	h.peerShare[from] = f
 	h.recount()
 }
 
@@ -113,26 +113,26 @@
 }
 
 // Holders lists the edges that hold permits.
-func (h *Home) Holders() []ident.Router { return slices.Collect(maps.Keys(h.held)) }
+func (h *Home) Holders() []ident.Router { return slices.Collect(maps.Keys(h.permitCount)) }
 
 // Doubt names the edges that may be gone. Until that is known their permits count on
 // their engines, but not in the mean: too high a load and too low a mean are the
 // sides to err on.
 func (h *Home) Doubt(edges []ident.Router) {
-	clear(h.doubted)
+	clear(h.suspectEdges)
 	for _, e := range edges {
-		h.doubted[e] = true
+		h.suspectEdges[e] = true
 	}
 }
 
 // doubtedWork is the work of permits whose requests may have ended with their edge.
-func (h *Home) doubtedWork() ident.Work {
-	if len(h.doubted) == 0 {
+func (h *Home) suspectWork() ident.Work {
+	if len(h.suspectEdges) == 0 {
 		return 0
 	}
 	var work ident.Work
 	for key, p := range h.permits {
-		if h.doubted[key.edge] {
+		if h.suspectEdges[key.edge] {
 			work += p.Work
 		}
 	}
@@ -140,29 +140,29 @@
 }
 
 // Heard notes that an edge spoke of this shard.
-func (h *Home) Heard(now time.Time, edge ident.Router) { h.heard[edge] = now }
+func (h *Home) Heard(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
 
 // Lapse drops the permits of the edges that have not spoken of this shard for a lease:
 // they are counted elsewhere by now, or their edge is gone. It returns how many went.
 func (h *Home) Lapse(now time.Time, lease time.Duration) int {
 	dropped := 0
-	for edge, held := range h.held {
-		if now.Sub(h.heard[edge]) <= lease {
+	for edge, permitCount := range h.permitCount {
+		if now.Sub(h.lastContact[edge]) <= lease {
 			continue
 		}
-		dropped += held
+		dropped += permitCount
 		h.Forget(edge, ^uint64(0))
 	}
-	for edge := range h.heard {
-		if _, holds := h.held[edge]; !holds {
-			delete(h.heard, edge)
+	for edge := range h.lastContact {
+		if _, holds := h.permitCount[edge]; !holds {
+			delete(h.lastContact, edge)
 		}
 	}
 	return dropped
 }
 
 // Held is the number of permits that an edge holds here.
-func (h *Home) Held(edge ident.Router) int { return h.held[edge] }
+func (h *Home) Held(edge ident.Router) int { return h.permitCount[edge] }
 
 // Len is the number of permits held here.
 func (h *Home) Len() int { return len(h.permits) }
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -15,16 +15,16 @@
 	order []int
 	own   map[ident.TargetHash]ident.Work
 	// sums are the shards' work as their homes said last; asked is when each home was asked last.
-	sums  sums
-	asked [MaxShards]time.Time
-	bound Bound
+	shardLoads  shardLoads
+	lastRequest [MaxShards]time.Time
+	bound       Bound
 	// last is the engine to which this router sent each chat last.
-	last memory[spot]
+	last lru[engineRun]
 }
 
 // lastChats is how many chats' engines a router remembers: at 1,200 subjects of a large
 // site all of them; 24 bytes each.
-const lastChats = 20_000
+const maxLastEngines = 20_000
 
 // NewPool returns a picture without engines; shards is between one and MaxShards.
 func NewPool(name ident.Pool, shards int, bound Bound) *Pool {
@@ -33,7 +33,7 @@
 		roster: NewRoster(shards, nil),
 		own:    map[ident.TargetHash]ident.Work{},
 		bound:  bound,
-		last:   newMemory[spot](lastChats),
+		last:   newLRU[engineRun](maxLastEngines),
 	}
 }
 
@@ -47,7 +47,7 @@
 // Remember notes the engine to which this router sent a chat.
 func (p *Pool) Remember(key ident.ChatKey, engine ident.TargetHash) {
 	e, _ := p.Engine(engine)
-	p.last.put(key, spot{engine: engine, incarnation: e.Incarnation})
+	p.last.put(key, engineRun{engine: engine, incarnation: e.Incarnation})
 }
 
 // Last is the engine to which this router sent a chat last, zero if that is not known, or
@@ -66,7 +66,7 @@
 
 // SetRoster replaces the pool's engines by those of a roster with as many shards.
 func (p *Pool) SetRoster(roster *Roster) {
-	p.sums.reweigh(p.roster.weights, roster.weights)
+	p.shardLoads.scaleToWeights(p.roster.weights, roster.weights)
 	p.roster = roster
 	p.order = p.orderWeights()
 }
@@ -94,7 +94,7 @@
 func (p *Pool) Weights() []int { return p.roster.weights }
 
 // NewHome notes that a shard has another home, which has heard nothing yet.
-func (p *Pool) NewHome(shard ident.Shard) { p.asked[shard] = time.Time{} }
+func (p *Pool) NewHome(shard ident.Shard) { p.lastRequest[shard] = time.Time{} }
 
 // Usable is the number of engines that may get new work.
 func (p *Pool) Usable() int { return p.roster.usable }
@@ -136,15 +136,15 @@
 }
 
 // NoteSum keeps a shard's work as its home just said it.
-func (p *Pool) NoteSum(now time.Time, sum Sum) { p.sums.note(now, sum) }
+func (p *Pool) NoteSum(now time.Time, sum Sum) { p.shardLoads.update(now, sum) }
 
 // SumsFor appends to out the shards' work that a shard's home cannot have heard
 // from this router yet.
 func (p *Pool) SumsFor(now time.Time, to ident.Shard, out []Sum) []Sum {
-	since := p.asked[to]
-	p.asked[to] = now
-	for i := range p.sums[:p.Shards()] {
-		s := &p.sums[i]
+	since := p.lastRequest[to]
+	p.lastRequest[to] = now
+	for i := range p.shardLoads[:p.Shards()] {
+		s := &p.shardLoads[i]
 		if ident.Shard(i) != to && s.at.After(since) && now.Sub(s.at) <= p.bound.DigestLife {
 			out = append(out, Sum{Shard: ident.Shard(i), Age: now.Sub(s.at), Work: s.work})
 		}
--- a/internal/rule/place/recall_test.go
+++ b/internal/rule/place/recall_test.go
@@ -12,7 +12,7 @@
 )
 
 // askLast asks for a key whose last engine the edge remembers.
-func askLast(h *place.Home, key ident.ChatKey, last ident.TargetHash, avoid ...ident.TargetHash) place.Decision {
+func placeWithLast(h *place.Home, key ident.ChatKey, last ident.TargetHash, avoid ...ident.TargetHash) place.Decision {
 	permits++
 	return h.Place(time.Unix(1000, 0), place.Request{
 		Edge: "edge", Permit: permits, Key: key, Work: ident.OneRequest, Last: last, Avoid: avoid,
@@ -20,10 +20,10 @@
 }
 
 // A home that has forgotten a subject sends it where the edge sent it last.
-func TestEdgeRemembersForANewHome(t *testing.T) {
+func TestNewHomeUsesLastEngineOfEdge(t *testing.T) {
 	for i := range 8 {
-		last := engineOf(i).Hash
-		got := askLast(steadyHome(8), 7, last)
+		last := newEngine(i).Hash
+		got := placeWithLast(steadyHome(8), 7, last)
 		if got.Engine != last || !got.Warm {
 			t.Errorf("last at engine %d: got %+v", i, got)
 		}
@@ -31,14 +31,14 @@
 }
 
 // What a home remembers itself goes before what an edge does.
-func TestHomeKnowsBetterThanOneEdge(t *testing.T) {
+func TestHomePlacePrecedesLastEngineOfEdge(t *testing.T) {
 	h := steadyHome(8)
-	first := askLast(h, 7, 0)
-	other := engineOf(0).Hash
+	first := placeWithLast(h, 7, 0)
+	other := newEngine(0).Hash
 	if other == first.Engine {
-		other = engineOf(1).Hash
+		other = newEngine(1).Hash
 	}
-	if got := askLast(h, 7, other); got.Engine != first.Engine {
+	if got := placeWithLast(h, 7, other); got.Engine != first.Engine {
 		t.Errorf("engine %d, want %d", got.Engine, first.Engine)
 	}
 }
@@ -46,15 +46,15 @@
 // When a pool gets other shards, a subject's engine may be in another one: it is named as
 // the place to copy from.
 func TestHolderInAnotherShard(t *testing.T) {
-	elsewhere := engineOf(100).Hash
-	got := askLast(steadyHome(8), 7, elsewhere)
+	elsewhere := newEngine(100).Hash
+	got := placeWithLast(steadyHome(8), 7, elsewhere)
 	if diff := cmp.Diff(elsewhere, got.Holder); diff != "" || got.Warm {
 		t.Errorf("holder: %s, warm %v", diff, got.Warm)
 	}
 }
 
 // A key that does not come back leaves nothing behind.
-func TestKeysOfOneRequestAreNotRemembered(t *testing.T) {
+func TestOnceKeysAreNotStored(t *testing.T) {
 	h := steadyHome(8)
 	permits++
 	got := h.Place(time.Unix(1000, 0), place.Request{Edge: "edge", Permit: permits, Key: 7, Work: ident.OneRequest, Once: true})
@@ -71,7 +71,7 @@
 	p := place.NewPool("p", shards, steady)
 	var list []place.Engine
 	for i := range 8 {
-		list = append(list, engineOf(i))
+		list = append(list, newEngine(i))
 	}
 	p.SetEngines(list)
 	return p
@@ -79,12 +79,12 @@
 
 // A router that decides alone sends a subject where it sent it last, also after the pool
 // got other shards, if it has a part of that engine's share, and else copies from there.
-func TestRouterAloneRemembers(t *testing.T) {
+func TestLocalUsesLastEngine(t *testing.T) {
 	const key, routers = 7, 62
 	kept := 0
 	for i := range routers {
 		edge := ident.Router(fmt.Sprintf("router-%d", i))
-		before, last := steadyPool(1), engineOf(i%8).Hash
+		before, last := steadyPool(1), newEngine(i%8).Hash
 		before.Remember(key, last)
 		p := place.NewPool("p", 2, steady)
 		p.Inherit(before)
@@ -112,9 +112,9 @@
 	}
 }
 
-func TestGoneEngineIsForgotten(t *testing.T) {
+func TestLastOfRemovedEngine(t *testing.T) {
 	p := steadyPool(1)
-	p.Remember(7, engineOf(100).Hash)
+	p.Remember(7, newEngine(100).Hash)
 	if diff := cmp.Diff(ident.TargetHash(0), p.Last(7)); diff != "" {
 		t.Error(diff)
 	}
@@ -122,9 +122,9 @@
 
 // An engine that has started anew holds nothing of before: the router no longer asks for it, though
 // it asks again once it has sent the chat to the new start.
-func TestEngineThatStartedAnewIsNotTheLast(t *testing.T) {
+func TestLastOfRestartedEngine(t *testing.T) {
 	p := steadyPool(1)
-	e := engineOf(3)
+	e := newEngine(3)
 	p.Remember(7, e.Hash)
 	list := append([]place.Engine(nil), p.Engines()...)
 	for i := range list {
--- a/internal/rule/place/roster.go
+++ b/internal/rule/place/roster.go
@@ -40,7 +40,7 @@
 			copied[shard] = true
 			next.shards[shard] = slices.Clone(r.shards[shard])
 		}
-		i, found = search(next.shards[shard], hash)
+		i, found = searchEngines(next.shards[shard], hash)
 		return shard, i, found
 	}
 	for _, hash := range gone {
@@ -62,7 +62,7 @@
 }
 
 // search returns where the engine with a hash is, or belongs.
-func search(engines []*Engine, hash ident.TargetHash) (int, bool) {
+func searchEngines(engines []*Engine, hash ident.TargetHash) (int, bool) {
 	return slices.BinarySearchFunc(engines, hash, func(e *Engine, hash ident.TargetHash) int { return cmp.Compare(e.Hash, hash) })
 }
 
@@ -80,12 +80,12 @@
 }
 
 // noLimit stands for the slots of a shard one of whose engines has no limit.
-const noLimit ident.Work = math.MaxInt64
+const unlimited ident.Work = math.MaxInt64
 
 // addSlots adds an engine's slots to those of its shard.
 func addSlots(sum, slots ident.Work) ident.Work {
-	if slots == 0 || sum == noLimit {
-		return noLimit
+	if slots == 0 || sum == unlimited {
+		return unlimited
 	}
 	return sum + slots
 }
@@ -137,7 +137,7 @@
 // find returns one of the engines, which must not be changed, or nil.
 func (r *Roster) find(hash ident.TargetHash) *Engine {
 	engines := r.shards[ShardOf(hash, len(r.shards))]
-	i, found := search(engines, hash)
+	i, found := searchEngines(engines, hash)
 	if !found {
 		return nil
 	}
--- a/internal/rule/place/search.go
+++ b/internal/rule/place/search.go
@@ -8,13 +8,13 @@
 
 // maxTries is how many shards are asked before one is asked to take the request
 // on its least loaded engine.
-const maxTries = 4
+const maxShardAttempts = 4
 
 // Search is one request's way through a pool's shards: first those that its chat
 // prefers, each asked whether it has room under the bound, then the least loaded
 // of them, which is to take the request or let it wait.
 type Search struct {
-	order [maxTries]ident.Shard
+	order [maxShardAttempts]ident.Shard
 	n     int
 	next  int
 }
@@ -31,7 +31,7 @@
 func (p *Pool) NewSearch(key ident.ChatKey, saturated bool) Search {
 	var all [MaxShards]ident.Shard
 	var s Search
-	s.n = min(p.Order(key, all[:]), maxTries)
+	s.n = min(p.Order(key, all[:]), maxShardAttempts)
 	copy(s.order[:], all[:s.n])
 	if saturated {
 		s.next = s.n
@@ -51,14 +51,14 @@
 		s.next++
 		return step, true
 	}
-	return Step{Shard: s.lightest(p), Must: true}, true
+	return Step{Shard: s.leastLoadedShard(p), Must: true}, true
 }
 
 // lightest returns the tried shard whose engines have the least work on average.
-func (s *Search) lightest(p *Pool) ident.Shard {
+func (s *Search) leastLoadedShard(p *Pool) ident.Shard {
 	best := s.order[0]
 	for _, shard := range s.order[1:s.n] {
-		if p.lighter(shard, best) {
+		if p.lessLoaded(shard, best) {
 			best = shard
 		}
 	}
@@ -66,6 +66,6 @@
 }
 
 // lighter compares two shards' average work as their homes said last.
-func (p *Pool) lighter(a, b ident.Shard) bool {
-	return int64(p.sums[a].work)*int64(p.Weights()[b]) < int64(p.sums[b].work)*int64(p.Weights()[a])
+func (p *Pool) lessLoaded(a, b ident.Shard) bool {
+	return int64(p.shardLoads[a].work)*int64(p.Weights()[b]) < int64(p.shardLoads[b].work)*int64(p.Weights()[a])
 }
--- a/internal/rule/place/setup_test.go
+++ b/internal/rule/place/setup_test.go
@@ -36,7 +36,7 @@
 }
 
 // ask is an edge's request for a permit.
-func ask(permit uint64, key ident.ChatKey) place.Request {
+func permitRequest(permit uint64, key ident.ChatKey) place.Request {
 	return place.Request{Edge: "router-b", Permit: permit, Key: key, Work: ident.OneRequest}
 }
 
--- a/internal/rule/place/steady_test.go
+++ b/internal/rule/place/steady_test.go
@@ -15,7 +15,7 @@
 	Factor: 2, Extra: 2 * ident.OneRequest, Steady: 1.3, DigestLife: 4 * time.Second, Places: 1000,
 }
 
-func engineOf(i int) place.Engine {
+func newEngine(i int) place.Engine {
 	id := ident.Target(fmt.Sprint("engine-", i))
 	return place.Engine{ID: id, Hash: id.Hash(), Incarnation: 1}
 }
@@ -25,7 +25,7 @@
 	h := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 1)
 	var list []place.Engine
 	for i := range engines {
-		list = append(list, engineOf(i))
+		list = append(list, newEngine(i))
 	}
 	h.SetEngines(list, []int{engines})
 	return h
@@ -33,18 +33,18 @@
 
 var permits uint64
 
-func askSteady(h *place.Home, key ident.ChatKey, avoid ...ident.TargetHash) place.Decision {
+func placeKey(h *place.Home, key ident.ChatKey, avoid ...ident.TargetHash) place.Decision {
 	permits++
 	return h.Place(time.Unix(1000, 0), place.Request{Edge: "edge", Permit: permits, Key: key, Work: ident.OneRequest, Avoid: avoid})
 }
 
 // A home that has forgotten everything finds most subjects where they were.
-func TestForgottenPlacesAreFoundAgain(t *testing.T) {
+func TestPlacementRepeatsAfterLossOfPlaces(t *testing.T) {
 	before, after := steadyHome(20), steadyHome(20)
 	same := 0
 	const keys = 200
 	for key := range ident.ChatKey(keys) {
-		was, is := askSteady(before, key), askSteady(after, key)
+		was, is := placeKey(before, key), placeKey(after, key)
 		before.Release("edge", permits-1)
 		after.Release("edge", permits)
 		if was.Engine == is.Engine {
@@ -59,16 +59,16 @@
 // A subject that has to go elsewhere is told where its prompt can be copied from.
 func TestHolders(t *testing.T) {
 	h := steadyHome(4)
-	first := askSteady(h, 7)
-	second := askSteady(h, 7, first.Engine)
+	first := placeKey(h, 7)
+	second := placeKey(h, 7, first.Engine)
 	if diff := cmp.Diff(first.Engine, second.Holder); diff != "" || second.Warm {
 		t.Errorf("the second place's holder: %s, warm %v", diff, second.Warm)
 	}
-	third := askSteady(h, 7, first.Engine, second.Engine)
+	third := placeKey(h, 7, first.Engine, second.Engine)
 	if diff := cmp.Diff(second.Engine, third.Holder); diff != "" {
 		t.Errorf("the third place's holder: %s", diff)
 	}
-	if again := askSteady(h, 7, second.Engine, third.Engine); again.Engine != first.Engine || !again.Warm {
+	if again := placeKey(h, 7, second.Engine, third.Engine); again.Engine != first.Engine || !again.Warm {
 		t.Errorf("got %+v, want the first place, which is still known", again)
 	}
 	permits++
@@ -83,12 +83,12 @@
 }
 
 // Joins and leaves of engines do not move subjects to other shards.
-func TestShardsCountAlike(t *testing.T) {
+func TestShardOrderIgnoresEngineCounts(t *testing.T) {
 	order := func(engines int, key ident.ChatKey) ident.Shard {
 		p := place.NewPool("p", 4, steady)
 		var list []place.Engine
 		for i := range engines {
-			list = append(list, engineOf(i))
+			list = append(list, newEngine(i))
 		}
 		p.SetEngines(list)
 		var out [place.MaxShards]ident.Shard
--- a/internal/rule/place/takeover_test.go
+++ b/internal/rule/place/takeover_test.go
@@ -20,7 +20,7 @@
 		if n%2 == 0 {
 			h, other = b, a
 		}
-		d := h.Place(start, ask(n, ident.ChatKey(n%30)))
+		d := h.Place(start, permitRequest(n, ident.ChatKey(n%30)))
 		other.Merge(start, h.Digest())
 		worst = max(worst, excess(h, list, d.Engine))
 		if n > 40 {
@@ -35,7 +35,7 @@
 	}
 	late := start.Add(place.DefaultBound.DigestLife * 2)
 	before := a.Work()
-	a.Place(late, ask(1000, 1))
+	a.Place(late, permitRequest(1000, 1))
 	if a.Work() >= before {
 		t.Error("counts of a home that fell silent still stand")
 	}
@@ -47,7 +47,7 @@
 	a, list := newHome(4)
 	var held []place.Permit
 	for n := uint64(1); n <= 20; n++ {
-		d := a.Place(start, ask(n, ident.ChatKey(n)))
+		d := a.Place(start, permitRequest(n, ident.ChatKey(n)))
 		held = append(held, place.Permit{Edge: "router-b", ID: n, Engine: d.Engine, Work: ident.OneRequest})
 	}
 	b := place.NewHome(id, "router-z", place.DefaultBound, 0)
@@ -67,10 +67,10 @@
 }
 
 // The permits of a router that may be gone count on their engines, not in the mean.
-func TestDoubtedEdge(t *testing.T) {
+func TestSuspectEdge(t *testing.T) {
 	h, _ := newHome(2)
 	for n := uint64(1); n <= 8; n++ {
-		h.Place(start, ask(n, ident.ChatKey(n)))
+		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
 	total, work := h.Total(start), h.Work()
 	h.Doubt([]ident.Router{"router-b"})
@@ -85,10 +85,10 @@
 
 // A new home counts what its predecessor published until the edge speaks for itself, and
 // knows the chats' places.
-func TestHandedOverShard(t *testing.T) {
+func TestShardHandoff(t *testing.T) {
 	a, list := newHome(2)
 	for n := uint64(1); n <= 4; n++ {
-		a.Place(start, ask(n, ident.ChatKey(n)))
+		a.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
 	b := place.NewHome(id, "router-z", place.DefaultBound, 0)
 	b.SetEngines(list, []int{2})
@@ -107,7 +107,7 @@
 	if got := b.Held("router-b"); got != 1 {
 		t.Errorf("%d permits counted, want the edge's own word for 1", got)
 	}
-	if d := b.Place(start, ask(9, 1)); !d.Warm {
+	if d := b.Place(start, permitRequest(9, 1)); !d.Warm {
 		t.Error("the new home does not know the chat's place")
 	}
 	b.Forget("router-b", 9)
