--- a/internal/rule/place/assign.go
+++ b/internal/rule/place/assign.go
@@ -9,42 +9,40 @@
 	"valescale/internal/plat/ident"
 )
 
-// Assignment says which router is home of each shard of a region. Plain rendezvous
-// hashing would give a few routers several shards and so most of the control
-// traffic. Here a shard whose first router is home of two already goes to one of its
-// first few that is home of none. All routers with the same view and configuration
-// come to the same; others differ in few shards, which is safe.
+// Assignment maps each shard of a region to its home router. Plain rendezvous hashing would give a
+// few routers several shards and so most of the control traffic. Therefore a shard whose
+// highest-scoring router is already home of two shards goes to one of its next candidates that is
+// home of none. Routers with the same membership view and configuration compute the same
+// assignment. Routers with different views disagree about few shards, which is safe.
 type Assignment struct {
 	routers    []ident.Router
 	capacities Capacities
-	// least is the smallest of the capacities.
+	// minCores is the smallest capacity.
 	minCores ident.Cores
-	// choices are the shards' first few routers and one more.
+	// candidates are the highest-scoring routers of each shard.
 	candidates []shardCandidates
 	homes      map[ShardID]ident.Router
 	mu         sync.Mutex
-	// without are the homes of assignments that lack one router, made when asked for.
+	// excluding caches, for each router, the homes of the assignment without that router.
 	excluding map[ident.Router]map[ShardID]ident.Router
 }
 
-// firstFew is among how many routers a shard chooses.
+// maxCandidates is the number of routers that are considered as home of a shard.
 const maxCandidates = 8
 
-// Assign assigns the shards of all pools of a region to its live routers, which can all
-// carry the same.
+// Assign assigns the shards of all pools of a region to its live routers, all with equal capacity.
 func Assign(ids []ShardID, routers []ident.Router) *Assignment { return AssignBy(ids, routers, nil) }
 
-// AssignBy assigns the shards of all pools of a region to its live routers by what they
-// can carry.
+// AssignBy assigns the shards of all pools of a region to its live routers by capacity.
 func AssignBy(ids []ShardID, routers []ident.Router, capacities Capacities) *Assignment {
 	var a Assigner
 	return a.Assign(ids, routers, capacities)
 }
 
-// assign gives each shard to one of its first few routers, leaving one out.
+// assign gives each shard to one of its candidates, except for the excluded router.
 func (a *Assignment) assign(excluding ident.Router) map[ShardID]ident.Router {
 	counts := make(map[ident.Router]int, len(a.candidates))
-	// load is how busy a router is once it has some more shards.
+	// load is the number of shards per capacity of a router after it gets n more shards.
 	load := func(r ident.Router, n int) float64 { return float64(counts[r]+n) / a.capacities.of(r, a.minCores) }
 	homes := make(map[ShardID]ident.Router, len(a.candidates))
 	remaining := make([]shardCandidates, len(a.candidates))
@@ -65,19 +63,21 @@
 	return homes
 }
 
-// scored is a router with its rendezvous score for a shard.
+// scoredRouter is a router with its rendezvous score for a shard.
 type scoredRouter struct {
 	router ident.Router
 	score  float64
 }
 
-// choice is a shard's first few routers and one more, the first one first.
+// shardCandidates holds a shard's maxCandidates highest-scoring routers and one spare, in
+// descending order of score.
 type shardCandidates struct {
 	id  ShardID
 	top [maxCandidates + 1]scoredRouter
 }
 
-// without returns the choice as it would be without a router; of that the first few are right.
+// excluding returns the candidates without a router. Only the first maxCandidates entries of the
+// result are valid.
 func (c shardCandidates) excluding(router ident.Router) shardCandidates {
 	for i := range c.top {
 		if router != "" && c.top[i].router == router {
@@ -89,14 +89,14 @@
 	return c
 }
 
-// firmest orders shards by their first choices, the firmest first, so that a router's
-// nearest shards stay with it.
+// byTopScore orders shards by their highest score, descending, so that a router keeps the shards
+// for which it has the highest scores.
 func byTopScore(a, b shardCandidates) int {
 	return cmp.Or(cmp.Compare(b.top[0].score, a.top[0].score),
 		cmp.Compare(a.id.Pool, b.id.Pool), cmp.Compare(a.id.Shard, b.id.Shard))
 }
 
-// offer puts a router in its place among the first few.
+// insert adds a router at its rank if its score is high enough.
 func (c *shardCandidates) insert(s scoredRouter) {
 	for i := range c.top {
 		if s.before(c.top[i]) {
@@ -105,7 +105,7 @@
 	}
 }
 
-// before reports whether a router comes before another, or before none.
+// before reports whether a router ranks before another. Every router ranks before an empty entry.
 func (s scoredRouter) before(other scoredRouter) bool {
 	if other.router == "" || s.score != other.score {
 		return other.router == "" || s.score > other.score
@@ -113,7 +113,7 @@
 	return s.router < other.router
 }
 
-// Home returns the router that is home of a shard, or the empty id without routers.
+// Home returns the router that is home of a shard, or the empty ID if there are no routers.
 func (a *Assignment) Home(id ShardID) ident.Router {
 	if home, ok := a.homes[id]; ok {
 		return home
@@ -121,8 +121,8 @@
 	return homeOf(id, a.routers)
 }
 
-// Next returns the router that would be home of a shard without a given one: the
-// first that a home tells its counts, and that is asked while the home is silent.
+// Next returns the router that becomes home of a shard if the given home is removed. The home
+// sends it its counts first, and it receives permit requests while the home does not respond.
 func (a *Assignment) Next(id ShardID, home ident.Router) ident.Router {
 	a.mu.Lock()
 	defer a.mu.Unlock()
@@ -138,9 +138,10 @@
 	return homeOf(id, remaining)
 }
 
-// Standbys returns the routers that a shard's home tells its counts: the next in
-// line among the live, the one that is home if that is another, and whoever else would be home,
-// or next, if all that are known were live. The latter may well believe to be home.
+// Standbys returns the routers to which a shard's home sends its counts: the next home among the
+// live routers, the live home if that is another router, and the router that would be home, or
+// next, if all known routers were live. The last one may act as home because of its own membership
+// view.
 func Standbys(id ShardID, self ident.Router, live, known *Assignment) []ident.Router {
 	var out []ident.Router
 	other := known.Home(id)
@@ -155,10 +156,10 @@
 	return out
 }
 
-// Routers returns the routers among which shards are assigned.
+// Routers returns the routers to which shards are assigned.
 func (a *Assignment) Routers() []ident.Router { return a.routers }
 
-// Busiest is the most shards that one router is home of.
+// Busiest returns the highest number of shards that one router is home of.
 func (a *Assignment) Busiest() int {
 	counts := map[ident.Router]int{}
 	for _, home := range a.homes {
--- a/internal/rule/place/assigner.go
+++ b/internal/rule/place/assigner.go
@@ -8,9 +8,9 @@
 	"valescale/internal/plat/ident"
 )
 
-// Assigner assigns the shards of a region again and again while routers come and go. What a shard thinks of a router
-// depends on nobody else, so that only those that came or went are looked at anew: at 1,000 routers of which
-// one moves, a thousandth of the work.
+// Assigner updates the assignment of a region's shards as routers join and leave. A shard's score
+// for a router depends on no other router, so only routers that joined or left are scored again:
+// with 1,000 routers of which one changes, a thousandth of the work.
 type Assigner struct {
 	ids        []ShardID
 	seeds      []uint64
@@ -19,14 +19,14 @@
 	candidates []shardCandidates
 }
 
-// candidate is a router among which shards choose.
+// routerInfo is a router with the inputs of its rendezvous scores.
 type routerInfo struct {
 	hash   uint64
 	cores  ident.Cores
 	weight float64
 }
 
-// Assign assigns shards to routers by what these can carry.
+// Assign assigns shards to routers by capacity.
 func (a *Assigner) Assign(ids []ShardID, routers []ident.Router, capacities Capacities) *Assignment {
 	a.reset(ids, capacities.minCores())
 	a.remove(routers, capacities)
@@ -45,7 +45,7 @@
 	return out
 }
 
-// reset begins anew if the shards are others, or the measure of what boxes carry is.
+// reset discards all scores if the shards or the smallest capacity changed.
 func (a *Assigner) reset(ids []ShardID, minCores ident.Cores) {
 	if a.routers != nil && a.minCores == minCores && slices.Equal(a.ids, ids) {
 		return
@@ -60,7 +60,7 @@
 	}
 }
 
-// remove takes out the routers that are not among some any more, or can carry more or less than before.
+// remove drops the routers that are no longer listed or whose capacity changed.
 func (a *Assigner) remove(routers []ident.Router, capacities Capacities) {
 	keptCount := 0
 	for _, r := range routers {
@@ -89,7 +89,7 @@
 	}
 }
 
-// choose finds a shard's first few among all routers.
+// recompute selects a shard's candidates from all routers.
 func (a *Assigner) recompute(i int) {
 	a.candidates[i] = shardCandidates{id: a.ids[i]}
 	for r, c := range a.routers {
@@ -97,7 +97,7 @@
 	}
 }
 
-// add has all shards look at a router.
+// add scores a new router for all shards.
 func (a *Assigner) add(r ident.Router, capacities Capacities) {
 	c := routerInfo{hash: xxhash.Sum64String(string(r)), cores: capacities[r], weight: weight(capacities.of(r, a.minCores))}
 	a.routers[r] = c
@@ -106,7 +106,7 @@
 	}
 }
 
-// score is a router's rendezvous score for a shard.
+// score returns a router's rendezvous score for a shard.
 func (c routerInfo) score(r ident.Router, seed uint64) scoredRouter {
 	return scoredRouter{router: r, score: weighted(ident.Mix(seed, c.hash), c.weight)}
 }
--- a/internal/rule/place/backoff.go
+++ b/internal/rule/place/backoff.go
@@ -6,37 +6,39 @@
 	"valescale/internal/plat/ident"
 )
 
-// Backoff is an engine that wants no requests from one edge for some more time.
+// Backoff is an engine that asked one edge router not to send requests for the remaining time
+// Left.
 type Backoff struct {
 	Engine ident.TargetHash
 	Left   time.Duration
 }
 
-// mostShared bounds for how long an engine is kept from edges that it has told nothing, as an engine is that
-// fails many requests.
+// maxSharedBackoff limits how long a backoff applies to edge routers that did not receive it
+// themselves. It equals the limit for engines that fail many requests.
 const maxSharedBackoff = maxBlockTime
 
-// sharedBackoff is what edges of one availability zone, or of several, have been told by one engine.
+// sharedBackoff is the backoff of one engine as reported by the edge routers of one availability
+// zone, or of all zones.
 type sharedBackoff struct {
-	// from is the edge or zone that was told first, several is set once another was: what a single one is told
-	// may hold for that one only.
+	// from is the first edge router or zone that reported the backoff. multiple is set once
+	// another one reported it too: a backoff received by a single one may apply to that one only.
 	from     string
 	multiple bool
 	until    time.Time
 }
 
-// backoffs are the engines that want no requests, as the edges were told.
+// backoffs holds the backoffs that edge routers reported.
 type backoffs struct {
 	shared map[recordKey]sharedBackoff
-	// until is until when any engine is kept from edges.
+	// until is when the last shared backoff ends.
 	until time.Time
 }
 
-// newBackoffs returns none.
 func newBackoffs() backoffs { return backoffs{shared: map[recordKey]sharedBackoff{}} }
 
-// note takes in what an edge was told, and reports whether that keeps the engine from edges which were told
-// nothing: from those of a zone once two there were told, from all once two zones were.
+// record adds a backoff that an edge router received, and reports whether the engine is now
+// blocked for edge routers that did not receive it: for those of a zone after reports from two
+// edge routers there, for all after reports from two zones.
 func (b *backoffs) record(now time.Time, edge ident.Router, zone ident.Zone, reported Backoff) bool {
 	until := now.Add(min(reported.Left, maxSharedBackoff))
 	if zone == allZones {
@@ -47,7 +49,8 @@
 	return here || everywhere
 }
 
-// noteIn takes in what one of a group was told, and reports whether the group is kept off by that.
+// recordIn adds a backoff received by one member of a group, and reports whether it blocks the
+// engine for the whole group from now on.
 func (b *backoffs) recordIn(now time.Time, key recordKey, from string, until time.Time) bool {
 	known := b.shared[key]
 	if !now.Before(known.until) {
@@ -65,7 +68,7 @@
 	return becameShared
 }
 
-// keeps reports whether an engine is kept from a zone's edges.
+// blocks reports whether an engine is blocked for a zone's edge routers.
 func (b *backoffs) blocks(now time.Time, engine ident.TargetHash, zone ident.Zone) bool {
 	for _, z := range []ident.Zone{allZones, zone} {
 		if known := b.shared[recordKey{engine, z}]; known.multiple && now.Before(known.until) {
@@ -75,7 +78,7 @@
 	return false
 }
 
-// forget drops what is known of an engine that is gone or has started anew.
+// forget removes the backoffs of an engine that was removed or restarted.
 func (b *backoffs) forget(engine ident.TargetHash) {
 	for key := range b.shared {
 		if key.engine == engine {
@@ -84,9 +87,10 @@
 	}
 }
 
-// Backoffs notes which engines want no requests from an edge, and returns those that are kept from others too
-// from now on. They are a last resort then: 300 edges before 150 engines, a third of them refusing, were turned
-// away 14,100 times in 27,000 requests while each learnt for itself, in a model.
+// Backoffs records the backoffs that an edge router received, and returns those that apply to
+// other edge routers from now on. Such engines are used only as a last resort. In a model of 300
+// edge routers and 150 engines, a third of which rejected requests, 27,000 requests were rejected
+// 14,100 times while each edge router discovered the backoffs on its own.
 func (h *Home) Backoffs(now time.Time, edge ident.Router, zone ident.Zone, reported []Backoff) []Backoff {
 	var blocked []Backoff
 	for _, one := range reported {
--- a/internal/rule/place/basis.go
+++ b/internal/rule/place/basis.go
@@ -2,21 +2,23 @@
 
 import "valescale/internal/plat/ident"
 
-// Rule says which of the rules for placing a request decided.
+// Rule is the rule by which a request was placed.
 type Rule int
 
 const (
-	// WithinBound requests go to an engine below the load bound.
+	// WithinBound places a request on an engine below the load bound.
 	WithinBound Rule = iota + 1
-	// LeastLoaded requests must be placed: all shards that were asked are at the bound.
+	// LeastLoaded places a request on the least loaded engine because all requested shards are at
+	// the bound.
 	LeastLoaded
-	// BeyondSlots requests waited in vain at a shard that gave nothing back.
+	// BeyondSlots places a request beyond an engine's slots after it waited without success for a
+	// permit release in its shard.
 	BeyondSlots
-	// Alone requests were placed by a router without a home.
+	// Alone places a request on an edge router without a home.
 	Alone
 )
 
-// String returns the rule as logs name it.
+// String returns the name of the rule in logs.
 func (r Rule) String() string {
 	switch r {
 	case WithinBound:
@@ -32,17 +34,17 @@
 	}
 }
 
-// Basis is what a placement was decided from, for logs: a wrong placement comes from the rule
-// or from wrong counts.
+// Basis holds the inputs of a placement decision for logs. It shows whether a wrong placement was
+// caused by the rule or by wrong counts.
 type Basis struct {
 	Rule Rule
-	// Load is the work counted on the engine and Mean that on the pool's usable engines on
-	// average, both with the request itself.
+	// Load is the work counted on the engine. Mean is the average work on the pool's usable
+	// engines. Both include the request itself.
 	Load ident.Work
 	Mean ident.Work
 }
 
-// basis is what a home has just placed a request from, the request being counted.
+// basis returns the inputs of a placement after the request was counted.
 func (h *Home) basis(req Request, total ident.Work, e *engineLoad) Basis {
 	b := Basis{Rule: WithinBound, Load: e.load(), Mean: total / ident.Work(max(h.poolEngines, 1))}
 	switch {
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -7,10 +7,11 @@
 	"valescale/internal/plat/ident"
 )
 
-// holder returns an engine at which a chat ran and that is still there, other than one. It
-// may belong to another shard by now: a pool that outgrows its shards deals out half of its
-// engines anew. For a chat that is not remembered it is where the edge sent it last, else
-// the first of the chat's own order, which shares at most the beginning of its prompt.
+// holder returns an engine, other than the given one, that served the chat before and still runs.
+// The engine may now be in another shard, because half of a pool's engines change shards when the
+// number of shards grows. For a chat without a stored place it returns the last engine to which
+// the edge router sent it, or else the first engine in the chat's hash order, which shares at most
+// the beginning of its prompt.
 func (h *Home) holder(req Request, at chatPlace, other ident.TargetHash) ident.TargetHash {
 	var elsewhere ident.TargetHash
 	for _, s := range at.at {
@@ -38,7 +39,7 @@
 	return 0
 }
 
-// inPool reports whether an engine at which a chat ran is still there, in whatever shard.
+// inPool reports whether an engine incarnation is still present in any shard of the pool.
 func (h *Home) inPool(s engineRun) bool {
 	if h.roster == nil {
 		return false
@@ -47,7 +48,7 @@
 	return e != nil && e.Incarnation == s.incarnation
 }
 
-// likely returns the first engine of a chat's own order, other than one.
+// firstPreferred returns the first engine in a chat's hash order, other than the given one.
 func (h *Home) firstPreferred(key ident.ChatKey, other ident.TargetHash, lost []ident.TargetHash) ident.TargetHash {
 	var best ranked
 	for i := range h.engines {
@@ -63,9 +64,9 @@
 	return h.engines[best.index].Hash
 }
 
-// choose picks an engine among those that do not fail many requests, or any when none of
-// these is there or all are busy: a doubtful engine is better than waiting. total is the work on
-// the pool's engines without the request's.
+// choose selects an engine among those that are not blocked. If none of these is present or all
+// are busy it selects among all engines, because an unhealthy engine is better than waiting. total
+// is the work on the pool's engines without the request.
 func (h *Home) choose(now time.Time, req Request, total ident.Work) (int, Result, bool) {
 	blockedEngines := h.blockedEngines(now, req.Zone)
 	if len(blockedEngines) == 0 {
@@ -80,8 +81,8 @@
 	return i, result, warm
 }
 
-// chooseAmong picks the chat's last engine while it is under the limit, else the one
-// before, else the least loaded.
+// chooseAmong selects the chat's last engine if it is below the limit, else an earlier engine of
+// the chat, else the least loaded one.
 func (h *Home) chooseAmong(now time.Time, req Request, total ident.Work) (int, Result, bool) {
 	limit := h.limit(total + req.Work)
 	if req.finalShard() {
@@ -118,8 +119,8 @@
 	}
 }
 
-// remembered finds an engine where the chat ran, as this home or else the edge remembers,
-// that takes the request.
+// findWarm returns an engine that served the chat before, according to this home or else the edge
+// router, and admits the request.
 func (h *Home) findWarm(now time.Time, req Request, limit float64) (int, bool) {
 	at, _ := h.places.get(req.Key)
 	for _, s := range at.at {
@@ -132,8 +133,8 @@
 	return i, known && h.admits(now, i, req, limit) == Placed
 }
 
-// Kept reports whether an engine where a request's chat ran has a free slot: it need not copy or read
-// the chat's prompt again there.
+// Kept reports whether an engine that served the request's chat has a free slot. That engine does
+// not have to copy or prefill the chat's prompt again.
 func (h *Home) Kept(req Request) bool {
 	if req.Once {
 		return true
@@ -148,12 +149,12 @@
 	return false
 }
 
-// hasSlot reports whether an engine that may get the request can run it at once.
+// hasSlot reports whether a usable engine that the request does not avoid can run it at once.
 func (e *engineLoad) hasSlot(req Request) bool {
 	return e.usable() && !slices.Contains(req.Avoid, e.Hash) && (e.Slots <= 0 || e.load()+req.Work <= e.Slots || e.load() <= 0)
 }
 
-// steadyLimit is the load under which an engine takes the chats that prefer it.
+// steadyLimit returns the load below which an engine accepts new chats that prefer it.
 func (h *Home) steadyLimit(total ident.Work) float64 {
 	if h.bound.Steady <= 0 {
 		return 0
@@ -161,9 +162,9 @@
 	return h.bound.Steady*float64(total)/float64(max(h.poolEngines, 1)) + float64(h.bound.Extra)
 }
 
-// rank says how well an engine suits a chat that is nowhere yet: the least loaded
-// first, among equals the near ones, and among those in an order of the chat's own,
-// so that a home which has lost its memory tends to choose the same again.
+// rank returns the rank of an engine for a chat without a stored place: by load, then by zone,
+// then by the chat's hash order, so that a home without stored places tends to choose the same
+// engine again.
 func (h *Home) rank(i int, req Request) ranked {
 	e := &h.engines[i]
 	return ranked{
@@ -172,20 +173,20 @@
 	}
 }
 
-// ranked is an engine with what decides between it and others.
+// ranked is an engine with the properties by which engines are compared.
 type ranked struct {
-	// index is a home's engine, hash names any.
+	// index is the position in a home's engines. hash identifies any engine.
 	index    int
 	hash     ident.TargetHash
 	set      bool
 	load     ident.Work
 	sameZone bool
 	score    uint64
-	// shard is the place of the engine's shard in the key's order.
+	// shard is the rank of the engine's shard in the key's order.
 	shard int
 }
 
-// preferred reports whether an engine comes before another in a key's own order.
+// preferred reports whether an engine precedes another in a key's own order.
 func (r ranked) preferred(other ranked) bool {
 	switch {
 	case !other.set:
@@ -197,7 +198,7 @@
 	}
 }
 
-// better returns the one of two that suits better; one that is not set never does.
+// better returns the better of two engines. An unset one is never better.
 func (r ranked) better(other ranked) ranked {
 	switch {
 	case !r.set:
@@ -216,7 +217,8 @@
 	return r
 }
 
-// worse keeps the finding that leaves the caller more hope elsewhere.
+// mergeRejection returns Full if either result is Full, because only then another shard may have
+// room.
 func mergeRejection(old, found Result) Result {
 	if old == Full || found == Full {
 		return Full
@@ -224,11 +226,12 @@
 	return found
 }
 
-// placedHere reports whether no other shard is asked any more. Such a request keeps to the bound
-// like any other, but the mean of this shard will do, and engines that join need not be spared.
+// finalShard reports whether no other shard is tried after this one. Such a request keeps within
+// the bound like any other, but the bound may be based on the mean of this shard, and the slow
+// start of joined engines does not apply.
 func (r *Request) finalShard() bool { return r.Must || r.Over }
 
-// admits says whether one engine may take the request's work now.
+// admits returns whether an engine may receive the request now, as a Result.
 func (h *Home) admits(now time.Time, i int, req Request, limit float64) Result {
 	e := &h.engines[i]
 	if !e.usable() || slices.Contains(req.Avoid, e.Hash) {
@@ -255,30 +258,31 @@
 	return Placed
 }
 
-// share is the part of the shard's work that this home admitted itself. While several
-// routers are home of a shard, each keeps to its share of the bound with what it admitted
-// itself: the sum keeps to the bound then, however old or doubled the others' counts are that it
-// knows. In a model of seven routers that disagree, 1 to 2 in 100 requests reached engines above
-// twice the mean without it, and 1 in 1,000 with it.
+// ownShare returns the fraction of the shard's work that this home admitted itself. While several
+// routers act as home of a shard, each keeps the work that it admitted within its share of the
+// bound. The total then stays within the bound even if the counts from the other homes are stale
+// or counted twice. In a model of seven routers with different views, 1 to 2 in 100 requests
+// reached engines above twice the mean without this rule, and 1 in 1,000 with it.
 func (h *Home) ownShare() float64 {
 	if h.peerWork <= 0 {
 		return 1
 	}
-	// With the new request, so that a home that begins has a share at all.
+	// Including the new request gives a home without permits a share above zero.
 	own := h.granted + ident.OneRequest
 	return float64(own) / float64(own+h.peerWork)
 }
 
-// limit is the load that an engine must be below to take more work: the bound's
-// factor times the pool's mean with the new work counted.
+// limit returns the load below which an engine may receive more work: the bound's factor times the
+// pool's mean, with the new request included.
 func (h *Home) limit(total ident.Work) float64 {
 	return h.bound.limit((1-pendingReleaseRatio)*float64(total), h.poolEngines)
 }
 
-// shardLimit is the limit by the mean of this shard's engines alone, for requests that must be
-// placed here: the pool's mean may be lower, or unknown. Engines that the request avoids count
-// while they have work: others use them, and the few that one router takes for sound must not get
-// all that it has. Once they are empty they may well be gone, and no longer hold down the others.
+// shardLimit returns the limit based on the mean of this shard's engines, for requests that must
+// be placed here: the pool's mean may be lower, or unknown. Engines that the request avoids count
+// while they have work, because other edge routers use them. Otherwise the few engines that one
+// router considers healthy would receive all of its requests. Avoided engines without work may be
+// gone, and would only lower the limit of the others.
 func (h *Home) shardLimit(req Request) float64 {
 	engines := 0
 	for i := range h.engines {
@@ -290,14 +294,15 @@
 	return h.bound.limit((1-pendingReleaseRatio)*float64(h.Work()+req.Work), engines)
 }
 
-// returning is the share of the permits whose requests are thought to have ended
-// already, while the permits are on their way back.
+// pendingReleaseRatio is the estimated fraction of permits whose requests have ended but whose
+// releases have not arrived yet.
 const pendingReleaseRatio = 0.03
 
-// minRamp is the share that an engine has as it joins.
+// minRampShare is the fraction of the limit that an engine has when it joins.
 const minRampShare = 0.1
 
-// ramp is the share of the limit that an engine has as it joins, one later on.
+// ramp returns the fraction of the limit that applies to an engine during its slow start, and 1
+// afterwards.
 func (h *Home) ramp(now time.Time, e *engineLoad) float64 {
 	if e.Joined.IsZero() || h.bound.Ramp <= 0 {
 		return 1
--- a/internal/rule/place/cold.go
+++ b/internal/rule/place/cold.go
@@ -6,31 +6,31 @@
 	"valescale/internal/plat/ident"
 )
 
-// Cold is what an engine that has just started bears: few requests a second, whoever sends them.
+// Cold is the request rate that an engine can serve after its start, summed over all routers.
 type Cold struct {
-	// Until is when it is warm.
+	// Until is when the engine becomes warm.
 	Until time.Time
-	// Rate is how many requests a second it bears until then; zero means any.
+	// Rate is the number of requests per second until then. Zero means no limit.
 	Rate float64
 }
 
-// binds reports whether the engine is cold.
+// active reports whether the engine is cold.
 func (c Cold) active(now time.Time) bool { return c.Rate > 0 && now.Before(c.Until) }
 
-// coldBurst is how many seconds' worth of a cold engine's requests it may get at once. With it an
-// engine gets 1.25 times its rate in a second at most; the rest of what engines are built to
-// bear, half as much again, is for routers that decide alone meanwhile.
+// coldBurstSeconds is the burst that a cold engine may receive, in seconds of its rate. It limits
+// an engine to 1.25 times its rate in any second. Engines tolerate 1.5 times their rate; the
+// difference is left for routers that place requests without a home meanwhile.
 const coldBurstSeconds = 0.25
 
-// coldPace spaces the requests that a home sends to a cold engine. It holds back also those that
-// must be placed: an engine that falls over serves nobody.
+// coldPacer limits the rate of requests that a home sends to a cold engine. It also delays
+// requests that must be placed, because an engine that crashes under load serves no requests.
 type coldPacer struct {
-	// due is when all that was sent would be done at the engine's rate.
+	// due is when the engine has served all sent requests at its rate.
 	due time.Time
 }
 
-// bears reports whether a cold engine may get another request; share is the part of the shard's
-// work that this home admits.
+// allows reports whether a cold engine may receive another request. share is the fraction of the
+// shard's work that this home admits.
 func (p *coldPacer) allows(now time.Time, c Cold, share float64) bool {
 	if !c.active(now) {
 		return true
@@ -39,7 +39,7 @@
 	return p.due.Sub(now) <= max(ahead, 0)
 }
 
-// sent notes a request to a cold engine.
+// sent records a request to a cold engine.
 func (p *coldPacer) sent(now time.Time, c Cold, share float64) {
 	if !c.active(now) {
 		return
@@ -50,15 +50,15 @@
 	p.due = p.due.Add(spacing(c, share))
 }
 
-// spacing is the time between two requests at a part of a cold engine's rate.
+// spacing returns the time between two requests at a share of a cold engine's rate.
 func spacing(c Cold, share float64) time.Duration {
 	return time.Duration(float64(time.Second) / (c.Rate * share))
 }
 
-// bearsPart reports whether a cold engine may get a request from one of the routers that decide
-// alone. They cannot count together, so time is cut into slots, one for each request that the
-// engine bears; each router draws for itself, by a hash of slot, router and engine, whether the slot is
-// its own. One of them has it on average, whatever their clocks say.
+// allowsShare reports whether a router without a home may send a request to a cold engine. Such
+// routers have no common count. Therefore time is divided into slots, one for each request at the
+// engine's rate, and a hash of slot, router and engine decides whether the router owns the slot.
+// On average one router owns each slot, regardless of clock differences.
 func (c Cold) allowsShare(now time.Time, pairHash uint64, routers int) bool {
 	if !c.active(now) {
 		return true
--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -13,36 +13,35 @@
 	Work   ident.Work
 }
 
-// Digest is what a home publishes of its shard.
+// Digest is the state that a home publishes about its shard.
 type Digest struct {
 	ID   ShardID
 	Home ident.Router
 	// Seq orders the digests of one home.
 	Seq uint64
-	// Work is the shard's work as this home knows it, another home's share included.
+	// Work is the shard's total work according to this home, including the shares of other homes.
 	Work ident.Work
-	// Loads are what this home admitted itself.
+	// Loads is the work on each engine that this home admitted itself.
 	Loads []EngineWork
-	// Places are where chats went since the last digest.
+	// Places are the chats that moved to another engine since the last digest.
 	Places []ChatPlace
 }
 
-// Sum is one shard's work, as its home said some time ago. Sums travel with
-// requests for permits and their answers, so that homes learn the pool's mean
-// without messages of their own.
+// Sum is the load of one shard as published by its home some time ago. Sums are sent with permit
+// requests and responses, so that homes compute the pool's mean without additional messages.
 type Sum struct {
 	Shard ident.Shard
 	Age   time.Duration
 	Work  ident.Work
 }
 
-// sums holds the latest known work of each shard of a pool.
+// shardLoads holds the latest known load of each shard of a pool.
 type shardLoads [MaxShards]struct {
 	at   time.Time
 	work ident.Work
 }
 
-// note keeps a sum if it is later than the one known, and reports whether it was.
+// update stores a shard load if it is newer than the stored one, and reports whether it was.
 func (s *shardLoads) update(now time.Time, sum Sum) bool {
 	if sum.Shard >= MaxShards {
 		return false
@@ -56,16 +55,16 @@
 	return true
 }
 
-// Work that was there some time ago may have ended since. An old sum counts for
-// less, so that a mean from old news is too low, which costs an ask elsewhere,
-// rather than too high, which would break the bound.
+// The load of a shard may have decreased since it was published. Older loads are reduced, so that
+// a mean computed from stale values is too low, which costs a request to another shard, instead of
+// too high, which would break the bound.
 const (
 	baseStaleRatio      = 0.01
 	staleRatioPerSecond = 0.02
 	maxStaleRatio       = 0.25
 )
 
-// total adds up what is not older than a limit, without one shard.
+// total returns the sum of the loads that are at most maxAge old, without one shard.
 func (s *shardLoads) total(now time.Time, maxAge time.Duration, without ident.Shard) ident.Work {
 	total := 0.0
 	for i := range s {
@@ -79,8 +78,8 @@
 	return ident.Work(total)
 }
 
-// reweigh lowers the sums of shards that have lost engines: what their homes said
-// still has the lost engines' work in it.
+// scaleToWeights reduces the loads of shards that lost engines. The published loads still include
+// the work of the lost engines.
 func (s *shardLoads) scaleToWeights(before, after []int) {
 	for i := range min(len(before), len(after)) {
 		if after[i] < before[i] {
@@ -89,13 +88,14 @@
 	}
 }
 
-// foreign is what another home of the same shard admitted.
+// peerShare is the work that another home of the same shard admitted.
 type peerShare struct {
 	digest Digest
 	at     time.Time
 }
 
-// Digest returns what this home admitted itself and the shard's work as it knows it.
+// Digest returns the work that this home admitted itself and the shard's total load, and clears
+// the pending place changes.
 func (h *Home) Digest() Digest {
 	h.seq++
 	d := Digest{ID: h.id, Home: h.self, Seq: h.seq, Work: h.SureWork()}
@@ -110,7 +110,7 @@
 	return d
 }
 
-// Work is the work on the shard's usable engines.
+// Work returns the work on the shard's usable engines.
 func (h *Home) Work() ident.Work {
 	var work ident.Work
 	for i := range h.engines {
@@ -121,10 +121,10 @@
 	return work
 }
 
-// SureWork is the work on the shard's usable engines without that of edges that may be gone.
+// SureWork returns the work on the shard's usable engines without that of suspect edge routers.
 func (h *Home) SureWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
 
-// MergeSums takes in other shards' work as an edge heard of it.
+// MergeSums merges the loads of other shards that an edge router sent.
 func (h *Home) MergeSums(now time.Time, list []Sum) {
 	for _, s := range list {
 		if s.Shard != h.id.Shard {
@@ -133,11 +133,11 @@
 	}
 }
 
-// sumsInAnswer is how many other shards' work an answer carries.
+// maxLoadsPerResponse is the number of shard loads in a permit response.
 const maxLoadsPerResponse = 4
 
-// NextSums returns some other shards' work, other ones with each call, so that news
-// spreads from edge to edge through the homes that they ask.
+// NextSums returns the loads of some other shards, in rotation, so that shard loads spread between
+// edge routers through the homes to which they send permit requests.
 func (h *Home) NextSums(now time.Time) []Sum {
 	var out []Sum
 	shards := len(h.weights)
@@ -156,8 +156,8 @@
 	return out
 }
 
-// Merge takes in another home's digest of any shard of the same pool: another
-// shard's work for the mean, another home's share of this shard for its engines' loads.
+// Merge merges another home's digest for a shard of the same pool: another shard's load counts in
+// the mean, another home's share of this shard in the loads of its engines.
 func (h *Home) Merge(now time.Time, d Digest) {
 	if d.Home == h.self || d.ID.Pool != h.id.Pool {
 		return
@@ -173,7 +173,7 @@
 	h.recount()
 }
 
-// expire drops other homes' shares that were not renewed in time.
+// expire removes the shares of other homes that were not renewed within DigestLife.
 func (h *Home) expire(now time.Time) {
 	for home, f := range h.peerShare {
 		if now.Sub(f.at) > h.bound.DigestLife {
@@ -183,7 +183,7 @@
 	}
 }
 
-// recount adds other homes' shares of this shard to its engines' loads.
+// recount recomputes the work on the shard's engines that other homes admitted.
 func (h *Home) recount() {
 	for i := range h.engines {
 		h.engines[i].peerShare = 0
--- a/internal/rule/place/export.go
+++ b/internal/rule/place/export.go
@@ -8,15 +8,15 @@
 	"valescale/internal/plat/ident"
 )
 
-// Export is chats of a leaving engine whose cached prefixes are to be copied to
-// another engine.
+// Export lists chats of a leaving engine whose cached prompt prefixes are to be copied to another
+// engine.
 type Export struct {
 	To   ident.TargetHash
 	Keys []ident.ChatKey
 }
 
-// PlanExport plans where the most recent chats of an engine go, at most limit of
-// them, spread evenly over the shard's usable engines.
+// PlanExport plans the destinations of the most recent chats of an engine, up to limit, spread
+// evenly over the shard's other usable engines.
 func (h *Home) PlanExport(engine ident.TargetHash, limit int) []Export {
 	var to []ident.TargetHash
 	for i := range h.engines {
@@ -39,7 +39,7 @@
 	return slices.DeleteFunc(out, func(e Export) bool { return len(e.Keys) == 0 })
 }
 
-// chatsOf lists the chats whose last place is an engine, the most recent first.
+// chatsOf lists the chats whose last engine is the given one, most recent first.
 func (h *Home) chatsOf(engine ident.TargetHash) []ChatPlace {
 	var chats []ChatPlace
 	for _, p := range h.lastPlaces() {
@@ -53,7 +53,7 @@
 	return chats
 }
 
-// Exported notes that chats' prefixes have been copied to an engine.
+// Exported records that the prompt prefixes of chats were copied to an engine.
 func (h *Home) Exported(now time.Time, e Export) {
 	i, ok := h.index[e.To]
 	if !ok {
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -8,38 +8,39 @@
 )
 
 const (
-	// healthHalfLife is after how long what was seen of an engine counts half: a pool's
-	// engine ends several requests a second, so that some ten of them are remembered.
+	// healthHalfLife is the half-life of request counts. An engine finishes several requests per
+	// second, so about ten of them count.
 	healthHalfLife = 2 * time.Second
-	// leastFailures is how many failures beyond those expected make an engine poor. At 8 in
-	// 100 requests that fail wherever they run, one engine in 1,000 has as many in a second.
+	// minExcessFailures is the number of failures above the expected ones at which an engine is
+	// unhealthy. If 8 in 100 requests fail on any engine, one engine in 1,000 has that many in a
+	// second.
 	minExcessFailures = 3
-	// failureDoubt is the multiple of the failures expected that still counts as chance.
+	// expectedFailureFactor is the multiple of the expected failures that is attributed to chance.
 	expectedFailureFactor = 2
-	// failureShare is the least part of an engine's requests that fail when it is poor.
+	// minFailureRatio is the minimum fraction of failed requests of an unhealthy engine.
 	minFailureRatio = 0.2
-	// poorPause is how long a poor engine gets no new work; it doubles each time that the
-	// engine turns out poor again soon after, up to poorMost.
+	// minBlockTime is how long an unhealthy engine receives no new requests. It doubles each time
+	// that the engine becomes unhealthy again within maxBlockTime, up to maxBlockTime.
 	minBlockTime = 2 * time.Second
 	maxBlockTime = 8 * time.Second
 )
 
-// record counts the requests of one availability zone's edges, or of all, at an engine.
+// record counts the requests of one availability zone's edge routers, or of all, on an engine.
 type record struct {
 	sent   float64
 	failed float64
-	// at is until when the counts have decayed.
+	// at is the time to which the counts have decayed.
 	at time.Time
-	// edge reported the latest failure; several is set once another did too. What a single
-	// edge sees may be its own link's fault.
+	// edge reported the latest failure. multiple is set once another edge router reported one too:
+	// failures seen by a single edge router may be caused by its own link.
 	edge     ident.Router
 	multiple bool
-	// until is until when the engine gets no new work, pause how long that is.
+	// until is when the engine receives new requests again. blockTime is the length of the block.
 	until     time.Time
 	blockTime time.Duration
 }
 
-// decay lets what was counted earlier count less.
+// decay reduces earlier counts.
 func (r *record) decay(now time.Time) {
 	if since := now.Sub(r.at); since > 0 {
 		kept := decay.Kept(since, healthHalfLife)
@@ -49,21 +50,21 @@
 	}
 }
 
-// take leaves out of the record of all engines what one of them did, which must have
-// decayed as far.
+// subtract removes one engine's counts from the record of all engines. Both must have decayed to
+// the same time.
 func (r *record) subtract(one record) {
 	r.sent = max(r.sent-one.sent, 0)
 	r.failed = max(r.failed-one.failed, 0)
 }
 
-// blame counts a failure that an edge saw.
+// addFailure counts a failure that an edge router reported.
 func (r *record) addFailure(edge ident.Router) {
 	r.failed++
 	r.multiple = r.multiple || (r.edge != "" && r.edge != edge)
 	r.edge = edge
 }
 
-// poor reports whether an engine fails many more requests than the others do.
+// unhealthy reports whether an engine fails many more requests than the others do.
 func (r *record) unhealthy(others record) bool {
 	expected := 0.0
 	if others.sent > 0 {
@@ -72,7 +73,7 @@
 	return r.multiple && r.failed >= minExcessFailures+expectedFailureFactor*expected && r.failed >= minFailureRatio*r.sent
 }
 
-// block keeps new work off for a pause and starts the counts anew.
+// block stops new requests to the engine for a time and resets the counts.
 func (r *record) block(now time.Time) {
 	blockTime := minBlockTime
 	if r.blockTime > 0 && now.Sub(r.until) < maxBlockTime {
@@ -81,32 +82,31 @@
 	*r = record{at: now, until: now.Add(blockTime), blockTime: blockTime}
 }
 
-// recordKey names a record.
+// recordKey identifies a record.
 type recordKey struct {
 	engine ident.TargetHash
 	zone   ident.Zone
 }
 
 const (
-	// allEngines is the engine of the records of all of them together.
+	// allEngines is the engine of records that count all engines.
 	allEngines ident.TargetHash = 0
-	// allZones is the availability zone of the records of all of them together; edges that
-	// have not told theirs count only there.
+	// allZones is the availability zone of records that count all zones. Edge routers without a
+	// known zone count only there.
 	allZones ident.Zone = ""
 )
 
-// health is what the edges together have seen of a shard's engines. An engine can be
-// poor for the edges of one availability zone only.
+// health holds the failures of a shard's engines as reported by all edge routers. An engine can be
+// unhealthy for the edge routers of one availability zone only.
 type health struct {
 	records map[recordKey]*record
-	// until is until when any engine is blocked.
+	// until is when the last block of an engine ends.
 	until time.Time
 }
 
-// newHealth returns one that has seen nothing.
 func newHealth() health { return health{records: map[recordKey]*record{}} }
 
-// record returns a record with its counts decayed to now, made on first use.
+// record returns a record with its counts decayed to now, and creates it if necessary.
 func (h *health) record(now time.Time, engine ident.TargetHash, zone ident.Zone) *record {
 	key := recordKey{engine, zone}
 	r, ok := h.records[key]
@@ -118,7 +118,7 @@
 	return r
 }
 
-// sent notes that an engine got a request of a zone's edge.
+// sent counts a request from a zone's edge router to an engine.
 func (h *health) sent(now time.Time, zone ident.Zone, engine ident.TargetHash) {
 	h.record(now, engine, allZones).sent++
 	h.record(now, allEngines, allZones).sent++
@@ -128,7 +128,7 @@
 	}
 }
 
-// failed notes that an engine failed a request, and blocks it if it has become poor.
+// failed counts a failed request, and blocks the engine if it has become unhealthy.
 func (h *health) failed(now time.Time, edge ident.Router, zone ident.Zone, engine ident.TargetHash) {
 	h.failedIn(now, edge, allZones, engine)
 	if zone != allZones {
@@ -136,7 +136,7 @@
 	}
 }
 
-// failedIn notes a failure in the records of one zone, or of all.
+// failedIn counts a failure in the records of one zone, or of all.
 func (h *health) failedIn(now time.Time, edge ident.Router, zone ident.Zone, engine ident.TargetHash) {
 	one, all := h.record(now, engine, zone), h.record(now, allEngines, zone)
 	one.addFailure(edge)
@@ -150,7 +150,7 @@
 	}
 }
 
-// blocked reports whether an engine gets no new work of a zone's edges.
+// blocked reports whether an engine receives no new requests from a zone's edge routers.
 func (h *health) blocked(now time.Time, engine ident.TargetHash, zone ident.Zone) bool {
 	for _, z := range []ident.Zone{allZones, zone} {
 		if r, ok := h.records[recordKey{engine, z}]; ok && now.Before(r.until) {
@@ -160,7 +160,7 @@
 	return false
 }
 
-// forget drops the records of an engine that is gone.
+// forget removes the records of an engine that was removed or restarted.
 func (h *health) forget(engine ident.TargetHash) {
 	for key, one := range h.records {
 		if key.engine != engine {
@@ -174,8 +174,8 @@
 	}
 }
 
-// Blame notes the engines that failed requests of an edge, as often as they are listed,
-// and returns those that get no new work from now on.
+// Blame counts the failed requests of an edge router, one for each listed engine, and returns the
+// engines that are blocked from now on.
 func (h *Home) Blame(now time.Time, edge ident.Router, zone ident.Zone, engines []ident.TargetHash) []ident.TargetHash {
 	var blocked []ident.TargetHash
 	for _, engine := range engines {
@@ -190,8 +190,8 @@
 	return blocked
 }
 
-// poor lists the engines that get no new work of a zone's edges because they fail many
-// requests, or want none.
+// blockedEngines lists the engines that receive no new requests from a zone's edge routers because
+// they fail many requests or asked for a backoff.
 func (h *Home) blockedEngines(now time.Time, zone ident.Zone) []ident.TargetHash {
 	if !now.Before(h.health.until) && !now.Before(h.backoffs.until) {
 		return nil
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -7,116 +7,117 @@
 	"valescale/internal/plat/ident"
 )
 
-// Bound is how far an engine's load may exceed the mean.
+// Bound limits how far an engine's load may exceed the mean.
 type Bound struct {
 	// Factor is the multiple of the mean, above one.
 	Factor float64
 	// Extra is work that is added to that multiple.
 	Extra ident.Work
-	// Steady is the multiple of the mean load under which a chat that is nowhere yet goes
-	// to the first engine of its own order, where it was if homes have forgotten it. Zero
-	// sends it to the least loaded.
+	// Steady is the multiple of the mean load below which a chat without a stored place goes to
+	// the first engine of its own hash order, which also served it before if homes have lost its
+	// place. Zero sends it to the least loaded engine.
 	Steady float64
 	// Ramp is how long a joined engine takes to reach its full share.
 	Ramp time.Duration
-	// DigestLife is how long a digest counts after it was received.
+	// DigestLife is how long a digest is valid after it was received.
 	DigestLife time.Duration
-	// Places is how many chat places a home remembers.
+	// Places is the maximum number of chat places that a home stores.
 	Places int
 }
 
-// limit is the load that an engine must be below, given the work on all engines.
+// limit returns the load limit of an engine, given the work on all engines.
 func (b Bound) limit(total float64, engines int) float64 {
 	return b.Factor*total/float64(max(engines, 1)) + float64(b.Extra)
 }
 
-// BoundOf returns the default bound with a service's own multiple of the mean.
+// BoundOf returns the default bound with a service's own factor.
 func BoundOf(factor float64) Bound {
 	b := DefaultBound
 	b.Factor = factor
 	return b
 }
 
-// DefaultBound is the bound of the brief's users.
+// DefaultBound is the bound of services without their own settings.
 var DefaultBound = Bound{Factor: 1.25, Ramp: 10 * time.Second, DigestLife: 4 * time.Second, Places: 100_000}
 
-// Engine is one target as the membership view gives it.
+// Engine is one target in the membership view.
 type Engine struct {
 	ID   ident.Target
 	Hash ident.TargetHash
-	// Addr is where requests reach the engine.
+	// Addr is the address to which requests are sent.
 	Addr        string
 	Zone        ident.Zone
 	Incarnation ident.Incarnation
-	// Slots is the work that the engine can run at once; zero means no limit.
+	// Slots is the work that the engine can run at once. Zero means no limit.
 	Slots ident.Work
-	// Joined is when this incarnation was first seen; zero means long ago.
+	// Joined is when this incarnation was first seen. Zero means that its slow start is over.
 	Joined time.Time
 	// Leaving engines keep their permits and get no new ones.
 	Leaving bool
-	// Cold says what the engine bears while it is cold.
+	// Cold is the rate limit while the engine is cold.
 	Cold Cold
 }
 
-// Result says what became of a request for a permit.
+// Result is the outcome of a permit request.
 type Result int
 
 const (
-	// Placed requests hold a permit.
+	// Placed means that the request holds a permit.
 	Placed Result = iota + 1
-	// Full means that every engine of the shard is at the bound; another shard may have room.
+	// Full means that every engine of the shard is at the bound. Another shard may have room.
 	Full
-	// Busy means that every engine has as much work as it can run.
+	// Busy means that every engine runs as much work as it can.
 	Busy
 	// Empty means that the shard has no usable engine.
 	Empty
 )
 
-// Request asks a home for a permit.
+// Request is a permit request to a home.
 type Request struct {
 	Edge   ident.Router
 	Permit uint64
 	Key    ident.ChatKey
 	Work   ident.Work
 	Zone   ident.Zone
-	// Must says that all other shards are full. Full in answer to it means that only engines to avoid
-	// have room.
+	// Must is set when all other shards are full. The result Full then means that only engines
+	// that the request avoids have room.
 	Must bool
-	// Over takes engines that seem to be full, up to twice their slots: counts may be too
-	// high for a while after homes have moved, and engines queue a few requests themselves.
+	// Over allows engines without a free slot, up to twice their slots: counts may be too high for
+	// some time after a shard got another home, and engines queue a few requests themselves.
 	Over bool
-	// Avoid are engines that have just failed this request or fail many.
+	// Avoid lists engines that have just failed this request or fail many requests.
 	Avoid []ident.TargetHash
-	// Lost are engines that cannot be reached: nothing can be copied from them.
+	// Lost lists unreachable engines, from which no cache can be copied.
 	Lost []ident.TargetHash
-	// Last is the engine to which the edge sent the key last, zero if it does not know: a
-	// home that has just taken over, or whose pool has other shards now, has forgotten it.
+	// Last is the last engine to which the edge router sent the key, or zero if unknown. A new
+	// home, or a home of a pool whose number of shards changed, has no place of the key.
 	Last ident.TargetHash
-	// Once means that no other request has this key, so that nobody need remember it.
+	// Once means that no other request has this key, so that its place is not stored.
 	Once bool
 }
 
-// Decision is the answer to a Request.
+// Decision is the result of a Request.
 type Decision struct {
 	Result Result
 	Engine ident.TargetHash
 	// Warm means that the chat ran on this incarnation of the engine before.
 	Warm bool
-	// Holder is where a chat ran last if that is another engine, zero if nowhere: its
-	// cached prefix can be taken from there.
+	// Holder is the last engine of the chat if that is another engine, zero if there is none. The
+	// cached prompt prefix can be copied from it.
 	Holder ident.TargetHash
-	// Basis is what a placement was decided from.
+	// Basis holds the inputs of the decision.
 	Basis Basis
 }
 
 // engineLoad is an engine with the work that is counted on it.
 type engineLoad struct {
 	Engine
-	// own is the work of permits given here, foreign what another home of this shard published.
+	// own is the work of permits granted here, peerShare the work that other homes of this shard
+	// published.
 	own       ident.Work
 	peerShare ident.Work
 	present   bool
-	// pace follows what a cold engine got lately.
+	// pacer limits the rate of requests while the engine is cold.
 	pacer coldPacer
 }
 
@@ -129,38 +130,40 @@
 	id    ShardID
 	self  ident.Router
 	bound Bound
-	// roster are all the pool's engines; nil while they are not known.
+	// roster lists all engines of the pool. It is nil until they are known.
 	roster  *Roster
 	engines []engineLoad
 	index   map[ident.TargetHash]int
 	permits map[permitKey]Permit
-	// granted is the work of all permits, elsewhere the work of this shard that other homes published.
+	// granted is the work of all permits, peerWork the work of this shard that other homes
+	// published.
 	granted  ident.Work
 	peerWork ident.Work
-	// held counts the permits of each edge.
+	// permitCount is the number of permits of each edge router.
 	permitCount map[ident.Router]int
-	// doubted are edges that may be gone, whose requests may have ended.
+	// suspectEdges are edge routers that may be gone, whose requests may have ended.
 	suspectEdges map[ident.Router]bool
-	// heard is when each edge that holds permits was heard of last.
+	// lastContact is when each edge router that holds permits was last in contact.
 	lastContact map[ident.Router]time.Time
 	places      lru[chatPlace]
-	// sums are the other shards' work, foreign other homes' shares of this one.
+	// shardLoads are the loads of the other shards. peerShare holds the shares of this shard that
+	// other homes admitted.
 	shardLoads shardLoads
 	peerShare  map[ident.Router]peerShare
-	// weights are the numbers of usable engines of the pool's shards, poolEngines their sum.
+	// weights are the numbers of usable engines of the pool's shards, poolEngines is their sum.
 	weights     []int
 	poolEngines int
 	seq         uint64
-	// moves are the chats that went elsewhere since the last digest.
+	// placeChanges are the chats that moved to another engine since the last digest.
 	placeChanges []ChatPlace
-	// told is the shard whose work was told last with an answer.
+	// lastSentShard is the shard whose load was sent last in a permit response.
 	lastSentShard int
 	health        health
 	backoffs      backoffs
 }
 
-// NewHome returns a home without engines or permits; its digests are numbered from
-// seq on, which must exceed what an earlier home of this router used.
+// NewHome returns a home without engines or permits. Its digests are numbered after seq, which
+// must be at least the last number that an earlier home of this router used.
 func NewHome(id ShardID, self ident.Router, bound Bound, seq uint64) *Home {
 	return &Home{
 		id:           id,
@@ -179,10 +182,11 @@
 	}
 }
 
-// SetBound changes the bound; the size of the memory of places stays.
+// SetBound replaces the bound. The maximum number of stored places does not change.
 func (h *Home) SetBound(bound Bound) { h.bound = bound }
 
-// SetRoster replaces the pool's engines, and with them the shard's, which cost something only if they differ.
+// SetRoster replaces the pool's engines and with them the shard's. The shard's engines are updated
+// only if they differ.
 func (h *Home) SetRoster(roster *Roster) {
 	before := h.roster
 	h.roster = roster
@@ -198,7 +202,7 @@
 	h.SetEngines(engines, roster.Weights())
 }
 
-// setWeights replaces the numbers of usable engines of all the pool's shards.
+// setWeights replaces the numbers of usable engines of all shards of the pool.
 func (h *Home) setWeights(weights []int) {
 	h.shardLoads.scaleToWeights(h.weights, weights)
 	h.weights = weights
@@ -208,8 +212,8 @@
 	}
 }
 
-// SetEngines replaces the shard's engines; weights are the numbers of usable
-// engines of all the pool's shards.
+// SetEngines replaces the shard's engines. weights are the numbers of usable engines of all shards
+// of the pool.
 func (h *Home) SetEngines(engines []Engine, weights []int) {
 	defer h.recount()
 	defer h.prune()
@@ -237,7 +241,7 @@
 	}
 }
 
-// prune removes engines that are gone and have no work left here.
+// prune removes engines that are gone and have no permits here.
 func (h *Home) prune() {
 	kept := h.engines[:0]
 	for _, e := range h.engines {
@@ -254,13 +258,13 @@
 	}
 }
 
-// forget drops what edges said of an engine that is gone or has started anew.
+// forget removes the health records and backoffs of an engine that was removed or restarted.
 func (h *Home) forget(engine ident.TargetHash) {
 	h.health.forget(engine)
 	h.backoffs.forget(engine)
 }
 
-// Place decides one request and counts the permit it gives.
+// Place decides one request and counts the permit that it grants.
 func (h *Home) Place(now time.Time, req Request) Decision {
 	if p, ok := h.permits[permitKey{req.Edge, req.Permit}]; ok {
 		return Decision{Result: Placed, Engine: p.Engine}
@@ -269,7 +273,7 @@
 	total := h.Total(now)
 	i, result, warm := h.choose(now, req, total)
 	if result != Placed {
-		// Another shard that takes the request can have the prefix copied.
+		// If another shard takes the request, its engine can copy the cached prefix.
 		at, _ := h.places.get(req.Key)
 		return Decision{Result: result, Holder: h.holder(req, at, 0)}
 	}
@@ -283,13 +287,13 @@
 	}
 	d.Warm = warm
 	if at := h.remember(now, req.Key, e); e.Hash != at.last().engine {
-		// An engine where it ran earlier may have dropped the prefix meanwhile.
+		// An engine that ran the chat earlier may have evicted the prefix since.
 		d.Holder = h.holder(req, at, e.Hash)
 	}
 	return d
 }
 
-// remember notes that a chat has gone to an engine and returns its place before.
+// remember stores a chat's engine and returns the previous place.
 func (h *Home) remember(now time.Time, key ident.ChatKey, e *engineLoad) chatPlace {
 	at, _ := h.places.get(key)
 	next := at.movedTo(engineRun{engine: e.Hash, incarnation: e.Incarnation}, now.Unix())
@@ -300,12 +304,12 @@
 	return at
 }
 
-// Total is the work on the pool's usable engines as far as this home knows.
+// Total returns the known work on the pool's usable engines.
 func (h *Home) Total(now time.Time) ident.Work {
 	return h.SureWork() + h.shardLoads.total(now, h.bound.DigestLife, h.id.Shard)
 }
 
-// Counts are the work on the shard's engines that this home and others admitted, and the mean
+// Counts returns the work on the shard's engines that this home and others admitted, and the mean
 // work on the pool's engines.
 func (h *Home) Counts(now time.Time) (own, peerShare, mean ident.Work) {
 	for i := range h.engines {
@@ -315,7 +319,7 @@
 	return own, peerShare, h.Total(now) / ident.Work(max(h.poolEngines, 1))
 }
 
-// ID returns the shard that this home counts.
+// ID returns the shard of this home.
 func (h *Home) ID() ShardID { return h.id }
 
 // LoadOf returns the work in flight on one engine.
@@ -327,7 +331,8 @@
 	return h.engines[i].load()
 }
 
-// LoadRatio is the shard's highest load over the pool's mean; zero without load.
+// LoadRatio returns the shard's highest engine load divided by the pool's mean, or zero without
+// load.
 func (h *Home) LoadRatio(now time.Time) float64 {
 	total := h.Total(now)
 	if total <= 0 || h.poolEngines == 0 {
