--- a/internal/rule/place/assign_test.go
+++ b/internal/rule/place/assign_test.go
@@ -23,15 +23,16 @@
 		if got := place.Standbys(shard, home, all, all); !slices.Contains(got, next) {
 			t.Errorf("standbys %v of %s, want %s among them", got, home, next)
 		}
-		// A router that wrongly holds the home dead takes over, and tells it.
+		// A router whose membership view wrongly lists the home as dead takes over, and sends it
+		// its counts.
 		if got := place.Standbys(shard, next, live, all); !slices.Contains(got, home) {
 			t.Errorf("standbys %v of %s, want %s among them", got, next, home)
 		}
 	}
 }
 
-// With as many shards as routers none has more than two, and one router's leaving
-// moves few shards beside its own.
+// With as many shards as routers no router is home of more than two shards, and removing one
+// router moves few shards beside its own.
 func TestAssignmentIsEvenAndStable(t *testing.T) {
 	var routers []ident.Router
 	for i := range 80 {
@@ -43,7 +44,7 @@
 	}
 	all := place.Assign(ids, routers)
 	if got := all.Busiest(); got > 2 {
-		t.Errorf("a router is home of %d shards", got)
+		t.Errorf("a router is home of %d shards, want 2 at most", got)
 	}
 	moved := 0
 	for i := range routers {
@@ -56,16 +57,16 @@
 		}
 	}
 	perLeaving := float64(moved) / float64(len(routers))
-	t.Logf("%.2f shards move when one of %d routers leaves, %d at most at one router", perLeaving, len(routers), all.Busiest())
+	t.Logf("%.2f shards moved per removed router of %d, %d shards at most per router", perLeaving, len(routers), all.Busiest())
 	if perLeaving > 3 {
-		t.Errorf("%.2f shards move when a router leaves", perLeaving)
+		t.Errorf("%.2f shards moved per removed router, want 3 at most", perLeaving)
 	}
 	if home := place.Assign(ids, nil).Home(ids[0]); home != "" {
-		t.Errorf("home %q without routers", home)
+		t.Errorf("got home %q without routers, want none", home)
 	}
 }
 
-// mixedFleet returns some shards of one pool and routers on boxes of three sizes.
+// mixedFleet returns the shards of one pool, and routers on boxes of three sizes.
 func mixedFleet(shards, routers int) (ids []place.ShardID, names []ident.Router, capacities place.Capacities) {
 	for i := range shards {
 		ids = append(ids, place.ShardID{Pool: "pool", Shard: ident.Shard(i)})
@@ -79,7 +80,7 @@
 	return ids, names, capacities
 }
 
-// The next in line is who would be home without the home, whatever the boxes' sizes.
+// The next router is the home of the assignment without the home, for any box sizes.
 func TestNextIsHomeWhenHomeIsRemoved(t *testing.T) {
 	ids, routers, capacities := mixedFleet(64, 40)
 	for _, n := range []int{1, 2, 5, 8, 9, 10, 40} {
@@ -88,7 +89,7 @@
 			left := place.AssignBy(ids, slices.Delete(slices.Clone(routers[:n]), i, i+1), capacities)
 			for _, id := range ids {
 				if diff := cmp.Diff(left.Home(id), all.Next(id, router)); diff != "" {
-					t.Fatalf("%d routers, without %s, shard %d: %s", n, router, id.Shard, diff)
+					t.Fatalf("%d routers, %s removed, shard %d: %s", n, router, id.Shard, diff)
 				}
 			}
 		}
@@ -99,12 +100,12 @@
 	ids, routers, capacities := mixedFleet(128, 300)
 	for b.Loop() {
 		a := place.AssignBy(ids, routers, capacities)
-		// A router asks only for what would be without itself.
+		// A router needs only the assignment without itself.
 		a.Next(ids[0], routers[0])
 	}
 }
 
-// Large boxes are homes of most shards, and none of them of many more than it can carry.
+// Large boxes are homes of most shards.
 func TestLargeBoxesAreHomes(t *testing.T) {
 	var routers []ident.Router
 	capacities := place.Capacities{}
--- a/internal/rule/place/assigner_test.go
+++ b/internal/rule/place/assigner_test.go
@@ -11,7 +11,7 @@
 	"valescale/internal/rule/place"
 )
 
-// homesOf lists the home and the next in line of each shard.
+// homesOf returns the home and the next router of each shard.
 func homesOf(a *place.Assignment, ids []place.ShardID) map[place.ShardID][2]ident.Router {
 	out := map[place.ShardID][2]ident.Router{}
 	for _, id := range ids {
@@ -21,8 +21,8 @@
 	return out
 }
 
-// Routers that follow the same fleet through other histories must come to the same homes, so that an assignment
-// that was brought up to date is the same as one made anew.
+// Routers with different histories of the same fleet must compute the same homes, so an updated
+// assignment must equal a new one.
 func TestAssignmentIsIndependentOfHistory(t *testing.T) {
 	for seed := range uint64(20) {
 		rng := rand.New(rand.NewPCG(seed, 7))
@@ -31,7 +31,7 @@
 		for step := range 30 {
 			var routers []ident.Router
 			for _, r := range names {
-				// Now and then half of the fleet is gone at once.
+				// Every tenth step removes half of the fleet at once.
 				if share := rng.IntN(10); step%10 == 9 && share < 5 || share > 0 && step%10 != 9 {
 					routers = append(routers, r)
 				}
@@ -51,7 +51,7 @@
 	}
 }
 
-// BenchmarkAssigner is one router that leaves and comes back.
+// BenchmarkAssigner measures the update after one router leaves or rejoins.
 func BenchmarkAssigner(b *testing.B) {
 	for _, routers := range []int{100, 1000, 2000} {
 		b.Run(fmt.Sprint(routers), func(b *testing.B) {
--- a/internal/rule/place/avoid_test.go
+++ b/internal/rule/place/avoid_test.go
@@ -7,11 +7,10 @@
 	"valescale/internal/rule/place"
 )
 
-// Seen: routers that took nearly all of 18 engines for unreachable sent their requests to two of
-// them, which held 42 where the mean was 12. How: the shard was full for it, so that each of its
-// requests had to be placed. Cause: such a request went to the least loaded engine of those
-// left, whatever that held. Proof: the requests' lines, of rule least_loaded, with the counts
-// that the home had when it decided.
+// Guards against requests that must be placed and exceed the bound. A router that considered
+// nearly all of 18 engines unreachable sent its requests to the remaining two, which then held 42
+// requests at a mean of 12: the shard was full for that router, so each of its requests had to be
+// placed, and went to the least loaded remaining engine regardless of its load.
 func TestRequestsThatMustBePlacedKeepTheBound(t *testing.T) {
 	const (
 		listed = 6
@@ -33,7 +32,7 @@
 		d := h.Place(start, request)
 		if d.Result != place.Placed {
 			if d.Result != place.Full {
-				t.Fatalf("got %v at the bound, want a refusal at once: the other engines have room", d.Result)
+				t.Fatalf("got %v at the bound, want full: the other engines have room", d.Result)
 			}
 			continue
 		}
--- a/internal/rule/place/backoff.go
+++ b/internal/rule/place/backoff.go
@@ -6,8 +6,7 @@
 	"valescale/internal/plat/ident"
 )
 
-// Backoff is an engine that asked one edge router not to send requests for the remaining time
-// Left.
+// Backoff is an engine that rejects requests from one edge router for the remaining time Left.
 type Backoff struct {
 	Engine ident.TargetHash
 	Left   time.Duration
--- a/internal/rule/place/backoff_test.go
+++ b/internal/rule/place/backoff_test.go
@@ -8,15 +8,15 @@
 	"valescale/internal/rule/place"
 )
 
-// told is one edge's word that an engine wants no requests.
+// backoffReport is a backoff that one edge router received from an engine.
 type backoffReport struct {
 	edge ident.Router
 	zone ident.Zone
 	left time.Duration
 }
 
-// What an engine tells one edge holds for that edge; what it tells two edges of a zone is believed in that
-// zone, what it tells two zones everywhere, and for no longer than it said.
+// A backoff applies to the edge router that received it, to a zone after reports from two of its
+// edge routers, to all zones after reports from two zones, and never for longer than requested.
 func TestBackoffsAreSharedAfterSeveralReports(t *testing.T) {
 	const left = 3 * time.Second
 	cases := map[string]struct {
@@ -25,15 +25,15 @@
 		after         time.Duration
 		blocked       bool
 	}{
-		"one edge":                    {[]backoffReport{{"a1", "a", left}}, "a", 0, false},
-		"one edge twice":              {[]backoffReport{{"a1", "a", left}, {"a1", "a", left}}, "a", 0, false},
-		"two edges of the zone":       {[]backoffReport{{"a1", "a", left}, {"a2", "a", left}}, "a", 0, true},
-		"two edges of another zone":   {[]backoffReport{{"b1", "b", left}, {"b2", "b", left}}, "a", 0, false},
-		"edges of two zones":          {[]backoffReport{{"b1", "b", left}, {"c1", "c", left}}, "a", 0, true},
-		"two edges without a zone":    {[]backoffReport{{"x", "", left}, {"y", "", left}}, "", 0, true},
-		"until it is over":            {[]backoffReport{{"a1", "a", left}, {"a2", "a", left}}, "a", left, false},
-		"the second one after an end": {[]backoffReport{{"a1", "a", 0}, {"a2", "a", left}}, "a", 0, false},
-		"no longer than bearable":     {[]backoffReport{{"a1", "a", time.Hour}, {"a2", "a", time.Hour}}, "a", 8 * time.Second, false},
+		"one edge router":                  {[]backoffReport{{"a1", "a", left}}, "a", 0, false},
+		"one edge router twice":            {[]backoffReport{{"a1", "a", left}, {"a1", "a", left}}, "a", 0, false},
+		"two edge routers of the zone":     {[]backoffReport{{"a1", "a", left}, {"a2", "a", left}}, "a", 0, true},
+		"two edge routers of another zone": {[]backoffReport{{"b1", "b", left}, {"b2", "b", left}}, "a", 0, false},
+		"edge routers of two zones":        {[]backoffReport{{"b1", "b", left}, {"c1", "c", left}}, "a", 0, true},
+		"two edge routers without a zone":  {[]backoffReport{{"x", "", left}, {"y", "", left}}, "", 0, true},
+		"after the backoff":                {[]backoffReport{{"a1", "a", left}, {"a2", "a", left}}, "a", left, false},
+		"second report after expiry":       {[]backoffReport{{"a1", "a", 0}, {"a2", "a", left}}, "a", 0, false},
+		"limited to 8 s":                   {[]backoffReport{{"a1", "a", time.Hour}, {"a2", "a", time.Hour}}, "a", 8 * time.Second, false},
 	}
 	for name, c := range cases {
 		h, list := newHome(2)
@@ -42,12 +42,12 @@
 		}
 		now := start.Add(c.after)
 		if got := countPlaced(h, now, c.zone, list[0].Hash) == 0; got != c.blocked {
-			t.Errorf("%s: kept from the engine %v, want %v", name, got, c.blocked)
+			t.Errorf("%s: got blocked %v, want %v", name, got, c.blocked)
 		}
 	}
 }
 
-// sentTo places requests of one zone's edge and counts those that an engine gets.
+// countPlaced places requests of one zone's edge router and counts those on an engine.
 func countPlaced(h *place.Home, now time.Time, zone ident.Zone, engine ident.TargetHash) int {
 	count := 0
 	for n := uint64(1); n <= 12; n++ {
@@ -60,8 +60,8 @@
 	return count
 }
 
-// An engine that has started anew has told nobody anything, and one that is all there is gets requests all the
-// same: from those that it told nothing.
+// A restarted engine has no backoff, and the only engine of a shard receives requests from edge
+// routers that received no backoff themselves.
 func TestBackoffsOfRestartedAndOnlyEngine(t *testing.T) {
 	h, list := newHome(2)
 	reportBackoffs := func() {
@@ -73,11 +73,11 @@
 	list[0].Incarnation++
 	h.SetEngines(list, []int{2})
 	if countPlaced(h, start, "", list[0].Hash) == 0 {
-		t.Error("the engine gets nothing after it has started anew")
+		t.Error("restarted engine received no requests")
 	}
 	h, list = newHome(1)
 	reportBackoffs()
 	if countPlaced(h, start, "", list[0].Hash) == 0 {
-		t.Error("the only engine gets nothing although requests would wait in vain")
+		t.Error("the only engine received no requests")
 	}
 }
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -13,22 +13,22 @@
 // the edge router sent it, or else the first engine in the chat's hash order, which shares at most
 // the beginning of its prompt.
 func (h *Home) holder(req Request, at chatPlace, other ident.TargetHash) ident.TargetHash {
-	var elsewhere ident.TargetHash
+	var inOtherShard ident.TargetHash
 	for _, s := range at.at {
 		if s == (engineRun{}) || s.engine == other || slices.Contains(req.Lost, s.engine) {
 			continue
 		}
 		i, known := h.index[s.engine]
-		here := known && h.engines[i].present
-		if here && h.engines[i].Incarnation == s.incarnation {
+		inShard := known && h.engines[i].present
+		if inShard && h.engines[i].Incarnation == s.incarnation {
 			return s.engine
 		}
-		if !here && elsewhere == 0 && h.inPool(s) {
-			elsewhere = s.engine
+		if !inShard && inOtherShard == 0 && h.inPool(s) {
+			inOtherShard = s.engine
 		}
 	}
-	if elsewhere != 0 {
-		return elsewhere
+	if inOtherShard != 0 {
+		return inOtherShard
 	}
 	if req.Last != 0 && req.Last != other && !slices.Contains(req.Lost, req.Last) {
 		return req.Last
@@ -95,12 +95,12 @@
 	steady := h.steadyLimit(total)
 	outcome := Empty
 	for i := range h.engines {
-		verdict := h.admits(now, i, req, limit)
-		if verdict == Empty {
+		result := h.admits(now, i, req, limit)
+		if result == Empty {
 			continue
 		}
-		if verdict != Placed {
-			outcome = mergeRejection(outcome, verdict)
+		if result != Placed {
+			outcome = mergeRejection(outcome, result)
 			continue
 		}
 		r := h.rank(i, req)
--- a/internal/rule/place/cold_test.go
+++ b/internal/rule/place/cold_test.go
@@ -10,13 +10,13 @@
 )
 
 const (
-	// coldRate is how many requests a second a cold engine bears, coldMost what it may get in any
-	// second before it falls over.
+	// coldRate is the rate of a cold engine in requests per second. maxColdRate is the number of
+	// requests in any second above which it crashes.
 	coldRate    = 13
 	maxColdRate = 1.5*coldRate + 5
 )
 
-// most returns how many of some times lie within the same second at most.
+// maxPerSecond returns the highest number of times that lie within the same second.
 func maxPerSecond(times []time.Time) int {
 	highest := 0
 	for i := range times {
@@ -31,8 +31,8 @@
 	return highest
 }
 
-// A cold engine gets no more than it bears, also when all others are full and requests must be
-// placed; once it is warm it gets its part.
+// A cold engine receives no more than its rate, even if all others are full and requests must be
+// placed. A warm one receives its full share.
 func TestColdEngineStaysWithinRate(t *testing.T) {
 	now := time.Unix(1000, 0)
 	const coldFor = 3 * time.Second
@@ -61,16 +61,16 @@
 	}
 	send(coldFor)
 	if got := maxPerSecond(sent); float64(got) > maxColdRate || got < coldRate/2 {
-		t.Errorf("the cold engine got %d requests in a second, want about %d", got, coldRate)
+		t.Errorf("the cold engine received %d requests in a second, want about %d", got, coldRate)
 	}
 	sent = nil
 	send(time.Second)
 	if got := maxPerSecond(sent); float64(got) < 3*coldRate {
-		t.Errorf("the warm engine got %d requests in a second of 200", got)
+		t.Errorf("the warm engine received %d of 200 requests per second", got)
 	}
 }
 
-// An engine that bears few requests a second gets these, also if several routers share its shard.
+// A cold engine with a low rate receives requests at that rate.
 func TestColdEngineReachesRate(t *testing.T) {
 	const rate, duration = 2, 10 * time.Second
 	now := time.Unix(1000, 0)
@@ -86,12 +86,12 @@
 	}
 	want := int(rate * duration.Seconds())
 	if sent < want*9/10 || sent > want+1 {
-		t.Errorf("the engine got %d requests in %v, want %d", sent, duration, want)
+		t.Errorf("the engine received %d requests in %v, want %d", sent, duration, want)
 	}
 }
 
-// Pattern: 295 routers that reach no home, and an engine that comes back cold. Each of them may send
-// it only a part of a request a second; if each rounded that up, all would at once.
+// Guards against overloading a cold engine when 295 routers reach no home. Each of them may send
+// it only a fraction of a request per second. If each rounded that up, all would send one at once.
 func TestLocalPlacementLimitsColdEngine(t *testing.T) {
 	const routers = 295
 	start := time.Unix(1000, 0)
@@ -113,11 +113,11 @@
 		}
 	}
 	if got := maxPerSecond(sent); float64(got) > maxColdRate || got == 0 {
-		t.Errorf("the cold engine got %d requests in a second, want some and %v at most", got, maxColdRate)
+		t.Errorf("the cold engine received %d requests in a second, want some and %v at most", got, maxColdRate)
 	}
 }
 
-// A cold engine that starts anew owes nothing for what its earlier start got.
+// The pacing of a cold engine restarts with a new incarnation of the engine.
 func TestRestartResetsColdPacing(t *testing.T) {
 	now := time.Unix(1000, 0)
 	e := place.Engine{
@@ -134,6 +134,6 @@
 	h.SetEngines([]place.Engine{e}, []int{1})
 	third := request(3)
 	if first != place.Placed || second == place.Placed || third != place.Placed {
-		t.Errorf("got %v, %v, and %v from the new start", first, second, third)
+		t.Errorf("got %v, %v, and %v after the restart", first, second, third)
 	}
 }
--- a/internal/rule/place/cost_test.go
+++ b/internal/rule/place/cost_test.go
@@ -40,6 +40,6 @@
 		h.Release("router-b", 1_000_000+i)
 	})
 	if got >= 1 {
-		t.Errorf("%.2f allocations a decision", got)
+		t.Errorf("%.2f allocations per placement, want none", got)
 	}
 }
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -191,7 +191,7 @@
 }
 
 // blockedEngines lists the engines that receive no new requests from a zone's edge routers because
-// they fail many requests or asked for a backoff.
+// they fail many requests or are in backoff.
 func (h *Home) blockedEngines(now time.Time, zone ident.Zone) []ident.TargetHash {
 	if !now.Before(h.health.until) && !now.Before(h.backoffs.until) {
 		return nil
--- a/internal/rule/place/health_test.go
+++ b/internal/rule/place/health_test.go
@@ -16,12 +16,12 @@
 	zoneB ident.Zone = "b"
 )
 
-// ward drives a home of some engines of which a few fail a part of their requests.
+// fixture drives a home whose engines fail some of their requests.
 type fixture struct {
 	home *place.Home
 	now  time.Time
 	rng  *rand.Rand
-	// fails is the part of requests from a zone that an engine fails.
+	// failureRatio is the fraction of a zone's requests that an engine fails.
 	failureRatio func(engine ident.TargetHash, zone ident.Zone) float64
 	permits      uint64
 	got          map[ident.Zone]map[ident.TargetHash]int
@@ -35,7 +35,7 @@
 	}
 }
 
-// run sends requests of new keys from an edge for a while, 100 a second.
+// run sends requests with new keys from an edge router, 100 per second.
 func (f *fixture) run(edge ident.Router, zone ident.Zone, seconds float64) {
 	for range int(seconds * 100) {
 		f.now = f.now.Add(10 * time.Millisecond)
@@ -54,7 +54,7 @@
 	}
 }
 
-// both lets an edge of each zone send by turns.
+// alternate sends from an edge router of each zone by turns.
 func (f *fixture) alternate(seconds int) {
 	for range seconds * 10 {
 		f.run("edge-a", zoneA, 0.1)
@@ -64,7 +64,8 @@
 
 func (f *fixture) clear() { f.got = map[ident.Zone]map[ident.TargetHash]int{zoneA: {}, zoneB: {}} }
 
-// An engine that fails two fifths of its requests gets few, however many edges share them.
+// An engine that fails two fifths of its requests receives few, even if several edge routers share
+// them.
 func TestFailingEngineIsAvoided(t *testing.T) {
 	bad := newEngine(3).Hash
 	f := newFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
@@ -77,11 +78,11 @@
 	f.clear()
 	f.alternate(6)
 	if got, share := f.got[zoneA][bad]+f.got[zoneB][bad], 1200/8; got > share/3 {
-		t.Errorf("the failing engine got %d requests, an equal share is %d", got, share)
+		t.Errorf("the failing engine received %d requests, an equal share is %d", got, share)
 	}
 }
 
-// An engine that is well again gets its share again.
+// A recovered engine receives its share again.
 func TestRecoveredEngineGetsItsShare(t *testing.T) {
 	bad, failing := newEngine(3).Hash, true
 	f := newFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
@@ -96,11 +97,11 @@
 	f.clear()
 	f.alternate(5)
 	if got, share := f.got[zoneA][bad]+f.got[zoneB][bad], 1000/8; got < share/2 {
-		t.Errorf("the engine got %d requests, an equal share is %d", got, share)
+		t.Errorf("the engine received %d requests, an equal share is %d", got, share)
 	}
 }
 
-// What fails requests of one zone only serves the others.
+// An engine that fails requests of one zone only is blocked for that zone.
 func TestEngineFailingOneZone(t *testing.T) {
 	bad := newEngine(3).Hash
 	f := newFixture(func(e ident.TargetHash, zone ident.Zone) float64 {
@@ -109,7 +110,8 @@
 		}
 		return 0
 	})
-	// Two edges of the zone, since one may blame its own link.
+	// Two edge routers of the zone report failures, because those of a single one may be caused by
+	// its own link.
 	for range 40 {
 		f.run("edge-a", zoneA, 0.05)
 		f.run("edge-a2", zoneA, 0.05)
@@ -118,11 +120,11 @@
 	f.clear()
 	f.run("edge-a", zoneA, 1)
 	if got := f.got[zoneA][bad]; got != 0 {
-		t.Errorf("zone a: %d requests", got)
+		t.Errorf("the failing engine received %d requests of zone a, want none", got)
 	}
 }
 
-// Requests go to an engine that fails many while the others have no free slot.
+// Requests are sent to an unhealthy engine while the others have no free slot.
 func TestUnhealthyEngineIsUsedWhenOthersAreBusy(t *testing.T) {
 	home := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 1)
 	var list []place.Engine
@@ -132,23 +134,23 @@
 		list = append(list, e)
 	}
 	home.SetEngines(list, []int{2})
-	poor, now := list[0].Hash, time.Unix(1000, 0)
+	unhealthy, now := list[0].Hash, time.Unix(1000, 0)
 	var blocked []ident.TargetHash
 	for len(blocked) == 0 {
-		blocked = home.Blame(now, "edge-a", zoneA, []ident.TargetHash{poor})
-		blocked = append(blocked, home.Blame(now, "edge-b", zoneA, []ident.TargetHash{poor})...)
+		blocked = home.Blame(now, "edge-a", zoneA, []ident.TargetHash{unhealthy})
+		blocked = append(blocked, home.Blame(now, "edge-b", zoneA, []ident.TargetHash{unhealthy})...)
 	}
 	var got []ident.TargetHash
 	for permit := range uint64(2) {
 		d := home.Place(now, place.Request{Edge: "edge-a", Permit: permit + 1, Key: 7, Work: ident.OneRequest, Zone: zoneA})
 		got = append(got, d.Engine)
 	}
-	if diff := cmp.Diff([]ident.TargetHash{list[1].Hash, poor}, got); diff != "" {
+	if diff := cmp.Diff([]ident.TargetHash{list[1].Hash, unhealthy}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// When all engines fail alike, or one edge alone complains, nothing is blocked.
+// No engine is blocked if all engines fail alike, or if only one edge router reports failures.
 func TestCommonFailuresBlockNoEngine(t *testing.T) {
 	all := newFixture(func(ident.TargetHash, ident.Zone) float64 { return 0.45 })
 	all.alternate(20)
@@ -169,12 +171,12 @@
 	})
 	link.run("edge-a", zoneA, 20)
 	if diff := cmp.Diff(0, link.blocked); diff != "" {
-		t.Errorf("one edge's link: %s", diff)
+		t.Errorf("one edge router's link: %s", diff)
 	}
 }
 
-// Two engines that fail together are both found soon: what the first one did is not held
-// against the others once it is blocked.
+// Two engines that fail together are both detected soon: the failures of the first one are
+// subtracted from the common record once it is blocked.
 func TestTwoFailingEngines(t *testing.T) {
 	worst, bad := newEngine(2).Hash, newEngine(5).Hash
 	f := newFixture(func(e ident.TargetHash, _ ident.Zone) float64 {
@@ -190,6 +192,6 @@
 	f.alternate(2)
 	got := f.got[zoneA][bad] + f.got[zoneB][bad]
 	if share := 400 / 8; got > share/2 {
-		t.Errorf("the second engine got %d requests, an equal share is %d", got, share)
+		t.Errorf("the second engine received %d requests, an equal share is %d", got, share)
 	}
 }
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -37,7 +37,7 @@
 	return b
 }
 
-// DefaultBound is the bound of services without their own settings.
+// DefaultBound is the bound of services without a factor of their own.
 var DefaultBound = Bound{Factor: 1.25, Ramp: 10 * time.Second, DigestLife: 4 * time.Second, Places: 100_000}
 
 // Engine is one target in the membership view.
@@ -50,7 +50,7 @@
 	Incarnation ident.Incarnation
 	// Slots is the work that the engine can run at once. Zero means no limit.
 	Slots ident.Work
-	// Joined is when this incarnation was first seen. Zero means that its slow start is over.
+	// Joined is when this incarnation was first seen. Zero means no slow start.
 	Joined time.Time
 	// Leaving engines keep their permits and get no new ones.
 	Leaving bool
@@ -162,8 +162,8 @@
 	backoffs      backoffs
 }
 
-// NewHome returns a home without engines or permits. Its digests are numbered after seq, which
-// must be at least the last number that an earlier home of this router used.
+// NewHome returns a home without engines or permits. Its digests are numbered from seq on, which
+// must exceed the numbers that an earlier home of this router used.
 func NewHome(id ShardID, self ident.Router, bound Bound, seq uint64) *Home {
 	return &Home{
 		id:           id,
--- a/internal/rule/place/home_test.go
+++ b/internal/rule/place/home_test.go
@@ -10,9 +10,9 @@
 	"valescale/internal/rule/place"
 )
 
-// TestCountsAndBound walks random requests, returns, lists, repeated and lost
-// messages over one home: it counts exactly the permits that are out, and no
-// engine gets more than one request above the bound.
+// TestCountsAndBound applies random permit requests, releases, lists, and repeated and lost
+// messages to one home. It must count exactly the permits held, and no engine may exceed the bound
+// by more than one request.
 func TestCountsAndBound(t *testing.T) {
 	sched.Walk(t, func(r *rapid.T) {
 		h, list := newHome(rapid.IntRange(1, 8).Draw(r, "engines"))
@@ -24,14 +24,14 @@
 				next++
 				d := h.Place(start, permitRequest(next, ident.ChatKey(rapid.Uint64Range(0, 20).Draw(r, "key"))))
 				if d.Result != place.Placed {
-					r.Fatalf("a pool without slots refused: %v", d.Result)
+					r.Fatalf("got %v in a pool without slot limits, want placed", d.Result)
 				}
 				out[next] = d.Engine
 				if e := excess(h, list, d.Engine); e > 1 {
 					r.Fatalf("%.2f requests above the bound", e)
 				}
 				if again := h.Place(start, permitRequest(next, 0)); again.Engine != d.Engine {
-					r.Fatal("the same request again got another engine")
+					r.Fatal("repeated permit request returned another engine")
 				}
 			case 3, 4:
 				gone := rapid.Uint64Range(0, next).Draw(r, "returned")
@@ -46,7 +46,7 @@
 				h.Sync("router-b", held, next, "")
 			}
 			if h.Held("router-b") != len(out) || h.Work() != ident.Work(len(out))*ident.OneRequest {
-				r.Fatalf("%d permits and work %d counted, %d are out", h.Held("router-b"), h.Work(), len(out))
+				r.Fatalf("counted %d permits and work %d, want %d permits", h.Held("router-b"), h.Work(), len(out))
 			}
 		}
 	})
@@ -60,7 +60,7 @@
 		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
 	if again := h.Place(start, permitRequest(9, 7)); !again.Warm || again.Engine != first.Engine {
-		t.Errorf("got %+v, want a warm place at %d", again, first.Engine)
+		t.Errorf("got %+v, want warm engine %d", again, first.Engine)
 	}
 }
 
@@ -71,13 +71,13 @@
 	list[0].Incarnation = 2
 	h.SetEngines(list, []int{1})
 	if d := h.Place(start, permitRequest(2, 7)); d.Warm {
-		t.Error("a restarted engine counts as having the chat's prefix")
+		t.Error("restarted engine is warm for the chat")
 	}
 	list[0].Incarnation = 1
 	h.SetEngines(list, []int{1})
 	h.Release("router-b", 2)
 	if d := h.Place(start, permitRequest(3, 7)); !d.Warm {
-		t.Error("an old list brought an earlier incarnation back")
+		t.Error("stale engine list replaced a later incarnation")
 	}
 }
 
@@ -93,7 +93,7 @@
 	h.Release("router-b", 2)
 	h.Evicted(other, 7)
 	if d := h.Place(start, permitRequest(3, 7)); !d.Warm || d.Engine != first.Engine {
-		t.Errorf("got %+v, want the place before", d)
+		t.Errorf("got %+v, want the previous engine", d)
 	}
 }
 
@@ -103,7 +103,7 @@
 	h.SetEngines(list, []int{1})
 	for n := uint64(1); n < 10; n++ {
 		if d := h.Place(start, permitRequest(n, ident.ChatKey(n))); d.Engine != list[1].Hash {
-			t.Fatalf("got %+v", d)
+			t.Fatalf("got %+v, want the engine that is not leaving", d)
 		}
 	}
 }
@@ -124,7 +124,7 @@
 	}
 	got := float64(h.LoadOf(fresh.Hash)) / float64(h.Work()) * 3
 	if got < 0.4 || got > 0.8 {
-		t.Errorf("half way through its slow start an engine took %.2f of the mean", got)
+		t.Errorf("halfway through its slow start an engine had %.2f of the mean", got)
 	}
 }
 
@@ -140,7 +140,7 @@
 	if d := h.Place(start, permitRequest(5, 5)); d.Result != place.Busy {
 		t.Errorf("got %v without a free slot, want busy", d.Result)
 	}
-	// Another shard without work: this one is far above the mean, which is no reason to wait.
+	// The other shard has no work, so this one is far above the mean, which is no reason to wait.
 	overloaded, overloadedList := newHome(2)
 	overloaded.SetEngines(overloadedList, []int{2, 18})
 	overloaded.Place(start, permitRequest(1, 1))
@@ -151,6 +151,6 @@
 	must := permitRequest(3, 3)
 	must.Must = true
 	if d := overloaded.Place(start, must); d.Result != place.Placed {
-		t.Errorf("got %v for a request that must be placed", d.Result)
+		t.Errorf("got %v for a request that must be placed, want placed", d.Result)
 	}
 }
--- a/internal/rule/place/local.go
+++ b/internal/rule/place/local.go
@@ -7,9 +7,9 @@
 	"valescale/internal/plat/ident"
 )
 
-// Local decides without a home, from this router's own work alone: the engine of the key's last
-// request if that has room in this router's part of the bound, else the first such engine in
-// the key's own order, else the one to which this router sends least.
+// Local places a request without a home, based on this router's own work alone: on the engine of
+// the key's last request if that has room in this router's share of the bound, else on the first
+// such engine in the key's own order, else on the engine to which this router sends least.
 func (p *Pool) Local(now time.Time, req Request, routers int) Decision {
 	total, usable := p.estimates(routers)
 	if usable == 0 {
@@ -28,10 +28,11 @@
 	return d
 }
 
-// beforeAllShards is the place in a key's order of the engine that has its prompt.
+// lastEngineRank is the shard rank of the engine that has the key's prompt prefix. It precedes all
+// shards in the key's order.
 const lastEngineRank = -1
 
-// chooseAlone picks an engine given the limit that all routers together keep to.
+// chooseLocal selects an engine, given the limit for all routers together.
 func (p *Pool) chooseLocal(now time.Time, req Request, routers int, limit float64) ranked {
 	shardRanks := p.shardRanks(req.Key)
 	edge := uint64(req.Edge.Hash())
@@ -59,30 +60,31 @@
 	return leastLoaded
 }
 
-// hasPart reports whether an engine has room for work in this router's part of the limit. The part
-// of one of many routers is less than a request: rounded up, 62 routers alone would each send the
-// first request of a popular subject to the same engine, and a third of all requests reached
-// engines above twice the mean. So each pair of router and engine, by a hash of both, rounds its
-// own way, and as many of the routers have room as together make the limit.
+// withinLocalShare reports whether an engine has room within this router's share of the limit.
+// With many routers the share is less than one request. If all routers rounded it up, 62 routers
+// without a home would each send the first request of a popular prompt prefix to the same engine,
+// and a third of all requests would reach engines above twice the mean. Therefore each pair of
+// router and engine rounds by a hash of both, so that as many routers have room as together make
+// up the limit.
 func (p *Pool) withinLocalShare(work ident.Work, e *Engine, localShare float64, pairHash uint64) bool {
 	return float64(p.own[e.Hash]+work) <= localShare+ident.Unit(pairHash)*float64(work)
 }
 
-// withScore ranks an engine by a hash of router and engine in place of the key's own order, so that
-// routers without room anywhere do not all take the same engine for a key.
+// withScore replaces the key's hash order by a hash of router and engine, so that routers that
+// have no room anywhere do not all choose the same engine for a key.
 func (r ranked) withScore(pairHash uint64) ranked {
 	r.score = pairHash
 	return r
 }
 
-// Estimate is the work thought to be on an engine when its home cannot be asked:
-// this router's own work times the number of routers.
+// Estimate returns the estimated work on an engine whose home is unreachable: this router's own
+// work times the number of routers.
 func (p *Pool) Estimate(engine ident.TargetHash, routers int) ident.Work {
 	return p.own[engine] * ident.Work(max(routers, 1))
 }
 
-// estimates returns the work thought to be on all engines that may get new work, and
-// how many these are.
+// estimates returns the estimated work on all engines that may receive new requests, and the
+// number of these engines.
 func (p *Pool) estimates(routers int) (total ident.Work, usable int) {
 	for hash := range p.own {
 		if p.Takes(hash) {
@@ -92,7 +94,7 @@
 	return total, p.Usable()
 }
 
-// takes reports whether an engine with some load may run a request beside it.
+// canRun reports whether an engine with the given load may run another request.
 func (e *Engine) canRun(req Request, load ident.Work) bool {
 	if e.Leaving || slices.Contains(req.Avoid, e.Hash) {
 		return false
@@ -100,8 +102,8 @@
 	return e.Slots == 0 || load <= 0 || load+req.Work <= e.Slots
 }
 
-// rank says how well an engine suits a key, its load aside; preference is what the
-// method of that name returns for the key.
+// rank returns the rank of an engine for a key, without its load. shardRanks is the result of the
+// method of that name for the key.
 func (p *Pool) rank(e *Engine, req Request, shardRanks []int) ranked {
 	return ranked{
 		hash: e.Hash, set: true, sameZone: e.Zone == req.Zone, score: ident.Mix(uint64(req.Key), uint64(e.Hash)),
@@ -109,7 +111,7 @@
 	}
 }
 
-// preference gives each shard its place in a key's order.
+// shardRanks returns the rank of each shard in a key's order.
 func (p *Pool) shardRanks(key ident.ChatKey) []int {
 	var order [MaxShards]ident.Shard
 	n := p.Order(key, order[:])
@@ -123,8 +125,8 @@
 	return out
 }
 
-// localHolder is an engine that probably has what a key's requests share, other than the
-// one chosen.
+// localHolder returns an engine that probably has the prompt prefix of the key cached, other than
+// the chosen one.
 func (p *Pool) localHolder(req Request, chosen ident.TargetHash) ident.TargetHash {
 	switch {
 	case req.Once:
@@ -136,8 +138,8 @@
 	}
 }
 
-// likelyHolder is the engine that a key's own order puts first beside the one chosen:
-// homes and routers that decide alone tend to send the key there.
+// preferredHolder returns the first engine in the key's own order other than the chosen one.
+// Homes, and routers without a home, tend to send the key there.
 func (p *Pool) preferredHolder(req Request, chosen ident.TargetHash) ident.TargetHash {
 	shardRanks := p.shardRanks(req.Key)
 	var best ranked
--- a/internal/rule/place/local_test.go
+++ b/internal/rule/place/local_test.go
@@ -21,7 +21,7 @@
 	}
 	for e, n := range counts {
 		if n > 14 {
-			t.Errorf("engine %d has %d of 40", e, n)
+			t.Errorf("engine %d has %d of 40 requests, want 14 at most", e, n)
 		}
 	}
 	if diff := cmp.Diff(place.Empty, place.NewPool("x", 1, place.DefaultBound).Local(time.Time{}, place.Request{}, 1).Result); diff != "" {
--- a/internal/rule/place/memory.go
+++ b/internal/rule/place/memory.go
@@ -6,27 +6,27 @@
 	"valescale/internal/plat/ident"
 )
 
-// spots is how many engines are remembered for one chat. Prefixes that many requests
-// share lie on four or five engines after a day with failures.
+// maxEnginesPerChat is the number of engines that are stored per chat. Prefixes shared by many
+// requests are cached on four or five engines after a day with failures.
 const maxEnginesPerChat = 4
 
-// chatPlace is where a chat ran, the last engine first: when that is full or gone,
-// those before may still have the chat's prefix.
+// chatPlace lists the engines that ran a chat, the last one first. If that is full or gone, the
+// earlier ones may still have the chat's prefix cached.
 type chatPlace struct {
 	seen int64
 	at   [maxEnginesPerChat]engineRun
 }
 
-// last is where the chat ran last.
+// last returns the engine that ran the chat last.
 func (p chatPlace) last() engineRun { return p.at[0] }
 
-// spot is one incarnation of an engine.
+// engineRun is one incarnation of an engine.
 type engineRun struct {
 	incarnation ident.Incarnation
 	engine      ident.TargetHash
 }
 
-// moved returns the place after the chat ran at a spot.
+// movedTo returns the place after the chat ran on an engine.
 func (p chatPlace) movedTo(to engineRun, seen int64) chatPlace {
 	p.seen = seen
 	next := [maxEnginesPerChat]engineRun{to}
@@ -41,7 +41,7 @@
 	return p
 }
 
-// without returns the place after an engine dropped the chat's prefix.
+// without returns the place after an engine evicted the chat's prefix.
 func (p chatPlace) without(engine ident.TargetHash) chatPlace {
 	var left [maxEnginesPerChat]engineRun
 	n := 0
@@ -55,14 +55,14 @@
 	return p
 }
 
-// memory keeps something of the most recently used chats in two generations: when the
-// young one is full it becomes the old one, and what the old one held is forgotten.
+// lru is an approximate LRU cache of values by chat. It has two generations: when the young one is
+// full it becomes the old one, and the previous old one is evicted.
 type lru[V any] struct {
 	young, old      map[ident.ChatKey]V
 	generationLimit int
 }
 
-// newMemory returns an empty memory of at most limit chats.
+// newLRU returns an empty cache of at most limit chats.
 func newLRU[V any](limit int) lru[V] {
 	return lru[V]{
 		young:           map[ident.ChatKey]V{},
@@ -96,7 +96,7 @@
 
 func (m *lru[V]) len() int { return len(m.young) + len(m.old) }
 
-// ChatPlace is a remembered place in the form that a handoff carries.
+// ChatPlace is the stored place of a chat in the form that handoffs and digests contain.
 type ChatPlace struct {
 	Key         ident.ChatKey
 	Engine      ident.TargetHash
@@ -104,8 +104,8 @@
 	SeenUnix    int64
 }
 
-// Places lists up to limit remembered places, those of the young chats first and those
-// of one chat in the order in which it came to them.
+// Places lists up to limit stored places, young chats first, and the engines of one chat from the
+// earliest to the last.
 func (h *Home) Places(limit int) []ChatPlace {
 	out := make([]ChatPlace, 0, min(limit, h.places.len()))
 	for _, generation := range []map[ident.ChatKey]chatPlace{h.places.young, h.places.old} {
@@ -124,7 +124,7 @@
 	return out
 }
 
-// latest lists the last places of all remembered chats.
+// lastPlaces lists the last engine of every stored chat.
 func (h *Home) lastPlaces() []ChatPlace {
 	out := make([]ChatPlace, 0, h.places.len())
 	for _, generation := range []map[ident.ChatKey]chatPlace{h.places.young, h.places.old} {
@@ -136,10 +136,10 @@
 	return out
 }
 
-// Learn takes over places from another home; a later place that is known here stays.
+// Learn merges places from another home. A more recent stored place is kept.
 func (h *Home) Learn(places []ChatPlace) { mergePlaces(&h.places, places) }
 
-// learn takes places into a memory; a later place that is known there stays.
+// mergePlaces adds places to a cache. A more recent stored place is kept.
 func mergePlaces(m *lru[chatPlace], places []ChatPlace) {
 	for _, p := range places {
 		known, ok := m.get(p.Key)
@@ -150,29 +150,28 @@
 	}
 }
 
-// Replica is the memory of chat places that a router keeps for a shard of which it
-// would be home if another were gone.
+// Replica is the copy of a shard's chat places that a standby keeps.
 type Replica struct {
 	lru lru[chatPlace]
 }
 
-// NewReplica returns an empty replica memory of a bound's size.
+// NewReplica returns an empty replica with the size given by a bound.
 func NewReplica(bound Bound) *Replica { return &Replica{lru: newLRU[chatPlace](bound.Places)} }
 
-// Learn takes in places from the shard's home.
+// Learn merges places received from the shard's home.
 func (s *Replica) Learn(places []ChatPlace) { mergePlaces(&s.lru, places) }
 
-// Len is the number of places kept.
+// Len returns the number of stored chats.
 func (s *Replica) Len() int { return s.lru.len() }
 
-// Adopt makes a replica memory the home's own; the replica must not be used afterwards.
+// Adopt replaces the home's places by a replica. The replica must not be used afterwards.
 func (h *Home) Adopt(s *Replica) { h.places = s.lru }
 
-// maxMoves bounds the places that are kept for the next digest; of more, the
-// standby learns the latest.
+// maxPlaceChanges limits the place changes that are kept for the next digest. If there are more,
+// standbys receive the latest ones.
 const maxPlaceChanges = 512
 
-// note keeps a chat's move for the next digest.
+// recordPlace adds a chat's new place to the next digest.
 func (h *Home) recordPlace(key ident.ChatKey, at chatPlace) {
 	if len(h.placeChanges) >= maxPlaceChanges {
 		h.placeChanges = h.placeChanges[:copy(h.placeChanges, h.placeChanges[maxPlaceChanges/2:])]
@@ -182,7 +181,7 @@
 	})
 }
 
-// Evicted notes that an engine no longer holds a chat's cached prefix.
+// Evicted records that an engine evicted a chat's cached prefix.
 func (h *Home) Evicted(engine ident.TargetHash, key ident.ChatKey) {
 	p, ok := h.places.get(key)
 	if !ok {
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -8,7 +8,7 @@
 	"valescale/internal/plat/ident"
 )
 
-// Permit is one request's work on an engine.
+// Permit is the work of one request on an engine.
 type Permit struct {
 	Edge   ident.Router
 	ID     uint64
@@ -21,7 +21,7 @@
 	id   uint64
 }
 
-// hold counts a permit; one that is held already is replaced.
+// hold counts a permit. It replaces an earlier permit with the same edge router and ID.
 func (h *Home) hold(p Permit) {
 	key := permitKey{p.Edge, p.ID}
 	h.drop(key)
@@ -51,14 +51,14 @@
 	}
 }
 
-// Release gives a permit back; releasing twice, or one never given, does nothing.
+// Release releases a permit. Releasing an unknown permit has no effect.
 func (h *Home) Release(edge ident.Router, id uint64) {
 	h.drop(permitKey{edge, id})
 }
 
-// Sync replaces all permits of one edge with the list it holds. Permits newer than
-// upto were asked for after the list was made and stay. Permits that another home
-// counted before no longer count as that home's.
+// Sync replaces all permits of one edge router by the list that it holds. Permits with IDs above
+// upto were requested after the list was made and are kept. Permits that the home from counted
+// before are subtracted from its share.
 func (h *Home) Sync(edge ident.Router, held []Permit, upto uint64, from ident.Router) {
 	h.claim(from, held)
 	for key := range h.permits {
@@ -71,8 +71,8 @@
 	}
 }
 
-// claim takes permits that are new here off what another home published. Its next
-// digest, if there is one, says the same.
+// claim subtracts permits that are new here from the share that another home published. The next
+// digest of that home, if there is one, no longer includes them.
 func (h *Home) claim(from ident.Router, held []Permit) {
 	f, ok := h.peerShare[from]
 	if !ok {
@@ -94,7 +94,8 @@
 	h.recount()
 }
 
-// Forget drops the permits of an edge with ids below a limit: those of a process that is gone.
+// Forget removes an edge router's permits with IDs below a limit, which belong to a process that
+// is gone.
 func (h *Home) Forget(edge ident.Router, below uint64) {
 	for key := range h.permits {
 		if key.edge == edge && key.id < below {
@@ -103,7 +104,7 @@
 	}
 }
 
-// ForgetBelow drops the permits of several edges, each with ids below a limit.
+// ForgetBelow removes the permits of several edge routers, each with IDs below a limit.
 func (h *Home) ForgetBelow(below map[ident.Router]uint64) {
 	for key := range h.permits {
 		if key.id < below[key.edge] {
@@ -112,12 +113,12 @@
 	}
 }
 
-// Holders lists the edges that hold permits.
+// Holders lists the edge routers that hold permits.
 func (h *Home) Holders() []ident.Router { return slices.Collect(maps.Keys(h.permitCount)) }
 
-// Doubt names the edges that may be gone. Until that is known their permits count on
-// their engines, but not in the mean: too high a load and too low a mean are the
-// sides to err on.
+// Doubt replaces the list of suspect edge routers, which may be gone. Until their state is known,
+// their permits count on their engines but not in the mean: too high a load and too low a mean are
+// the safe directions of error.
 func (h *Home) Doubt(edges []ident.Router) {
 	clear(h.suspectEdges)
 	for _, e := range edges {
@@ -125,7 +126,7 @@
 	}
 }
 
-// doubtedWork is the work of permits whose requests may have ended with their edge.
+// suspectWork returns the work of permits whose requests may have ended with their edge router.
 func (h *Home) suspectWork() ident.Work {
 	if len(h.suspectEdges) == 0 {
 		return 0
@@ -139,11 +140,12 @@
 	return work
 }
 
-// Heard notes that an edge spoke of this shard.
+// Heard records a contact with an edge router about this shard.
 func (h *Home) Heard(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
 
-// Lapse drops the permits of the edges that have not spoken of this shard for a lease:
-// they are counted elsewhere by now, or their edge is gone. It returns how many went.
+// Lapse expires the permits of edge routers without contact about this shard for the lease time:
+// another home counts them by now, or the edge router is gone. It returns the number of expired
+// permits.
 func (h *Home) Lapse(now time.Time, lease time.Duration) int {
 	dropped := 0
 	for edge, permitCount := range h.permitCount {
@@ -161,11 +163,11 @@
 	return dropped
 }
 
-// Held is the number of permits that an edge holds here.
+// Held returns the number of permits that an edge router holds here.
 func (h *Home) Held(edge ident.Router) int { return h.permitCount[edge] }
 
-// Len is the number of permits held here.
+// Len returns the number of permits held here.
 func (h *Home) Len() int { return len(h.permits) }
 
-// Granted is the work of all permits held here.
+// Granted returns the work of all permits held here.
 func (h *Home) Granted() ident.Work { return h.granted }
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -6,15 +6,16 @@
 	"valescale/internal/plat/ident"
 )
 
-// Pool is one edge's picture of a pool: its engines, their shards, and the work
-// that this router itself has in flight on each.
+// Pool is an edge router's view of a pool: its engines, their shards, and the work that this
+// router itself has in flight on each.
 type Pool struct {
 	name   ident.Pool
 	roster *Roster
-	// order are the weights by which a key orders the shards.
+	// order holds the weights of the shards in a key's order.
 	order []int
 	own   map[ident.TargetHash]ident.Work
-	// sums are the shards' work as their homes said last; asked is when each home was asked last.
+	// shardLoads are the loads last published by the shards' homes. lastRequest is when this
+	// router sent its last permit request to each home.
 	shardLoads  shardLoads
 	lastRequest [MaxShards]time.Time
 	bound       Bound
@@ -22,11 +23,11 @@
 	last lru[engineRun]
 }
 
-// lastChats is how many chats' engines a router remembers: at 1,200 subjects of a large
-// site all of them; 24 bytes each.
+// maxLastEngines is the number of chats whose last engine a router stores, at 24 bytes each. It
+// covers all of the 1,200 prompt prefixes of a large site.
 const maxLastEngines = 20_000
 
-// NewPool returns a picture without engines; shards is between one and MaxShards.
+// NewPool returns a view without engines. shards is between one and MaxShards.
 func NewPool(name ident.Pool, shards int, bound Bound) *Pool {
 	return &Pool{
 		name:   name,
@@ -37,21 +38,21 @@
 	}
 }
 
-// Inherit takes over from an earlier picture of the same pool what this router has sent
-// where; the earlier one must not be used afterwards.
+// Inherit takes the work in flight and the last engines from an earlier view of the same pool,
+// which must not be used afterwards.
 func (p *Pool) Inherit(from *Pool) {
 	p.own = from.own
 	p.last = from.last
 }
 
-// Remember notes the engine to which this router sent a chat.
+// Remember stores the engine to which this router sent a chat.
 func (p *Pool) Remember(key ident.ChatKey, engine ident.TargetHash) {
 	e, _ := p.Engine(engine)
 	p.last.put(key, engineRun{engine: engine, incarnation: e.Incarnation})
 }
 
-// Last is the engine to which this router sent a chat last, zero if that is not known, or
-// the engine is gone or has started anew since: its caches are empty then.
+// Last returns the engine to which this router sent a chat last. It returns zero if that is
+// unknown, or if the engine was removed or restarted since and its caches are empty.
 func (p *Pool) Last(key ident.ChatKey) ident.TargetHash {
 	at, _ := p.last.get(key)
 	e, known := p.Engine(at.engine)
@@ -64,21 +65,21 @@
 // SetEngines replaces the pool's engines.
 func (p *Pool) SetEngines(engines []Engine) { p.SetRoster(NewRoster(p.Shards(), engines)) }
 
-// SetRoster replaces the pool's engines by those of a roster with as many shards.
+// SetRoster replaces the pool's engines by those of a roster with the same number of shards.
 func (p *Pool) SetRoster(roster *Roster) {
 	p.shardLoads.scaleToWeights(p.roster.weights, roster.weights)
 	p.roster = roster
 	p.order = p.orderWeights()
 }
 
-// HasRoom reports whether a shard with some work can run another request.
+// HasRoom reports whether a shard with the given load can run another request.
 func (p *Pool) HasRoom(shard ident.Shard, work ident.Work) bool {
 	return work <= p.roster.slots[shard]-ident.OneRequest
 }
 
-// orderWeights are the shards' weights in a key's order. With a steady bound shards count
-// alike, whatever the number of their engines: a chat that changes its shard leaves its
-// cached prefix behind, and the bound evens out what is uneven.
+// orderWeights returns the shards' weights in a key's order. With a steady bound, shards have
+// equal weight regardless of their number of engines: a chat that moves to another shard loses its
+// cached prefix, and the bound compensates for the uneven load.
 func (p *Pool) orderWeights() []int {
 	if p.bound.Steady <= 0 {
 		return p.Weights()
@@ -90,19 +91,20 @@
 	return alike
 }
 
-// Weights are the numbers of usable engines of the shards; the caller must not change them.
+// Weights returns the numbers of usable engines of the shards. The caller must not modify them.
 func (p *Pool) Weights() []int { return p.roster.weights }
 
-// NewHome notes that a shard has another home, which has heard nothing yet.
+// NewHome records that a shard has a new home, which has received no shard loads from this router
+// yet.
 func (p *Pool) NewHome(shard ident.Shard) { p.lastRequest[shard] = time.Time{} }
 
-// Usable is the number of engines that may get new work.
+// Usable returns the number of engines that may receive new requests.
 func (p *Pool) Usable() int { return p.roster.usable }
 
-// Shards is the number of the pool's shards.
+// Shards returns the number of shards.
 func (p *Pool) Shards() int { return p.roster.Shards() }
 
-// Takes reports whether an engine may get new work.
+// Takes reports whether an engine may receive new requests.
 func (p *Pool) Takes(hash ident.TargetHash) bool {
 	e := p.roster.find(hash)
 	return e != nil && !e.Leaving
@@ -111,7 +113,7 @@
 // Engine returns one of the pool's engines.
 func (p *Pool) Engine(hash ident.TargetHash) (Engine, bool) { return p.roster.Engine(hash) }
 
-// First returns the shard that a key prefers.
+// First returns the first shard in a key's order.
 func (p *Pool) First(key ident.ChatKey) (ident.Shard, bool) {
 	var order [MaxShards]ident.Shard
 	n := p.Order(key, order[:])
@@ -121,13 +123,13 @@
 // Engines lists the pool's engines.
 func (p *Pool) Engines() []Engine { return p.roster.Engines() }
 
-// Order fills out with the shards in the order that a key prefers.
+// Order fills out with the shards in a key's order and returns their number.
 func (p *Pool) Order(key ident.ChatKey, out []ident.Shard) int { return Order(key, p.order, out) }
 
-// Begin counts work that this router sends to an engine.
+// Begin adds work that this router sends to an engine.
 func (p *Pool) Begin(engine ident.TargetHash, work ident.Work) { p.own[engine] += work }
 
-// End takes work of this router off an engine.
+// End removes work of this router from an engine.
 func (p *Pool) End(engine ident.TargetHash, work ident.Work) {
 	p.own[engine] -= work
 	if p.own[engine] <= 0 {
@@ -135,11 +137,11 @@
 	}
 }
 
-// NoteSum keeps a shard's work as its home just said it.
+// NoteSum stores a shard's load received from its home.
 func (p *Pool) NoteSum(now time.Time, sum Sum) { p.shardLoads.update(now, sum) }
 
-// SumsFor appends to out the shards' work that a shard's home cannot have heard
-// from this router yet.
+// SumsFor appends to out the shard loads that this router has received since its last permit
+// request to a shard's home.
 func (p *Pool) SumsFor(now time.Time, to ident.Shard, out []Sum) []Sum {
 	since := p.lastRequest[to]
 	p.lastRequest[to] = now
--- a/internal/rule/place/prefer.go
+++ b/internal/rule/place/prefer.go
@@ -7,11 +7,11 @@
 	"valescale/internal/plat/ident"
 )
 
-// Capacities are how much work the boxes of routers can carry. A router that is missing
-// counts as the smallest of the others; with none, all count alike.
+// Capacities is the number of cores of each router's box. A missing router counts as the smallest
+// of the others. If none is known, all are equal.
 type Capacities map[ident.Router]ident.Cores
 
-// of returns a router's capacity, given the least of all.
+// of returns a router's capacity, given the smallest one.
 func (c Capacities) of(router ident.Router, minCores ident.Cores) float64 {
 	if cores := c[router]; cores > 0 {
 		return float64(cores)
@@ -19,7 +19,7 @@
 	return float64(minCores)
 }
 
-// least is the smallest capacity that is known, one without any.
+// minCores returns the smallest known capacity, or one if none is known.
 func (c Capacities) minCores() ident.Cores {
 	minCores := ident.Cores(0)
 	for _, cores := range c {
@@ -30,24 +30,24 @@
 	return cmp.Or(minCores, 1)
 }
 
-// steepness is the power of a box's capacity by which it is preferred as a home. A home
-// of 22 engines needs about 0.15 cores at 300 permits a second: all of a box of 0.19
-// cores, which answers late from then on, and a fifth of one of 0.8. With the third
-// power 8 boxes of 0.8 cores get nine in ten of the shards beside 54 of 0.19.
+// capacityExponent is the power of a box's capacity that weights its choice as a home. A home of
+// 22 engines needs about 0.15 cores at 300 permits per second: nearly all of a box of 0.19 cores,
+// which then responds late, and a fifth of one of 0.8. With the third power, 8 boxes of 0.8 cores
+// get nine in ten of the shards beside 54 of 0.19.
 const capacityExponent = 3
 
-// Preference is how much a box is preferred for a task, given a hash of both: rendezvous
-// hashing by the box's capacity. The highest has the task.
+// Preference returns the score of a box for a task, given a hash of both, by rendezvous hashing
+// weighted by capacity. The box with the highest score gets the task.
 func Preference(hash uint64, capacity float64) float64 { return weighted(hash, weight(capacity)) }
 
-// pull is how strongly a box of some capacity is preferred.
+// weight returns the weight of a box with the given capacity.
 func weight(capacity float64) float64 { return math.Pow(capacity, capacityExponent) }
 
-// drawn is the score of a box with some pull, given a hash of box and task.
+// weighted returns the score of a box with the given weight, given a hash of box and task.
 func weighted(hash uint64, weight float64) float64 {
 	uniform := (float64(hash) + 1) / math.MaxUint64
 	return weight / -math.Log(min(uniform, maxUniform))
 }
 
-// almostOne keeps the highest hash from an infinite score.
+// maxUniform prevents an infinite score for the highest hash.
 const maxUniform = 1 - 1e-15
--- a/internal/rule/place/recall_test.go
+++ b/internal/rule/place/recall_test.go
@@ -11,7 +11,7 @@
 	"valescale/internal/rule/place"
 )
 
-// askLast asks for a key whose last engine the edge remembers.
+// placeWithLast places a request whose last engine the edge router has stored.
 func placeWithLast(h *place.Home, key ident.ChatKey, last ident.TargetHash, avoid ...ident.TargetHash) place.Decision {
 	permits++
 	return h.Place(time.Unix(1000, 0), place.Request{
@@ -19,18 +19,18 @@
 	})
 }
 
-// A home that has forgotten a subject sends it where the edge sent it last.
+// A home without a stored place uses the last engine of the edge router.
 func TestNewHomeUsesLastEngineOfEdge(t *testing.T) {
 	for i := range 8 {
 		last := newEngine(i).Hash
 		got := placeWithLast(steadyHome(8), 7, last)
 		if got.Engine != last || !got.Warm {
-			t.Errorf("last at engine %d: got %+v", i, got)
+			t.Errorf("last engine %d: got %+v", i, got)
 		}
 	}
 }
 
-// What a home remembers itself goes before what an edge does.
+// A place stored by the home takes precedence over the last engine of the edge router.
 func TestHomePlacePrecedesLastEngineOfEdge(t *testing.T) {
 	h := steadyHome(8)
 	first := placeWithLast(h, 7, 0)
@@ -39,12 +39,12 @@
 		other = newEngine(1).Hash
 	}
 	if got := placeWithLast(h, 7, other); got.Engine != first.Engine {
-		t.Errorf("engine %d, want %d", got.Engine, first.Engine)
+		t.Errorf("got engine %d, want %d", got.Engine, first.Engine)
 	}
 }
 
-// When a pool gets other shards, a subject's engine may be in another one: it is named as
-// the place to copy from.
+// After a change of the number of shards a key's last engine may be in another shard. It is
+// returned as the cache holder.
 func TestHolderInAnotherShard(t *testing.T) {
 	elsewhere := newEngine(100).Hash
 	got := placeWithLast(steadyHome(8), 7, elsewhere)
@@ -53,20 +53,20 @@
 	}
 }
 
-// A key that does not come back leaves nothing behind.
+// A key that is used once leaves no place.
 func TestOnceKeysAreNotStored(t *testing.T) {
 	h := steadyHome(8)
 	permits++
 	got := h.Place(time.Unix(1000, 0), place.Request{Edge: "edge", Permit: permits, Key: 7, Work: ident.OneRequest, Once: true})
 	if got.Result != place.Placed || got.Holder != 0 {
-		t.Errorf("got %+v, want a place without a holder", got)
+		t.Errorf("got %+v, want placed without a holder", got)
 	}
 	if diff := cmp.Diff([]place.ChatPlace{}, h.Places(10)); diff != "" {
 		t.Errorf("places: %s", diff)
 	}
 }
 
-// steadyPool returns a router's picture of a pool of eight engines.
+// steadyPool returns a router's view of a pool of eight engines.
 func steadyPool(shards int) *place.Pool {
 	p := place.NewPool("p", shards, steady)
 	var list []place.Engine
@@ -77,8 +77,8 @@
 	return p
 }
 
-// A router that decides alone sends a subject where it sent it last, also after the pool
-// got other shards, if it has a part of that engine's share, and else copies from there.
+// A router without a home sends a key to its last engine, even after a change of the number of
+// shards, if it has a share of that engine. Otherwise it copies the prefix from there.
 func TestLocalUsesLastEngine(t *testing.T) {
 	const key, routers = 7, 62
 	kept := 0
@@ -98,15 +98,15 @@
 		}
 		want.Basis = place.Basis{Rule: place.Alone, Load: ident.OneRequest, Mean: ident.OneRequest / ident.Work(p.Usable())}
 		if diff := cmp.Diff(want, got); diff != "" {
-			t.Errorf("last at engine %d: %s", i%8, diff)
+			t.Errorf("last engine %d: %s", i%8, diff)
 		}
 		p.Begin(last, ident.OneRequest)
 		got = p.Local(time.Time{}, request, routers)
 		if got.Engine == last || got.Holder != last {
-			t.Errorf("beside a request at engine %d: got %+v, want another engine that copies from it", i%8, got)
+			t.Errorf("with a request on engine %d: got %+v, want another engine that copies from it", i%8, got)
 		}
 	}
-	// All together may have a few requests on an engine while they have no others.
+	// All routers together may place a few requests on an engine while they have no others.
 	if kept < 1 || kept > routers/4 {
 		t.Errorf("%d of %d routers stay with the last engine, want a few", kept, routers)
 	}
@@ -120,8 +120,8 @@
 	}
 }
 
-// An engine that has started anew holds nothing of before: the router no longer asks for it, though
-// it asks again once it has sent the chat to the new start.
+// A restarted engine has no caches: it is no longer the last engine of a chat until the router
+// sends the chat to the new incarnation.
 func TestLastOfRestartedEngine(t *testing.T) {
 	p := steadyPool(1)
 	e := newEngine(3)
@@ -134,10 +134,10 @@
 	}
 	p.SetEngines(list)
 	if diff := cmp.Diff(ident.TargetHash(0), p.Last(7)); diff != "" {
-		t.Errorf("after a new start: %s", diff)
+		t.Errorf("last engine after a restart: %s", diff)
 	}
 	p.Remember(7, e.Hash)
 	if diff := cmp.Diff(e.Hash, p.Last(7)); diff != "" {
-		t.Errorf("sent to the new start: %s", diff)
+		t.Errorf("last engine after a request to the new incarnation: %s", diff)
 	}
 }
--- a/internal/rule/place/roster.go
+++ b/internal/rule/place/roster.go
@@ -9,31 +9,33 @@
 	"valescale/internal/plat/ident"
 )
 
-// Roster lists the engines of a pool by shard. It never changes: With returns another that shares all shards in
-// which nothing is new, so that homes, edges and whoever joins them hold each engine once, and a change of
-// one engine costs no more in a large pool than in a small one.
+// Roster lists the engines of a pool by shard. It is immutable: With returns a new roster that
+// shares all unchanged shards, so that homes and edge routers hold each engine once, and a change
+// of one engine costs no more in a large pool than in a small one.
 type Roster struct {
-	// shards are the engines of each shard, by hash; neither engines nor lists are changed.
+	// shards holds the engines of each shard, ordered by hash. Neither the engines nor the lists
+	// are modified.
 	shards [][]*Engine
-	// weights are the numbers of usable engines of each shard, slots how much work these can run; noLimit
-	// if that of one is not known.
+	// weights holds the number of usable engines of each shard. slots holds the work that these
+	// can run, or unlimited if one of them has no limit.
 	weights []int
 	slots   []ident.Work
 	usable  int
 }
 
-// NewRoster returns the roster of some engines; shards is between one and MaxShards.
+// NewRoster returns a roster of the given engines. shards is between one and MaxShards.
 func NewRoster(shards int, engines []Engine) *Roster {
 	shards = min(max(shards, 1), MaxShards)
 	empty := &Roster{shards: make([][]*Engine, shards), weights: make([]int, shards), slots: make([]ident.Work, shards)}
 	return empty.With(engines, nil)
 }
 
-// With returns the roster with some engines new or replaced, and others gone.
+// With returns a copy of the roster with some engines added or replaced, and others removed.
 func (r *Roster) With(changed []Engine, gone []ident.TargetHash) *Roster {
 	next := &Roster{shards: slices.Clone(r.shards), weights: slices.Clone(r.weights), slots: slices.Clone(r.slots), usable: r.usable}
 	copied := map[ident.Shard]bool{}
-	// at returns a shard's engines, which are next's own, and where one of them is or belongs.
+	// at copies the shard of an engine into next on first use. It returns the shard and the
+	// engine's position, or insert position, in it.
 	at := func(hash ident.TargetHash) (shard ident.Shard, i int, found bool) {
 		shard = ShardOf(hash, len(r.shards))
 		if !copied[shard] {
@@ -61,12 +63,12 @@
 	return next
 }
 
-// search returns where the engine with a hash is, or belongs.
+// searchEngines returns the position, or insert position, of the engine with a hash.
 func searchEngines(engines []*Engine, hash ident.TargetHash) (int, bool) {
 	return slices.BinarySearchFunc(engines, hash, func(e *Engine, hash ident.TargetHash) int { return cmp.Compare(e.Hash, hash) })
 }
 
-// count sums up a shard's engines.
+// count updates a shard's number of usable engines and slots.
 func (r *Roster) count(shard ident.Shard) {
 	weight, slots := 0, ident.Work(0)
 	for _, e := range r.shards[shard] {
@@ -79,7 +81,7 @@
 	r.weights[shard], r.slots[shard] = weight, slots
 }
 
-// noLimit stands for the slots of a shard one of whose engines has no limit.
+// unlimited is the number of slots of a shard in which an engine has no limit.
 const unlimited ident.Work = math.MaxInt64
 
 // addSlots adds an engine's slots to those of its shard.
@@ -90,7 +92,8 @@
 	return sum + slots
 }
 
-// shard lists the engines of a shard, none of one that the pool has not: another router may know more shards.
+// shard lists the engines of a shard, or none if the pool has no such shard: another router may
+// use a larger number of shards.
 func (r *Roster) shard(shard ident.Shard) []*Engine {
 	if int(shard) >= len(r.shards) {
 		return nil
@@ -98,7 +101,7 @@
 	return r.shards[shard]
 }
 
-// sharesWith reports whether a shard is the very same in another roster; r may be nil.
+// sharesWith reports whether another roster shares a shard's list of engines. r may be nil.
 func (r *Roster) sharesWith(other *Roster, shard ident.Shard) bool {
 	if r == nil || len(r.shards) != len(other.shards) {
 		return false
@@ -107,13 +110,13 @@
 	return len(a) == len(b) && (len(a) == 0 || &a[0] == &b[0])
 }
 
-// Shards is the number of shards.
+// Shards returns the number of shards.
 func (r *Roster) Shards() int { return len(r.shards) }
 
-// Weights are the numbers of usable engines of the shards; the caller must not change them.
+// Weights returns the numbers of usable engines of the shards. The caller must not modify them.
 func (r *Roster) Weights() []int { return r.weights }
 
-// Len is the number of engines.
+// Len returns the number of engines.
 func (r *Roster) Len() int {
 	n := 0
 	for _, engines := range r.shards {
@@ -122,7 +125,7 @@
 	return n
 }
 
-// Usable is the number of engines that may get new work.
+// Usable returns the number of engines that may receive new requests.
 func (r *Roster) Usable() int { return r.usable }
 
 // Engine returns one of the engines.
@@ -134,7 +137,7 @@
 	return *e, true
 }
 
-// find returns one of the engines, which must not be changed, or nil.
+// find returns one of the engines, which must not be modified, or nil.
 func (r *Roster) find(hash ident.TargetHash) *Engine {
 	engines := r.shards[ShardOf(hash, len(r.shards))]
 	i, found := searchEngines(engines, hash)
@@ -144,7 +147,7 @@
 	return engines[i]
 }
 
-// Engines lists all engines, by shard and hash.
+// Engines lists all engines, ordered by shard and hash.
 func (r *Roster) Engines() []Engine {
 	out := make([]Engine, 0, r.Len())
 	for e := range r.all() {
@@ -153,7 +156,7 @@
 	return out
 }
 
-// all goes through the engines, which must not be changed, by shard and hash.
+// all iterates over the engines, which must not be modified, by shard and hash.
 func (r *Roster) all() iter.Seq[*Engine] {
 	return func(yield func(*Engine) bool) {
 		for _, engines := range r.shards {
--- a/internal/rule/place/search.go
+++ b/internal/rule/place/search.go
@@ -6,28 +6,28 @@
 	"valescale/internal/plat/ident"
 )
 
-// maxTries is how many shards are asked before one is asked to take the request
-// on its least loaded engine.
+// maxShardAttempts is the number of shards that are tried before one of them must place the
+// request on its least loaded engine.
 const maxShardAttempts = 4
 
-// Search is one request's way through a pool's shards: first those that its chat
-// prefers, each asked whether it has room under the bound, then the least loaded
-// of them, which is to take the request or let it wait.
+// Search iterates over a pool's shards for one request: first those that its chat prefers, which
+// place it only if they have room under the bound, then the least loaded of them, which must place
+// it or let it wait.
 type Search struct {
 	order [maxShardAttempts]ident.Shard
 	n     int
 	next  int
 }
 
-// Step is what to ask next.
+// Step is the next permit request to send.
 type Step struct {
 	Shard ident.Shard
-	// Must asks for the shard's least loaded engine; only then may the request wait.
+	// Must requests the shard's least loaded engine. Only then may the request wait.
 	Must bool
 }
 
-// NewSearch starts a search for a key. With the pool known to be saturated, asking
-// around is useless, and the first shard is to let the request wait.
+// NewSearch starts a search for a key. If the pool is known to be saturated, trying several shards
+// is useless, and the request waits in the first shard.
 func (p *Pool) NewSearch(key ident.ChatKey, saturated bool) Search {
 	var all [MaxShards]ident.Shard
 	var s Search
@@ -40,8 +40,7 @@
 	return s
 }
 
-// Next returns what to ask next; it may be called again after the last step, which
-// is then the same.
+// Next returns the next step. The last step is returned again on further calls.
 func (s *Search) Next(now time.Time, p *Pool) (Step, bool) {
 	if s.n == 0 {
 		return Step{}, false
@@ -54,7 +53,7 @@
 	return Step{Shard: s.leastLoadedShard(p), Must: true}, true
 }
 
-// lightest returns the tried shard whose engines have the least work on average.
+// leastLoadedShard returns the tried shard with the lowest average work per engine.
 func (s *Search) leastLoadedShard(p *Pool) ident.Shard {
 	best := s.order[0]
 	for _, shard := range s.order[1:s.n] {
@@ -65,7 +64,7 @@
 	return best
 }
 
-// lighter compares two shards' average work as their homes said last.
+// lessLoaded compares the average work of two shards by their last published loads.
 func (p *Pool) lessLoaded(a, b ident.Shard) bool {
 	return int64(p.shardLoads[a].work)*int64(p.Weights()[b]) < int64(p.shardLoads[b].work)*int64(p.Weights()[a])
 }
--- a/internal/rule/place/setup_test.go
+++ b/internal/rule/place/setup_test.go
@@ -17,7 +17,7 @@
 	id    = place.ShardID{Pool: "judge@co", Shard: 0}
 )
 
-// engines returns some engines alike.
+// engines returns n equal engines.
 func engines(n int) []place.Engine {
 	var out []place.Engine
 	for i := range n {
@@ -27,7 +27,7 @@
 	return out
 }
 
-// newHome returns a home with some engines, and these.
+// newHome returns a home with n engines, and the engines.
 func newHome(n int) (*place.Home, []place.Engine) {
 	h := place.NewHome(id, "router-a", place.DefaultBound, 0)
 	list := engines(n)
@@ -35,12 +35,12 @@
 	return h, list
 }
 
-// ask is an edge's request for a permit.
+// permitRequest returns an edge router's permit request.
 func permitRequest(permit uint64, key ident.ChatKey) place.Request {
 	return place.Request{Edge: "router-b", Permit: permit, Key: key, Work: ident.OneRequest}
 }
 
-// excess is how far above the bound an admission has brought an engine, in requests.
+// excess returns by how many requests an engine exceeds the bound.
 func excess(h *place.Home, list []place.Engine, at ident.TargetHash) float64 {
 	total := ident.Work(0)
 	for _, e := range list {
--- a/internal/rule/place/shard.go
+++ b/internal/rule/place/shard.go
@@ -8,21 +8,21 @@
 	"valescale/internal/plat/ident"
 )
 
-// ShardOf returns the shard that a target belongs to when its pool has n shards.
+// ShardOf returns the shard of a target if its pool has n shards.
 func ShardOf(target ident.TargetHash, n int) ident.Shard {
 	return ident.Shard(ident.Mix(uint64(target), shardSalt) % uint64(n))
 }
 
-// shardSalt keeps the choice of a shard apart from the order of engines within it.
+// shardSalt makes the choice of a shard independent of the order of engines within it.
 const shardSalt = 0x5ca1e
 
-// ShardID names a shard of a pool.
+// ShardID identifies a shard of a pool.
 type ShardID struct {
 	Pool  ident.Pool
 	Shard ident.Shard
 }
 
-// homeOf returns a shard's first router by rendezvous hashing, or the empty id when
+// homeOf returns the router with the highest rendezvous score for a shard, or the empty ID if
 // there are no routers.
 func homeOf(id ShardID, routers []ident.Router) ident.Router {
 	return rendezvous(shardSeed(id), routers)
@@ -32,7 +32,7 @@
 	return ident.Mix(xxhash.Sum64String(string(id.Pool)), uint64(id.Shard))
 }
 
-// OwnerOf returns the router that is home of a named thing, such as a workspace's limit.
+// OwnerOf returns the router that is home of a named object, such as a workspace's limit.
 func OwnerOf(name string, routers []ident.Router) ident.Router {
 	return rendezvous(xxhash.Sum64String(name), routers)
 }
@@ -49,9 +49,8 @@
 	return best
 }
 
-// Order fills out with the shards in the order in which a key prefers them and
-// returns how many there are. Weights are the shards' numbers of usable engines;
-// a shard without any is left out.
+// Order fills out with the shards in a key's order of preference and returns their number. weights
+// are the shards' numbers of usable engines. Shards without usable engines are omitted.
 func Order(key ident.ChatKey, weights []int, out []ident.Shard) int {
 	n := 0
 	var scores [MaxShards]float64
@@ -59,7 +58,7 @@
 		if w <= 0 || n == len(out) {
 			continue
 		}
-		// Weighted rendezvous: the smallest exponential variate of rate w wins.
+		// Weighted rendezvous hashing: the smallest exponential variate of rate w wins.
 		score := -math.Log(ident.Unit(ident.Mix(uint64(key), uint64(s)+1))) / float64(w)
 		i := n
 		for i > 0 && scores[i-1] > score {
@@ -72,5 +71,5 @@
 	return n
 }
 
-// MaxShards bounds the number of shards of a pool.
+// MaxShards is the maximum number of shards of a pool.
 const MaxShards = 64
--- a/internal/rule/place/steady_test.go
+++ b/internal/rule/place/steady_test.go
@@ -20,7 +20,7 @@
 	return place.Engine{ID: id, Hash: id.Hash(), Incarnation: 1}
 }
 
-// steadyHome returns a home with some engines in one shard.
+// steadyHome returns a home with the given number of engines in one shard.
 func steadyHome(engines int) *place.Home {
 	h := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 1)
 	var list []place.Engine
@@ -38,7 +38,7 @@
 	return h.Place(time.Unix(1000, 0), place.Request{Edge: "edge", Permit: permits, Key: key, Work: ident.OneRequest, Avoid: avoid})
 }
 
-// A home that has forgotten everything finds most subjects where they were.
+// A home without stored places chooses the same engine for most keys.
 func TestPlacementRepeatsAfterLossOfPlaces(t *testing.T) {
 	before, after := steadyHome(20), steadyHome(20)
 	same := 0
@@ -52,24 +52,24 @@
 		}
 	}
 	if same < keys*9/10 {
-		t.Errorf("%d of %d subjects are found again", same, keys)
+		t.Errorf("%d of %d keys were placed on the same engine", same, keys)
 	}
 }
 
-// A subject that has to go elsewhere is told where its prompt can be copied from.
+// A request that is placed on another engine gets the engine from which its prompt can be copied.
 func TestHolders(t *testing.T) {
 	h := steadyHome(4)
 	first := placeKey(h, 7)
 	second := placeKey(h, 7, first.Engine)
 	if diff := cmp.Diff(first.Engine, second.Holder); diff != "" || second.Warm {
-		t.Errorf("the second place's holder: %s, warm %v", diff, second.Warm)
+		t.Errorf("holder of the second placement: %s, warm %v", diff, second.Warm)
 	}
 	third := placeKey(h, 7, first.Engine, second.Engine)
 	if diff := cmp.Diff(second.Engine, third.Holder); diff != "" {
-		t.Errorf("the third place's holder: %s", diff)
+		t.Errorf("holder of the third placement: %s", diff)
 	}
 	if again := placeKey(h, 7, second.Engine, third.Engine); again.Engine != first.Engine || !again.Warm {
-		t.Errorf("got %+v, want the first place, which is still known", again)
+		t.Errorf("got %+v, want the first engine, which is still stored", again)
 	}
 	permits++
 	lost := h.Place(time.Unix(1000, 0), place.Request{
@@ -82,7 +82,7 @@
 	}
 }
 
-// Joins and leaves of engines do not move subjects to other shards.
+// Engines that join or leave do not move keys to other shards.
 func TestShardOrderIgnoresEngineCounts(t *testing.T) {
 	order := func(engines int, key ident.ChatKey) ident.Shard {
 		p := place.NewPool("p", 4, steady)
@@ -97,7 +97,7 @@
 	}
 	for key := range ident.ChatKey(100) {
 		if before, after := order(80, key), order(100, key); before != after {
-			t.Fatalf("subject %d moves from shard %d to %d as engines join", key, before, after)
+			t.Fatalf("key %d moved from shard %d to %d after engines joined", key, before, after)
 		}
 	}
 }
--- a/internal/rule/place/takeover_test.go
+++ b/internal/rule/place/takeover_test.go
@@ -9,7 +9,7 @@
 	"valescale/internal/rule/place"
 )
 
-// Two routers that both believe to be home each add what the other published.
+// Two routers that act as home of one shard each add the work that the other published.
 func TestTwoHomesOfOneShard(t *testing.T) {
 	a, list := newHome(4)
 	b := place.NewHome(id, "router-z", place.DefaultBound, 0)
@@ -37,12 +37,12 @@
 	before := a.Work()
 	a.Place(late, permitRequest(1000, 1))
 	if a.Work() >= before {
-		t.Error("counts of a home that fell silent still stand")
+		t.Error("counts of a silent home did not expire")
 	}
 }
 
-// A home dies. Its standby knows its counts, and each edge that moves there brings
-// its own permits: none may count twice.
+// When a home crashes, its standby has its counts, and each edge router that moves to the standby
+// sends its own permits. No permit may count twice.
 func TestStandbyTakesOver(t *testing.T) {
 	a, list := newHome(4)
 	var held []place.Permit
@@ -66,7 +66,7 @@
 	}
 }
 
-// The permits of a router that may be gone count on their engines, not in the mean.
+// The permits of a suspect edge router count on their engines, but not in the mean.
 func TestSuspectEdge(t *testing.T) {
 	h, _ := newHome(2)
 	for n := uint64(1); n <= 8; n++ {
@@ -79,12 +79,12 @@
 	}
 	h.Doubt(nil)
 	if got := h.Total(start); got != total {
-		t.Errorf("total %d once the doubt is over, want %d", got, total)
+		t.Errorf("total %d without suspect edge routers, want %d", got, total)
 	}
 }
 
-// A new home counts what its predecessor published until the edge speaks for itself, and
-// knows the chats' places.
+// A new home counts the permits that its predecessor published until the edge router sends its own
+// list, and has the chats' places.
 func TestShardHandoff(t *testing.T) {
 	a, list := newHome(2)
 	for n := uint64(1); n <= 4; n++ {
@@ -105,13 +105,13 @@
 		t.Error(diff)
 	}
 	if got := b.Held("router-b"); got != 1 {
-		t.Errorf("%d permits counted, want the edge's own word for 1", got)
+		t.Errorf("counted %d permits, want the 1 in the edge router's list", got)
 	}
 	if d := b.Place(start, permitRequest(9, 1)); !d.Warm {
-		t.Error("the new home does not know the chat's place")
+		t.Error("the new home does not have the chat's place")
 	}
 	b.Forget("router-b", 9)
 	if got := b.Held("router-b"); got != 1 {
-		t.Errorf("%d permits after those of an earlier process went, want 1", got)
+		t.Errorf("counted %d permits after removal of those of an earlier process, want 1", got)
 	}
 }
