--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -13,37 +13,36 @@
 	Work   ident.Work
 }
 
-// Digest is what a home publishes of its shard.
+// Digest is the state that a home publishes about its shard.
 type Digest struct {
 	ID   ShardID
 	Home ident.Router
 	// Seq orders the digests of one home.
 	Seq uint64
-	// Work is the shard's work as this home knows it, another home's share included.
+	// Work is the shard's total work according to this home, including the shares of other homes.
 	Work ident.Work
-	// Loads are what this home admitted itself.
+	// Loads is the work on each engine that this home admitted itself.
 	Loads []EngineWork
-	// Places are where chats went since the last digest.
+	// Places are the chats that moved to another engine since the last digest.
 	Places []ChatPlace
 }
 
-// Sum is one shard's work, as its home said some time ago. Sums travel with
-// requests for permits and their answers, so that homes learn the pool's mean
-// without messages of their own.
+// Sum is the load of one shard as published by its home some time ago. Sums are sent with permit
+// requests and responses, so that homes compute the pool's mean without additional messages.
 type Sum struct {
 	Shard ident.Shard
 	Age   time.Duration
 	Work  ident.Work
 }
 
-// sums holds the latest known work of each shard of a pool.
-type sums [MaxShards]struct {
+// shardLoads holds the latest known load of each shard of a pool.
+type shardLoads [MaxShards]struct {
 	at   time.Time
 	work ident.Work
 }
 
-// note keeps a sum if it is later than the one known, and reports whether it was.
-func (s *sums) note(now time.Time, sum Sum) bool {
+// update stores a shard load if it is newer than the stored one, and reports whether it was.
+func (s *shardLoads) update(now time.Time, sum Sum) bool {
 	if sum.Shard >= MaxShards {
 		return false
 	}
@@ -56,32 +55,32 @@
 	return true
 }
 
-// Work that was there some time ago may have ended since. An old sum counts for
-// less, so that a mean from old news is too low, which costs an ask elsewhere,
-// rather than too high, which would break the bound.
+// The load of a shard may have decreased since it was published. Older loads are reduced, so that
+// a mean computed from stale values is too low, which costs a request to another shard, instead of
+// too high, which would break the bound.
 const (
-	staleAtOnce    = 0.01
-	stalePerSecond = 0.02
-	staleAtMost    = 0.25
+	baseStaleRatio      = 0.01
+	staleRatioPerSecond = 0.02
+	maxStaleRatio       = 0.25
 )
 
-// total adds up what is not older than a limit, without one shard.
-func (s *sums) total(now time.Time, life time.Duration, without ident.Shard) ident.Work {
+// total returns the sum of the loads that are at most maxAge old, without one shard.
+func (s *shardLoads) total(now time.Time, maxAge time.Duration, without ident.Shard) ident.Work {
 	total := 0.0
 	for i := range s {
 		age := now.Sub(s[i].at)
-		if ident.Shard(i) == without || age > life {
+		if ident.Shard(i) == without || age > maxAge {
 			continue
 		}
-		stale := min(staleAtOnce+stalePerSecond*age.Seconds(), staleAtMost)
+		stale := min(baseStaleRatio+staleRatioPerSecond*age.Seconds(), maxStaleRatio)
 		total += float64(s[i].work) * (1 - stale)
 	}
 	return ident.Work(total)
 }
 
-// reweigh lowers the sums of shards that have lost engines: what their homes said
-// still has the lost engines' work in it.
-func (s *sums) reweigh(before, after []int) {
+// scaleToWeights reduces the loads of shards that lost engines. The published loads still include
+// the work of the lost engines.
+func (s *shardLoads) scaleToWeights(before, after []int) {
 	for i := range min(len(before), len(after)) {
 		if after[i] < before[i] {
 			s[i].work = s[i].work * ident.Work(after[i]) / ident.Work(before[i])
@@ -89,13 +88,14 @@
 	}
 }
 
-// foreign is what another home of the same shard admitted.
-type foreign struct {
+// peerShare is the work that another home of the same shard admitted.
+type peerShare struct {
 	digest Digest
 	at     time.Time
 }
 
-// Digest returns what this home admitted itself and the shard's work as it knows it.
+// Digest returns the work that this home admitted itself and the shard's total load, and clears
+// the pending place changes.
 func (h *Home) Digest() Digest {
 	h.seq++
 	d := Digest{ID: h.id, Home: h.self, Seq: h.seq, Work: h.SureWork()}
@@ -105,12 +105,12 @@
 			d.Loads = append(d.Loads, EngineWork{Engine: e.Hash, Work: e.own})
 		}
 	}
-	d.Places = slices.Clone(h.moves)
-	h.moves = h.moves[:0]
+	d.Places = slices.Clone(h.placeChanges)
+	h.placeChanges = h.placeChanges[:0]
 	return d
 }
 
-// Work is the work on the shard's usable engines.
+// Work returns the work on the shard's usable engines.
 func (h *Home) Work() ident.Work {
 	var work ident.Work
 	for i := range h.engines {
@@ -121,79 +121,79 @@
 	return work
 }
 
-// SureWork is the work on the shard's usable engines without that of edges that may be gone.
-func (h *Home) SureWork() ident.Work { return max(h.Work()-h.doubtedWork(), 0) }
+// SureWork returns the work on the shard's usable engines without that of suspect edge routers.
+func (h *Home) SureWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
 
-// MergeSums takes in other shards' work as an edge heard of it.
+// MergeSums merges the loads of other shards that an edge router sent.
 func (h *Home) MergeSums(now time.Time, list []Sum) {
 	for _, s := range list {
 		if s.Shard != h.id.Shard {
-			h.sums.note(now, s)
+			h.shardLoads.update(now, s)
 		}
 	}
 }
 
-// sumsInAnswer is how many other shards' work an answer carries.
-const sumsInAnswer = 4
+// maxLoadsPerResponse is the number of shard loads in a permit response.
+const maxLoadsPerResponse = 4
 
-// NextSums returns some other shards' work, other ones with each call, so that news
-// spreads from edge to edge through the homes that they ask.
+// NextSums returns the loads of some other shards, in rotation, so that shard loads spread between
+// edge routers through the homes to which they send permit requests.
 func (h *Home) NextSums(now time.Time) []Sum {
 	var out []Sum
 	shards := len(h.weights)
 	for range shards {
-		h.told = (h.told + 1) % shards
-		s := &h.sums[h.told]
+		h.lastSentShard = (h.lastSentShard + 1) % shards
+		s := &h.shardLoads[h.lastSentShard]
 		age := now.Sub(s.at)
-		if ident.Shard(h.told) == h.id.Shard || age > h.bound.DigestLife {
+		if ident.Shard(h.lastSentShard) == h.id.Shard || age > h.bound.DigestLife {
 			continue
 		}
-		out = append(out, Sum{Shard: ident.Shard(h.told), Age: age, Work: s.work})
-		if len(out) == sumsInAnswer {
+		out = append(out, Sum{Shard: ident.Shard(h.lastSentShard), Age: age, Work: s.work})
+		if len(out) == maxLoadsPerResponse {
 			break
 		}
 	}
 	return out
 }
 
-// Merge takes in another home's digest of any shard of the same pool: another
-// shard's work for the mean, another home's share of this shard for its engines' loads.
+// Merge merges another home's digest for a shard of the same pool: another shard's load counts in
+// the mean, another home's share of this shard in the loads of its engines.
 func (h *Home) Merge(now time.Time, d Digest) {
 	if d.Home == h.self || d.ID.Pool != h.id.Pool {
 		return
 	}
 	if d.ID.Shard != h.id.Shard {
-		h.sums.note(now, Sum{Shard: d.ID.Shard, Work: d.Work})
+		h.shardLoads.update(now, Sum{Shard: d.ID.Shard, Work: d.Work})
 		return
 	}
-	if old, ok := h.foreign[d.Home]; ok && old.digest.Seq >= d.Seq {
+	if old, ok := h.peerShare[d.Home]; ok && old.digest.Seq >= d.Seq {
 		return
 	}
-	h.foreign[d.Home] = foreign{digest: d, at: now}
+	h.peerShare[d.Home] = peerShare{digest: d, at: now}
 	h.recount()
 }
 
-// expire drops other homes' shares that were not renewed in time.
+// expire removes the shares of other homes that were not renewed within DigestLife.
 func (h *Home) expire(now time.Time) {
-	for home, f := range h.foreign {
+	for home, f := range h.peerShare {
 		if now.Sub(f.at) > h.bound.DigestLife {
-			delete(h.foreign, home)
+			delete(h.peerShare, home)
 			h.recount()
 		}
 	}
 }
 
-// recount adds other homes' shares of this shard to its engines' loads.
+// recount recomputes the work on the shard's engines that other homes admitted.
 func (h *Home) recount() {
 	for i := range h.engines {
-		h.engines[i].foreign = 0
+		h.engines[i].peerShare = 0
 	}
-	h.elsewhere = 0
-	for _, f := range h.foreign {
+	h.peerWork = 0
+	for _, f := range h.peerShare {
 		for _, l := range f.digest.Loads {
-			h.elsewhere += l.Work
+			h.peerWork += l.Work
 			if i, ok := h.index[l.Engine]; ok {
-				h.engines[i].foreign += l.Work
+				h.engines[i].peerShare += l.Work
 			}
 		}
 	}
--- a/internal/rule/place/local_test.go
+++ b/internal/rule/place/local_test.go
@@ -10,7 +10,7 @@
 	"valescale/internal/rule/place"
 )
 
-func TestLocalSharesKeepTheBoundTogether(t *testing.T) {
+func TestLocalKeepsBound(t *testing.T) {
 	p := place.NewPool("judge@co", 2, place.DefaultBound)
 	p.SetEngines(engines(4))
 	counts := map[ident.TargetHash]int{}
@@ -21,7 +21,7 @@
 	}
 	for e, n := range counts {
 		if n > 14 {
-			t.Errorf("engine %d has %d of 40", e, n)
+			t.Errorf("engine %d has %d of 40 requests, want 14 at most", e, n)
 		}
 	}
 	if diff := cmp.Diff(place.Empty, place.NewPool("x", 1, place.DefaultBound).Local(time.Time{}, place.Request{}, 1).Result); diff != "" {
