--- a/examples/processes.sh
+++ b/examples/processes.sh
@@ -110,8 +110,12 @@
 
 for name in router-a router-b router-c; do start "$name"; done
 list router-a router-b router-c
+# lists_all ROUTER: whether a router's membership view has all three routers.
+lists_all() { [ "$(operator "$1" status --json | grep -o '"state":"MEMBER_STATE_LIVE"' | wc -l)" = 3 ]; }
 for name in router-a router-b router-c; do
   until_ok curl -sf "http://${admin[$name]}/readyz" || { echo "$name is never ready"; exit 1; }
+  # A router is ready before it has read the list of boxes, and a change waits only for listed routers.
+  until_ok lists_all "$name" || { echo "$name never lists all routers"; exit 1; }
 done
 check "apply" "revision 1 is in force on every router" "$(operator router-a apply examples/services.ini)"
 check "status elsewhere" '"revision":"1"' "$(operator router-c status --json)"
