--- a/internal/rule/retry/breaker.go
+++ b/internal/rule/retry/breaker.go
@@ -2,88 +2,90 @@
 
 import "time"
 
-// BreakerState is whether requests may go to a target.
+// BreakerState is the state of a circuit breaker.
 type BreakerState string
 
 const (
-	// Closed breakers let everything through.
+	// Closed breakers admit all requests.
 	Closed BreakerState = "closed"
-	// Open breakers let nothing through until a pause is over.
+	// Open breakers admit no requests until their open period has elapsed.
 	Open BreakerState = "open"
-	// Half open breakers let one request through as a trial.
+	// HalfOpen breakers admit a single probe request.
 	HalfOpen BreakerState = "half_open"
 )
 
-// Breaker judges one target by the outcomes of the requests sent to it.
+// Breaker is the circuit breaker of one target. It opens when a large part of the requests
+// that were sent to the target fail.
 type Breaker struct {
-	state    BreakerState
-	failures float64
-	total    float64
-	at       time.Time
-	until    time.Time
-	pause    time.Duration
-	trial    bool
-	// tripped is set while the breaker is not closed because the target could not be reached.
+	state        BreakerState
+	failures     float64
+	total        float64
+	decayedAt    time.Time
+	openUntil    time.Time
+	openDuration time.Duration
+	probing      bool
+	// tripped is set from a failed connection attempt until the breaker closes again.
 	tripped bool
 }
 
 const (
-	breakerHalfLife = 5 * time.Second
-	breakerMinimum  = 4
-	breakerShare    = 0.5
-	breakerPause    = time.Second
-	breakerMaxPause = 30 * time.Second
+	breakerHalfLife        = 5 * time.Second
+	breakerMinRequests     = 4
+	breakerFailureRatio    = 0.5
+	breakerOpenDuration    = time.Second
+	breakerMaxOpenDuration = 30 * time.Second
 )
 
 // NewBreaker returns a closed breaker.
 func NewBreaker(now time.Time) *Breaker {
-	return &Breaker{state: Closed, at: now, pause: breakerPause}
+	return &Breaker{state: Closed, decayedAt: now, openDuration: breakerOpenDuration}
 }
 
-// Allow reports whether a request may be sent now; in the half open state the
-// caller must report the trial's outcome.
+// Allow reports whether a request may be sent now. In the half-open state the request is
+// the probe, and the caller must report its outcome with Report, Trip or Cancelled.
 func (b *Breaker) Allow(now time.Time) bool {
 	switch b.state {
 	case Closed:
 		return true
 	case Open:
-		if now.Before(b.until) {
+		if now.Before(b.openUntil) {
 			return false
 		}
 		b.state = HalfOpen
-		b.trial = true
+		b.probing = true
 		return true
 	default:
-		if b.trial {
+		if b.probing {
 			return false
 		}
-		b.trial = true
+		b.probing = true
 		return true
 	}
 }
 
-// Trip opens the breaker at once: the target could not even be reached.
+// Trip opens the breaker regardless of the failure ratio, after a connection to the target
+// could not be established.
 func (b *Breaker) Trip(now time.Time) {
-	if b.state == Open && now.Before(b.until) {
+	if b.state == Open && now.Before(b.openUntil) {
 		return
 	}
-	pause := b.pause
+	openDuration := b.openDuration
 	if b.state == HalfOpen {
-		pause = min(2*b.pause, breakerMaxPause)
+		openDuration = min(2*b.openDuration, breakerMaxOpenDuration)
 	}
-	b.open(now, pause)
+	b.open(now, openDuration)
 	b.tripped = true
 }
 
-// Tripped reports whether the target could not be reached last.
+// Tripped reports whether the breaker was opened by Trip and has not closed since.
 func (b *Breaker) Tripped() bool { return b.tripped }
 
-// Blocked reports whether Allow would refuse, without starting a trial.
+// Blocked reports whether Allow would return false, without starting a probe.
 func (b *Breaker) Blocked(now time.Time) bool {
-	return (b.state == Open && now.Before(b.until)) || (b.state == HalfOpen && b.trial)
+	return (b.state == Open && now.Before(b.openUntil)) || (b.state == HalfOpen && b.probing)
 }
 
-// Report notes the outcome of a request.
+// Report records the outcome of a request.
 func (b *Breaker) Report(now time.Time, ok bool) {
 	b.decay(now)
 	b.total++
@@ -94,34 +96,34 @@
 	case b.state == HalfOpen && ok:
 		*b = *NewBreaker(now)
 	case b.state == HalfOpen:
-		b.open(now, min(b.pause*2, breakerMaxPause))
-	case b.state == Closed && b.total >= breakerMinimum && b.failures >= breakerShare*b.total:
-		b.open(now, b.pause)
+		b.open(now, min(b.openDuration*2, breakerMaxOpenDuration))
+	case b.state == Closed && b.total >= breakerMinRequests && b.failures >= breakerFailureRatio*b.total:
+		b.open(now, b.openDuration)
 	}
 }
 
-// Cancelled notes that a request ended without telling anything of the target.
-func (b *Breaker) Cancelled() { b.trial = false }
+// Cancelled ends a probe whose request finished without an outcome that says anything about
+// the target, for example because the caller disconnected. The next request may probe again.
+func (b *Breaker) Cancelled() { b.probing = false }
 
-func (b *Breaker) open(now time.Time, pause time.Duration) {
+func (b *Breaker) open(now time.Time, openDuration time.Duration) {
 	b.state = Open
-	b.trial = false
-	b.pause = pause
-	b.until = now.Add(pause)
+	b.probing = false
+	b.openDuration = openDuration
+	b.openUntil = now.Add(openDuration)
 	b.failures, b.total = 0, 0
 }
 
 func (b *Breaker) decay(now time.Time) {
-	for now.Sub(b.at) >= breakerHalfLife {
+	for now.Sub(b.decayedAt) >= breakerHalfLife {
 		b.failures /= 2
 		b.total /= 2
-		b.at = b.at.Add(breakerHalfLife)
+		b.decayedAt = b.decayedAt.Add(breakerHalfLife)
 		if b.total < 0.01 {
-			b.at = now
+			b.decayedAt = now
 			return
 		}
 	}
 }
 
-// State returns the breaker's state.
 func (b *Breaker) State() BreakerState { return b.state }
--- a/internal/rule/retry/budget.go
+++ b/internal/rule/retry/budget.go
@@ -2,34 +2,35 @@
 
 import "time"
 
-// Budget lets retries be at most a share of the requests of one router. Since
-// each router keeps its own share, the fleet keeps it too, without messages.
+// Budget limits the retries of one router to a ratio of its requests, plus a minimum rate.
+// Because every router enforces the ratio for its own requests, the fleet as a whole stays
+// within it without coordination.
 type Budget struct {
-	share  float64
-	floor  float64
-	tokens float64
-	limit  float64
-	at     time.Time
+	ratio        float64
+	minPerSecond float64
+	tokens       float64
+	maxTokens    float64
+	refilledAt   time.Time
 }
 
-// NewBudget returns a budget of a share of requests plus floor retries a second; it
-// starts with ten seconds' worth of the floor.
-func NewBudget(now time.Time, share, floor float64) *Budget {
-	const seconds = 10
-	limit := max(floor*seconds, 1)
-	return &Budget{share: share, floor: floor, tokens: limit, limit: limit, at: now}
+// NewBudget returns a budget of ratio retries per request plus minPerSecond retries per
+// second. It starts full and holds the tokens of ten seconds of the minimum rate, at least one.
+func NewBudget(now time.Time, ratio, minPerSecond float64) *Budget {
+	const burstSeconds = 10
+	maxTokens := max(minPerSecond*burstSeconds, 1)
+	return &Budget{ratio: ratio, minPerSecond: minPerSecond, tokens: maxTokens, maxTokens: maxTokens, refilledAt: now}
 }
 
-// Request notes a caller's request.
+// Request adds the tokens that one request of a caller earns.
 func (b *Budget) Request() {
-	b.tokens = min(b.tokens+b.share, b.limit)
+	b.tokens = min(b.tokens+b.ratio, b.maxTokens)
 }
 
-// Retry uses one token if there is one.
+// Retry takes one token and reports whether one was available.
 func (b *Budget) Retry(now time.Time) bool {
-	if passed := now.Sub(b.at).Seconds(); passed > 0 {
-		b.at = now
-		b.tokens = min(b.tokens+passed*b.floor, b.limit)
+	if elapsed := now.Sub(b.refilledAt).Seconds(); elapsed > 0 {
+		b.refilledAt = now
+		b.tokens = min(b.tokens+elapsed*b.minPerSecond, b.maxTokens)
 	}
 	if b.tokens < 1 {
 		return false
--- a/internal/rule/retry/doc.go
+++ b/internal/rule/retry/doc.go
@@ -1,8 +1,8 @@
-// Package retry decides what may be sent again, when, and how much of it.
+// Package retry decides which requests may be retried, when, and how many.
 //
-// A failure is known by the step at which it happened. Only a failure before any
-// byte left, or one that the target's contract calls a refusal, means that the
-// request did not run. A budget holds retries to a share of the requests, so that
-// an outage is not multiplied however many routers see it, and a breaker keeps
-// requests from targets whose answers show them to be broken.
+// A failed attempt is classified by the step at which it failed. A request is known not to
+// have run only if the attempt failed before any byte was sent, or if the target returned a
+// status that its service's contract defines as "not run". A budget limits retries to a
+// ratio of the requests, so that an outage does not multiply the load, whatever the number
+// of routers. A circuit breaker stops requests to targets that fail most of them.
 package retry
--- a/internal/rule/retry/outcome.go
+++ b/internal/rule/retry/outcome.go
@@ -1,48 +1,48 @@
 package retry
 
-// Outcome is what a caller is told about its request.
+// Outcome states whether a request ran, as reported to its caller.
 type Outcome string
 
 const (
-	// Done means that the target's whole answer is given.
+	// Done means that the target's complete answer was received.
 	Done Outcome = "done"
-	// NotRun means that no target has run the request or will.
+	// NotRun means that no target has run the request and none will.
 	NotRun Outcome = "not_run"
 	// Unknown means that the request may have run.
 	Unknown Outcome = "unknown"
 )
 
-// Step is how far an attempt got.
+// Step is the step at which an attempt ended.
 type Step int
 
 const (
-	// Placing is before any target was chosen.
+	// Placing is the choice of a target; none has been selected yet.
 	Placing Step = iota + 1
-	// Dialing is before a connection to the target was there.
+	// Dialing is the connection attempt; no connection to the target exists yet.
 	Dialing
-	// Sending is after the first byte of the request may have left.
+	// Sending begins when the first byte of the request may have been sent.
 	Sending
-	// Refused is an answer that the target's contract says means "not run".
+	// Refused is an answer with a status that the service's contract defines as "not run".
 	Refused
-	// Answering is after the answer's first byte came.
+	// Answering begins when the first byte of the answer has been received.
 	Answering
-	// Answered is after the whole answer came.
+	// Answered is reached when the complete answer has been received.
 	Answered
 )
 
-// Repeat says how often a request may run.
+// Repeat states whether a request may run more than once.
 type Repeat string
 
 const (
-	// Safe requests may run again at any time.
+	// Safe requests may run any number of times.
 	Safe Repeat = "safe"
 	// Never requests run at most once.
 	Never Repeat = "never"
-	// Unstarted requests may be sent again only when the first sending did not run.
+	// Unstarted requests may be sent again only if the previous attempt did not run.
 	Unstarted Repeat = "unstarted"
 )
 
-// OutcomeOf is what is true of one attempt that ended at a step.
+// OutcomeOf returns the outcome of a single attempt that ended at the given step.
 func OutcomeOf(step Step) Outcome {
 	switch step {
 	case Placing, Dialing, Refused:
@@ -54,8 +54,8 @@
 	}
 }
 
-// Worse joins the outcomes of two attempts at one request: it did not run only
-// if neither did.
+// Worse combines the outcomes of two attempts at the same request: the request did not run
+// only if neither attempt did. An empty a stands for no earlier attempt.
 func Worse(a, b Outcome) Outcome {
 	switch {
 	case a == "":
@@ -69,8 +69,8 @@
 	}
 }
 
-// MaySend reports whether a request may be sent again after an attempt that ended
-// at a step. Nothing is sent again once the caller has part of an answer.
+// MaySend reports whether a request may be sent again after an attempt that ended at the
+// given step. A request is not retried once its caller has received part of an answer.
 func MaySend(repeat Repeat, step Step, callerHasBytes bool) bool {
 	if callerHasBytes || step == Answered {
 		return false
@@ -81,6 +81,6 @@
 	return repeat == Safe
 }
 
-// Free reports whether trying again after a step puts no load on targets, so that
-// it need not come out of the budget: nothing has reached a target yet.
+// Free reports whether a retry after the given step need not be charged to the budget: the
+// attempt sent nothing to a target, so that it put no load on one.
 func Free(step Step) bool { return step == Placing || step == Dialing }
--- a/internal/rule/retry/retry_test.go
+++ b/internal/rule/retry/retry_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func TestOutcomesJoin(t *testing.T) {
+func TestOutcomesCombine(t *testing.T) {
 	cases := []struct{ a, b, want retry.Outcome }{
 		{"", retry.NotRun, retry.NotRun},
 		{retry.Unknown, retry.NotRun, retry.Unknown},
@@ -49,13 +49,13 @@
 		}
 	}
 	if retry.OutcomeOf(retry.Sending) != retry.Unknown || retry.OutcomeOf(retry.Dialing) != retry.NotRun {
-		t.Error("a request of which a byte may have left is said not to have run, or the reverse")
+		t.Error("wrong outcome of an attempt that ended at Sending or at Dialing")
 	}
 }
 
-// In an outage every request fails. The budget holds the load on the targets to
-// the requests and a tenth, whatever the number of routers.
-func TestBudgetInAnOutage(t *testing.T) {
+// While every request fails, the budget must limit the load on the targets to the number of
+// requests plus a tenth, whatever the number of routers.
+func TestBudgetLimitsRetriesDuringOutage(t *testing.T) {
 	const perSecond, seconds = 100, 60
 	b := retry.NewBudget(start, 0.1, 1)
 	retries := 0
@@ -68,9 +68,9 @@
 			}
 		}
 	}
-	most := perSecond*seconds/10 + seconds + 10
-	if retries > most || retries < perSecond*seconds/10 {
-		t.Errorf("%d retries for %d requests, want at most %d", retries, perSecond*seconds, most)
+	maxRetries := perSecond*seconds/10 + seconds + 10
+	if retries > maxRetries || retries < perSecond*seconds/10 {
+		t.Errorf("%d retries for %d requests, want at most %d", retries, perSecond*seconds, maxRetries)
 	}
 }
 
@@ -81,33 +81,33 @@
 	}
 	b.Report(start, false)
 	if b.Blocked(start) {
-		t.Fatal("one failure in four opens the breaker")
+		t.Fatal("breaker opens after one failure in four requests")
 	}
 	for range 3 {
 		b.Report(start, false)
 	}
 	if !b.Blocked(start) || b.Allow(start) {
-		t.Fatal("four failures in seven leave the breaker closed")
+		t.Fatal("breaker stays closed after four failures in seven requests")
 	}
-	later := start.Add(2 * time.Second)
-	if b.Blocked(later) || !b.Allow(later) {
-		t.Fatal("no trial after the pause")
+	afterOpen := start.Add(2 * time.Second)
+	if b.Blocked(afterOpen) || !b.Allow(afterOpen) {
+		t.Fatal("no probe is admitted after the open duration")
 	}
-	if !b.Blocked(later) {
-		t.Error("a second trial beside the first")
+	if !b.Blocked(afterOpen) {
+		t.Error("a second probe is admitted while the first is in flight")
 	}
-	b.Report(later, false)
-	if !b.Blocked(later.Add(time.Second)) {
-		t.Error("a failed trial does not lengthen the pause")
+	b.Report(afterOpen, false)
+	if !b.Blocked(afterOpen.Add(time.Second)) {
+		t.Error("a failed probe does not extend the open duration")
 	}
-	again := later.Add(3 * time.Second)
-	b.Allow(again)
+	afterSecondOpen := afterOpen.Add(3 * time.Second)
+	b.Allow(afterSecondOpen)
 	b.Cancelled()
-	if !b.Allow(again) {
-		t.Error("a trial that told nothing blocks the next")
+	if !b.Allow(afterSecondOpen) {
+		t.Error("a cancelled probe blocks the next one")
 	}
-	b.Report(again, true)
+	b.Report(afterSecondOpen, true)
 	if b.State() != retry.Closed {
-		t.Errorf("state %s after a good trial", b.State())
+		t.Errorf("state %s after a successful probe", b.State())
 	}
 }
--- a/internal/rule/retry/window.go
+++ b/internal/rule/retry/window.go
@@ -2,75 +2,81 @@
 
 import "time"
 
-// Allowance is how many requests of one service the whole fleet may send again.
+// Allowance limits the retries of one service's requests by the whole fleet.
 type Allowance struct {
-	// Ratio is the number of retries for each request, over a window.
+	// Ratio is the number of retries permitted per request within a window.
 	Ratio float64
-	// Extra is added to that for the whole fleet.
+	// Extra is the number of retries that the whole fleet may send in addition per window.
 	Extra float64
-	// Span is the length of the window. It slides: every span of that length counts.
+	// Span is the length of the window. The window slides: the limit holds for every interval
+	// of this length.
 	Span time.Duration
 }
 
 const (
-	// windowSteps is into how many parts a window is counted. The requests of its oldest
-	// part do not count, which leaves up to a twentieth of the ratio's retries unused.
-	windowSteps = 20
-	// leastStep bounds the length of a part from below, whatever the settings say.
-	leastStep = time.Millisecond
-	// extraShare is the part of the extra retries that routers hand out. They may disagree
-	// for some seconds on how many they are: the sum is kept while each knows four fifths.
-	extraShare = 0.8
+	// slotsPerWindow is the number of slots that a window is divided into. Requests of the
+	// oldest slot are not counted, so that up to a twentieth of the ratio's retries stay
+	// unused.
+	slotsPerWindow = 20
+	// minSlotLength is the minimum length of a slot, for any configured Span.
+	minSlotLength = time.Millisecond
+	// extraUsableRatio is the part of Extra that routers use. Their membership views may differ
+	// for some seconds: the fleet stays within Extra while each router counts at least four
+	// fifths of the routers.
+	extraUsableRatio = 0.8
 )
 
-// Window is one router's part of an allowance. Each router keeps the ratio for its own
-// requests and takes an equal part of the extra, so that the sum over routers stays
-// within the allowance without any messages.
+// Window enforces one router's share of an allowance. Each router applies the ratio to its
+// own requests and uses an equal share of the extra retries, so that the fleet stays within
+// the allowance without coordination.
 type Window struct {
 	allowance Allowance
-	// step is the length of one part.
-	step    time.Duration
-	started time.Time
-	// at is the number of the step that is counted now.
-	at int64
-	// requests and retries are counted by step, in a ring with one more than a window's:
-	// the present step is only partly over.
-	requests [windowSteps + 1]int
-	retries  [windowSteps + 1]int
+	// slotLength is the length of one slot.
+	slotLength time.Duration
+	started    time.Time
+	// current is the number of the current slot.
+	current int64
+	// requests and retries are counted per slot. The ring has one slot more than a window,
+	// because the current slot is incomplete.
+	requests [slotsPerWindow + 1]int
+	retries  [slotsPerWindow + 1]int
 }
 
-// NewWindow returns an empty window. An earlier process of this router may have used
-// its part of the extra a moment ago, so that grows from nothing over the first span.
+// NewWindow returns an empty window. Its share of the extra retries grows from zero over the
+// first span, because an earlier process of this router may just have used that share.
 func NewWindow(now time.Time, allowance Allowance) *Window {
-	w := &Window{allowance: allowance, step: max(allowance.Span/windowSteps, leastStep), started: now}
-	w.at = w.number(now)
+	w := &Window{allowance: allowance, slotLength: max(allowance.Span/slotsPerWindow, minSlotLength), started: now}
+	w.current = w.slotNumber(now)
 	return w
 }
 
-// number is the step of a time, counted from the window's start.
-func (w *Window) number(now time.Time) int64 { return int64(now.Sub(w.started) / w.step) }
+// slotNumber returns the number of the slot that contains now, counted from the creation of the
+// window.
+func (w *Window) slotNumber(now time.Time) int64 { return int64(now.Sub(w.started) / w.slotLength) }
 
-// slot clears what was counted a ring ago and returns the present step's place.
-func (w *Window) slot(now time.Time) int {
-	number := w.number(now)
-	const slots = int64(windowSteps + 1)
-	for w.at < number {
-		w.at++
-		if number-w.at < slots {
-			w.requests[w.at%slots] = 0
-			w.retries[w.at%slots] = 0
+// advance moves the ring to now, clears the slots that it reuses, and returns the index of
+// the current slot.
+func (w *Window) advance(now time.Time) int {
+	slotNumber := w.slotNumber(now)
+	const ringSize = int64(slotsPerWindow + 1)
+	for w.current < slotNumber {
+		w.current++
+		if slotNumber-w.current < ringSize {
+			w.requests[w.current%ringSize] = 0
+			w.retries[w.current%ringSize] = 0
 		}
 	}
-	return int(w.at % slots)
+	return int(w.current % ringSize)
 }
 
-// Request notes a caller's request.
-func (w *Window) Request(now time.Time) { w.requests[w.slot(now)]++ }
+// Request counts a request of a caller.
+func (w *Window) Request(now time.Time) { w.requests[w.advance(now)]++ }
 
-// Retry uses one retry if there is one, given how many routers share the allowance.
+// Retry reports whether a retry is within the allowance, and counts it if so. The allowance
+// is shared by the given number of routers.
 func (w *Window) Retry(now time.Time, routers int) bool {
-	current := w.slot(now)
-	requests, retries := w.sums(current)
+	current := w.advance(now)
+	requests, retries := w.totals(current)
 	if float64(retries+1) > w.allowance.Ratio*float64(requests)+w.extra(now, routers) {
 		return false
 	}
@@ -78,9 +84,10 @@
 	return true
 }
 
-// sums are the requests and retries of the window that ends with the present slot. The
-// oldest step is only partly within it: its retries count, its requests do not.
-func (w *Window) sums(current int) (requests, retries int) {
+// totals returns the requests and retries of the window that ends with the current slot. The
+// oldest slot is only partly within the window: its retries are counted, its requests are
+// not.
+func (w *Window) totals(current int) (requests, retries int) {
 	for i := range w.requests {
 		retries += w.retries[i]
 		if i != (current+1)%len(w.requests) {
@@ -90,8 +97,8 @@
 	return requests, retries
 }
 
-// extra is this router's part of the extra retries, which grows over the first span.
+// extra returns this router's share of the extra retries, which grows over the first span.
 func (w *Window) extra(now time.Time, routers int) float64 {
-	grown := min(float64(now.Sub(w.started))/float64(w.allowance.Span), 1)
-	return extraShare * grown * w.allowance.Extra / float64(max(routers, 1))
+	elapsedRatio := min(float64(now.Sub(w.started))/float64(w.allowance.Span), 1)
+	return extraUsableRatio * elapsedRatio * w.allowance.Extra / float64(max(routers, 1))
 }
--- a/internal/rule/retry/window_test.go
+++ b/internal/rule/retry/window_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// TestWindowsKeepTheFleetsAllowance presses several routers that restart now and then
-// and checks every span of the sum.
-func TestWindowsKeepTheFleetsAllowance(t *testing.T) {
+// Several routers that restart at random request as many retries as they can. In every
+// interval of the window's length, the fleet as a whole must stay within the allowance.
+func TestWindowsKeepFleetWithinAllowance(t *testing.T) {
 	allowance := Allowance{Ratio: 0.2, Extra: 56, Span: 10 * time.Second}
 	const routers = 8
 	rng := rand.New(rand.NewPCG(1, 2))
@@ -37,7 +37,7 @@
 			}
 		}
 	}
-	from, requests, retries, worst := 0, 0, 0, 0.0
+	from, requests, retries, maxExcess := 0, 0, 0, 0.0
 	for _, e := range events {
 		for events[from].at.Before(e.at.Add(-allowance.Span)) {
 			if events[from].retry {
@@ -52,17 +52,17 @@
 		} else {
 			requests++
 		}
-		worst = max(worst, float64(retries)-allowance.Ratio*float64(requests))
+		maxExcess = max(maxExcess, float64(retries)-allowance.Ratio*float64(requests))
 	}
-	if worst > allowance.Extra {
-		t.Errorf("%.1f retries above the ratio in one span, want at most %.0f", worst, allowance.Extra)
+	if maxExcess > allowance.Extra {
+		t.Errorf("%.1f retries above the ratio in one window, want at most %.0f", maxExcess, allowance.Extra)
 	}
-	if worst < allowance.Extra/4 {
-		t.Errorf("only %.1f retries above the ratio are ever given out of %.0f", worst, allowance.Extra)
+	if maxExcess < allowance.Extra/4 {
+		t.Errorf("at most %.1f of %.0f extra retries are used in any window", maxExcess, allowance.Extra)
 	}
 }
 
-func TestWindowForgetsOldSteps(t *testing.T) {
+func TestWindowExpiresOldSlots(t *testing.T) {
 	allowance := Allowance{Ratio: 1, Extra: 0, Span: 10 * time.Second}
 	now := time.Unix(1000, 0)
 	w := NewWindow(now, allowance)
@@ -71,15 +71,15 @@
 	}
 	for i := range 3 {
 		if !w.Retry(now, 1) {
-			t.Fatalf("retry %d of 3 is refused", i+1)
+			t.Fatalf("retry %d of 3 is rejected", i+1)
 		}
 	}
 	if w.Retry(now, 1) {
-		t.Error("a fourth retry is given for three requests")
+		t.Error("a fourth retry is permitted for three requests")
 	}
 	later := now.Add(time.Hour)
 	w.Request(later)
 	if !w.Retry(later, 1) {
-		t.Error("a retry is refused although the earlier ones are long past")
+		t.Error("a retry is rejected although all earlier ones have left the window")
 	}
 }
