--- a/internal/rule/quota/bucket.go
+++ b/internal/rule/quota/bucket.go
@@ -4,32 +4,32 @@
 	"time"
 )
 
-// Rate is a number of requests a second.
+// Rate is a number of requests per second.
 type Rate float64
 
-// Bucket is a workspace's fleet-wide token bucket at its home.
+// Bucket is the fleet-wide token bucket of a workspace. It is held by the workspace's home.
 type Bucket struct {
-	rate   Rate
-	burst  float64
-	tokens float64
-	at     time.Time
+	rate       Rate
+	burst      float64
+	tokens     float64
+	refilledAt time.Time
 }
 
-// NewBucket returns a full bucket; burst is the most tokens that it holds.
+// NewBucket returns a full bucket that holds at most burst tokens.
 func NewBucket(now time.Time, rate Rate, burst int) *Bucket {
-	return &Bucket{rate: rate, burst: float64(burst), tokens: float64(burst), at: now}
+	return &Bucket{rate: rate, burst: float64(burst), tokens: float64(burst), refilledAt: now}
 }
 
-// NewColdBucket returns a bucket for a home that has just taken over and does not
-// know what its predecessor granted: it starts with none, so two homes that
-// believe in the same workspace for d seconds grant at most rate times d too much.
+// NewColdBucket returns an empty bucket, for a home that has just taken over a workspace
+// without the state of the previous home. Because it starts without tokens, two routers that
+// both act as the home of a workspace for d seconds grant at most rate*d tokens too many.
 func NewColdBucket(now time.Time, rate Rate, burst int) *Bucket {
 	b := NewBucket(now, rate, burst)
 	b.tokens = 0
 	return b
 }
 
-// Set changes rate and burst.
+// Set changes the rate and the burst. Tokens above the new burst are discarded.
 func (b *Bucket) Set(now time.Time, rate Rate, burst int) {
 	b.refill(now)
 	b.rate = rate
@@ -37,7 +37,8 @@
 	b.tokens = min(b.tokens, b.burst)
 }
 
-// Grant takes up to want tokens. With none left it returns zero and when to come back.
+// Grant takes up to want tokens. If the bucket is empty it returns zero and the time until
+// the next token is available.
 func (b *Bucket) Grant(now time.Time, want int) (granted int, retryAfter time.Duration) {
 	b.refill(now)
 	granted = min(want, int(b.tokens))
@@ -53,87 +54,92 @@
 }
 
 func (b *Bucket) refill(now time.Time) {
-	passed := now.Sub(b.at).Seconds()
-	if passed <= 0 {
+	elapsed := now.Sub(b.refilledAt).Seconds()
+	if elapsed <= 0 {
 		return
 	}
-	b.at = now
-	b.tokens = min(b.tokens+passed*float64(b.rate), b.burst)
+	b.refilledAt = now
+	b.tokens = min(b.tokens+elapsed*float64(b.rate), b.burst)
 }
 
-// Allowance is one edge's share of a workspace's tokens between two grants.
+// Allowance is the number of a workspace's tokens that an edge router holds between two
+// grants of the home.
 type Allowance struct {
-	tokens int
-	until  time.Time
-	denied time.Time
-	served int
-	since  time.Time
-	// localUntil is until when the share that the edge gave itself has to last.
+	tokens      int
+	expiresAt   time.Time
+	deniedUntil time.Time
+	// requests counts the requests since measuredSince, to size the next token request.
+	requests      int
+	measuredSince time.Time
+	// localUntil is the end of the period covered by the tokens that NoHome added last.
 	localUntil time.Time
 }
 
-// allowanceLife is how long unused granted tokens stay valid, so that an idle edge does not hoard.
-const allowanceLife = 2 * time.Second
+// grantTTL is the time after which unused granted tokens expire, so that an idle edge
+// router does not hoard them.
+const grantTTL = 2 * time.Second
 
-// maxAsk bounds one request for tokens.
-const maxAsk = 64
+// maxTokenRequest is the maximum number of tokens requested from a home at once.
+const maxTokenRequest = 64
 
-// Take uses one token if there is one.
+// Take counts a request and takes one token. It reports whether one was available.
 func (a *Allowance) Take(now time.Time) bool {
-	if a.since.IsZero() {
-		a.since = now
+	if a.measuredSince.IsZero() {
+		a.measuredSince = now
 	}
-	a.served++
-	if a.tokens == 0 || now.After(a.until) {
+	a.requests++
+	if a.tokens == 0 || now.After(a.expiresAt) {
 		return false
 	}
 	a.tokens--
 	return true
 }
 
-// Denied reports whether the home refused so recently that asking again is useless,
-// and when to come back.
+// Denied reports whether the home has denied tokens and the delay that it returned has not
+// elapsed yet. It also returns the remaining delay.
 func (a *Allowance) Denied(now time.Time) (time.Duration, bool) {
-	if now.Before(a.denied) {
-		return a.denied.Sub(now), true
+	if now.Before(a.deniedUntil) {
+		return a.deniedUntil.Sub(now), true
 	}
 	return 0, false
 }
 
-// Ask is how many tokens to ask for: about half a second's worth of this edge's own traffic.
+// Ask returns the number of tokens to request: those that this edge router's own traffic
+// uses in about half a second.
 func (a *Allowance) Ask(now time.Time) int {
-	passed := now.Sub(a.since).Seconds()
-	if passed < 0.1 {
+	elapsed := now.Sub(a.measuredSince).Seconds()
+	if elapsed < 0.1 {
 		return 1
 	}
-	perSecond := float64(a.served) / passed
-	if passed > 2 {
-		a.since, a.served = now, 0
+	requestsPerSecond := float64(a.requests) / elapsed
+	if elapsed > 2 {
+		a.measuredSince, a.requests = now, 0
 	}
-	return min(max(int(perSecond/2), 1), maxAsk)
+	return min(max(int(requestsPerSecond/2), 1), maxTokenRequest)
 }
 
-// Granted takes in the home's answer; the caller's own request uses the first token.
+// Granted records the home's response. It takes no token: the request for which the grant
+// was made takes its own with Take.
 func (a *Allowance) Granted(now time.Time, tokens int, retryAfter time.Duration) {
 	if tokens == 0 {
-		a.denied = now.Add(retryAfter)
+		a.deniedUntil = now.Add(retryAfter)
 		return
 	}
-	if now.After(a.until) {
+	if now.After(a.expiresAt) {
 		a.tokens = 0
 	}
 	a.tokens += tokens
-	a.until = now.Add(allowanceLife)
+	a.expiresAt = now.Add(grantTTL)
 }
 
-// NoHome gives this edge its even share of the rate while the home cannot be reached.
+// NoHome adds this edge router's equal share of the rate while the home is unreachable.
 func (a *Allowance) NoHome(now time.Time, rate Rate, routers int) {
 	if now.Before(a.localUntil) {
 		return
 	}
 	share := float64(rate) / float64(max(routers, 1))
-	seconds := max(1, 1/max(share, 0.001))
-	a.tokens = max(int(share*seconds), 1)
-	a.localUntil = now.Add(time.Duration(seconds * float64(time.Second)))
-	a.until = a.localUntil
+	periodSeconds := max(1, 1/max(share, 0.001))
+	a.tokens = max(int(share*periodSeconds), 1)
+	a.localUntil = now.Add(time.Duration(periodSeconds * float64(time.Second)))
+	a.expiresAt = a.localUntil
 }
--- a/internal/rule/quota/queue.go
+++ b/internal/rule/quota/queue.go
@@ -13,18 +13,19 @@
 	Priority  int
 	Weight    int
 	Work      ident.Work
-	// Arrived is when the request began to wait, for the caller's own figures.
+	// Arrived is when the request was queued. The queue does not use it; it is for the
+	// caller's metrics.
 	Arrived  time.Time
 	Deadline time.Time
-	// Value belongs to the caller.
+	// Value is opaque to the queue.
 	Value any
 
 	start float64
 	seq   uint64
 	flow  *flow
-	slot  int
-	// passed is how many others went before this one in its turn.
-	passed int
+	index int
+	// passedOver counts the waiters that PopSuited selected instead of this one in its turn.
+	passedOver int
 }
 
 type flow struct {
@@ -32,132 +33,136 @@
 	waiting int
 }
 
-// Queue holds the waiters of one shard.
+// Queue is the fair queue of one shard.
 type Queue struct {
-	limit   int
-	perFlow int
-	virtual float64
-	seq     uint64
-	// fairTurn says that the next turn goes by the fair order alone.
+	maxWaiters  int
+	maxPerFlow  int
+	virtualTime float64
+	seq         uint64
+	// fairTurn is set if the next turn ignores priorities.
 	fairTurn bool
 	flows    map[ident.Workspace]*flow
 	heap     waiterHeap
 }
 
-// NewQueue returns a queue of at most limit waiters, of which one workspace may
-// have at most perFlow.
-func NewQueue(limit, perFlow int) *Queue {
-	return &Queue{limit: limit, perFlow: perFlow, flows: map[ident.Workspace]*flow{}}
+// NewQueue returns a queue of at most limit waiters, and at most perFlow of one workspace.
+func NewQueue(limit, maxPerFlow int) *Queue {
+	return &Queue{maxWaiters: limit, maxPerFlow: maxPerFlow, flows: map[ident.Workspace]*flow{}}
 }
 
-// Len is the number of waiters.
+// Len returns the number of waiters.
 func (q *Queue) Len() int { return len(q.heap) }
 
-// Ahead is how many waiters at most go before a newcomer.
+// Ahead returns an upper bound on the number of waiters that would be served before the
+// newcomer if it were queued now.
 func (q *Queue) Ahead(newcomer *Waiter) int {
-	start := q.startOf(newcomer)
-	urgent, fair, either := 0, 0, 0
+	start := q.virtualStart(newcomer)
+	byPriority, byFairOrder, byEither := 0, 0, 0
 	mixed := false
 	for _, w := range q.heap {
 		mixed = mixed || w.Priority != newcomer.Priority
-		before := w.start <= start
-		first := w.Priority > newcomer.Priority || w.Priority == newcomer.Priority && before
-		if first {
-			urgent++
+		earlier := w.start <= start
+		precedes := w.Priority > newcomer.Priority || w.Priority == newcomer.Priority && earlier
+		if precedes {
+			byPriority++
 		}
-		if before {
-			fair++
+		if earlier {
+			byFairOrder++
 		}
-		if first || before {
-			either++
+		if precedes || earlier {
+			byEither++
 		}
 	}
 	if !mixed {
-		return either
+		return byEither
 	}
-	// The newcomer is next once the turns of one kind have come to it, which takes twice as
-	// many turns, one of each kind.
-	return min(2*urgent, 2*fair+1)
+	// Turns by priority and turns by fair order alternate. The newcomer is served by
+	// whichever order reaches it first, and reaching it takes twice as many turns in all.
+	return min(2*byPriority, 2*byFairOrder+1)
 }
 
-// startOf is a newcomer's place in the fair order of workspaces.
-func (q *Queue) startOf(w *Waiter) float64 {
+// virtualStart returns the virtual start time of a newcomer in start-time fair queueing.
+func (q *Queue) virtualStart(w *Waiter) float64 {
 	if f := q.flows[w.Workspace]; f != nil {
-		return max(q.virtual, f.finish)
+		return max(q.virtualTime, f.finish)
 	}
-	return q.virtual
+	return q.virtualTime
 }
 
-// Push adds a waiter. It returns the waiter that is shed for it when the queue is
-// full: the newcomer itself unless a lower priority waits.
-func (q *Queue) Push(w *Waiter) (shed *Waiter) {
+// Push adds a waiter. If the queue is full, it rejects and returns the last waiter of the
+// lowest priority, or the newcomer itself unless a waiter of lower priority is queued. It
+// also returns the newcomer if its workspace has reached its own limit.
+func (q *Queue) Push(w *Waiter) (rejected *Waiter) {
 	f := q.flows[w.Workspace]
 	if f == nil {
 		f = &flow{}
 		q.flows[w.Workspace] = f
 	}
-	if f.waiting >= q.perFlow {
+	if f.waiting >= q.maxPerFlow {
 		return w
 	}
-	if len(q.heap) >= q.limit {
-		shed = q.lowest()
-		if shed == nil || shed.Priority >= w.Priority {
+	if len(q.heap) >= q.maxWaiters {
+		rejected = q.lastOfLowestPriority()
+		if rejected == nil || rejected.Priority >= w.Priority {
 			return w
 		}
-		q.Remove(shed)
+		q.Remove(rejected)
 	}
 	q.seq++
 	w.seq = q.seq
 	w.flow = f
-	w.start = q.startOf(w)
+	w.start = q.virtualStart(w)
 	f.finish = w.start + float64(w.Work)/float64(max(w.Weight, 1))
 	f.waiting++
 	heap.Push(&q.heap, w)
-	return shed
+	return rejected
 }
 
-// lowest returns the latest waiter of the lowest priority.
-func (q *Queue) lowest() *Waiter {
-	var worst *Waiter
+// lastOfLowestPriority returns the waiter of the lowest priority that is last in the fair order.
+func (q *Queue) lastOfLowestPriority() *Waiter {
+	var last *Waiter
 	for _, w := range q.heap {
-		if worst == nil || w.Priority < worst.Priority || (w.Priority == worst.Priority && w.start > worst.start) {
-			worst = w
+		if last == nil || w.Priority < last.Priority || (w.Priority == last.Priority && w.start > last.start) {
+			last = w
 		}
 	}
-	return worst
+	return last
 }
 
-// Pop takes the next waiter whose deadline has not passed; those whose has are
-// returned as late.
+// Pop removes and returns the next waiter whose deadline has not passed. Waiters whose
+// deadline has passed are removed too, and returned as late.
 func (q *Queue) Pop(now time.Time) (next *Waiter, late []*Waiter) {
 	return q.PopSuited(now, func(*Waiter) bool { return true })
 }
 
 const (
-	// mostPassed is how many others may go before a waiter in its turn because they suit the room
-	// that has come free. At some 600 turns a second of a shard of 28 engines it waits 25 ms longer
-	// at most; four times as many brought no more in a model of such a shard.
-	mostPassed = 16
-	// suitedWithin is how far behind the waiter whose turn it is others may be to go before it, in
-	// requests of their workspace. In the same model 0.62 of the requests met their prompt with 4,
-	// 0.76 with 16, 0.79 with 64 and 0.15 with none.
-	suitedWithin = 16 * float64(ident.OneRequest)
+	// maxPassed is the maximum number of waiters that PopSuited selects instead of one whose turn
+	// it is, because they suit the free capacity better. At some 600 turns per second in a
+	// shard of 28 engines, this delays a waiter by at most 25 ms. In a model of such a shard,
+	// four times as many gave no further improvement.
+	maxPassed = 16
+	// maxSuitedDistance is the maximum distance in virtual time between the waiter whose turn it is and
+	// one that is selected instead: the work of 16 requests of a workspace of weight 1. In the
+	// same model, 0.62 of the requests reached an engine with their prompt prefix cached at a
+	// distance of 4 requests, 0.76 at 16, 0.79 at 64, and 0.15 without selection.
+	maxSuitedDistance = 16 * float64(ident.OneRequest)
 )
 
-// PopSuited takes the next waiter like Pop, or, if that one does not suit the room there is, another
-// of its priority that would come soon after it and does.
+// PopSuited removes and returns the next waiter like Pop. If that waiter does not suit the
+// free capacity, it selects a suitable one of the same priority that follows it closely in
+// the fair order, if there is one.
 func (q *Queue) PopSuited(now time.Time, suits func(*Waiter) bool) (next *Waiter, late []*Waiter) {
 	for len(q.heap) > 0 {
-		w := q.heap[q.turn()]
+		w := q.heap[q.nextTurn()]
 		if !w.Deadline.IsZero() && now.After(w.Deadline) {
 			q.Remove(w)
 			late = append(late, w)
 			continue
 		}
-		q.virtual = max(q.virtual, w.start)
-		if w.passed < mostPassed && !suits(w) {
-			if other := q.suited(now, w, suits); other != nil {
-				w.passed++
+		q.virtualTime = max(q.virtualTime, w.start)
+		if w.passedOver < maxPassed && !suits(w) {
+			if other := q.firstSuited(now, w, suits); other != nil {
+				w.passedOver++
 				w = other
 			}
 		}
@@ -167,12 +172,13 @@
 	return nil, late
 }
 
-// suited returns the first waiter that may go before the one whose turn it is and suits, or nil.
-func (q *Queue) suited(now time.Time, turn *Waiter, suits func(*Waiter) bool) *Waiter {
+// firstSuited returns the first suitable waiter that may be served before the one whose turn it is,
+// or nil.
+func (q *Queue) firstSuited(now time.Time, turn *Waiter, suits func(*Waiter) bool) *Waiter {
 	var best *Waiter
 	for _, w := range q.heap {
 		switch {
-		case w == turn || w.Priority != turn.Priority || w.start > turn.start+suitedWithin:
+		case w == turn || w.Priority != turn.Priority || w.start > turn.start+maxSuitedDistance:
 		case !w.Deadline.IsZero() && now.After(w.Deadline):
 		case best != nil && (w.start > best.start || w.start == best.start && w.seq > best.seq):
 		case suits(w):
@@ -182,11 +188,11 @@
 	return best
 }
 
-// turn returns the place in the heap of the waiter whose turn is next. Turns go by
-// priority and by the fair order of workspaces alone, one after the other: under lasting
-// overload the most urgent requests get at least half of the room and the others still
-// half of their part of what is asked for, so that none starve.
-func (q *Queue) turn() int {
+// nextTurn returns the heap index of the next waiter. Turns alternate between the order by
+// priority and the fair order of workspaces without regard to priority. Under sustained
+// overload the highest priority therefore receives at least half of the capacity, and the
+// others half of their share of the demand, so that none of them starve.
+func (q *Queue) nextTurn() int {
 	byPriority := !q.fairTurn
 	q.fairTurn = byPriority
 	if byPriority {
@@ -194,15 +200,15 @@
 	}
 	next := 0
 	for i, w := range q.heap {
-		if first := q.heap[next]; w.start < first.start || w.start == first.start && w.seq < first.seq {
+		if head := q.heap[next]; w.start < head.start || w.start == head.start && w.seq < head.seq {
 			next = i
 		}
 	}
 	return next
 }
 
-// Return puts a popped waiter back in its place, when no engine could take it after all,
-// and gives the turn back.
+// Return restores a popped waiter to its position, when no engine had capacity for it, and
+// undoes the turn.
 func (q *Queue) Return(w *Waiter) {
 	q.fairTurn = !q.fairTurn
 	f := q.flows[w.Workspace]
@@ -215,19 +221,21 @@
 	heap.Push(&q.heap, w)
 }
 
-// Remove takes a waiter out, for example when its caller has gone.
+// Remove removes a waiter, for example because its caller disconnected. It has no effect on
+// a waiter that is not queued.
 func (q *Queue) Remove(w *Waiter) {
-	if w.slot < 0 || w.slot >= len(q.heap) || q.heap[w.slot] != w {
+	if w.index < 0 || w.index >= len(q.heap) || q.heap[w.index] != w {
 		return
 	}
-	heap.Remove(&q.heap, w.slot)
-	q.left(w)
+	heap.Remove(&q.heap, w.index)
+	q.releaseFlow(w)
 }
 
-func (q *Queue) left(w *Waiter) {
+func (q *Queue) releaseFlow(w *Waiter) {
 	w.flow.waiting--
-	// An idle workspace keeps no credit and no debt beyond what is being served now.
-	if w.flow.waiting == 0 && w.flow.finish <= q.virtual {
+	// The state of an idle workspace is dropped once virtual time has passed its finish time:
+	// it then has neither credit nor debt.
+	if w.flow.waiting == 0 && w.flow.finish <= q.virtualTime {
 		delete(q.flows, w.Workspace)
 	}
 }
@@ -249,12 +257,12 @@
 
 func (h waiterHeap) Swap(i, j int) {
 	h[i], h[j] = h[j], h[i]
-	h[i].slot, h[j].slot = i, j
+	h[i].index, h[j].index = i, j
 }
 
 func (h *waiterHeap) Push(x any) {
 	w := x.(*Waiter)
-	w.slot = len(*h)
+	w.index = len(*h)
 	*h = append(*h, w)
 }
 
@@ -262,7 +270,7 @@
 	old := *h
 	w := old[len(old)-1]
 	old[len(old)-1] = nil
-	w.slot = -1
+	w.index = -1
 	*h = old[:len(old)-1]
 	return w
 }
--- a/internal/rule/quota/quota_test.go
+++ b/internal/rule/quota/quota_test.go
@@ -17,8 +17,8 @@
 	return &quota.Waiter{Workspace: ident.Workspace(w), Weight: weight, Priority: priority, Work: ident.OneRequest}
 }
 
-// order pops n waiters and returns their workspaces.
-func order(q *quota.Queue, n int) []ident.Workspace {
+// popWorkspaces pops up to n waiters and returns their workspaces.
+func popWorkspaces(q *quota.Queue, n int) []ident.Workspace {
 	var out []ident.Workspace
 	for range n {
 		w, _ := q.Pop(start)
@@ -30,15 +30,15 @@
 	return out
 }
 
-func TestSurgingWorkspaceDoesNotHoldUpQuietOnes(t *testing.T) {
+func TestSurgingWorkspaceDoesNotDelayOthers(t *testing.T) {
 	q := quota.NewQueue(1000, 1000)
 	for range 100 {
 		q.Push(waiter("surge", 1, 5))
 	}
-	order(q, 20)
+	popWorkspaces(q, 20)
 	q.Push(waiter("quiet", 1, 5))
-	if got := order(q, 2); got[0] != "quiet" && got[1] != "quiet" {
-		t.Errorf("a quiet workspace waits behind a surge: %v", got)
+	if got := popWorkspaces(q, 2); got[0] != "quiet" && got[1] != "quiet" {
+		t.Errorf("the waiter of the quiet workspace is not among the next two: %v", got)
 	}
 }
 
@@ -50,9 +50,9 @@
 	}
 	q.Push(waiter("urgent", 1, 9))
 	got := map[ident.Workspace]int{}
-	for i, w := range order(q, 41) {
+	for i, w := range popWorkspaces(q, 41) {
 		if i == 0 && w != "urgent" {
-			t.Errorf("%s came before the higher priority", w)
+			t.Errorf("%s was served before the higher priority", w)
 		}
 		got[w]++
 	}
@@ -62,35 +62,35 @@
 	}
 }
 
-func TestBoundedQueueShedsTheLowest(t *testing.T) {
+func TestFullQueueRejectsLowestPriority(t *testing.T) {
 	q := quota.NewQueue(2, 2)
 	low := waiter("a", 1, 1)
 	q.Push(low)
 	q.Push(waiter("b", 1, 5))
-	if shed := q.Push(waiter("c", 1, 5)); shed != low {
-		t.Errorf("shed %+v, want the low priority", shed)
+	if rejected := q.Push(waiter("c", 1, 5)); rejected != low {
+		t.Errorf("rejected %+v, want the waiter of the low priority", rejected)
 	}
 	equal := waiter("d", 1, 5)
-	if shed := q.Push(equal); shed != equal {
-		t.Errorf("shed %+v, want the newcomer", shed)
+	if rejected := q.Push(equal); rejected != equal {
+		t.Errorf("rejected %+v, want the newcomer", rejected)
 	}
 	q = quota.NewQueue(10, 1)
 	q.Push(waiter("a", 1, 5))
 	again := waiter("a", 1, 9)
-	if shed := q.Push(again); shed != again {
-		t.Error("a workspace has more waiting than it may")
+	if rejected := q.Push(again); rejected != again {
+		t.Error("a workspace exceeds its limit of waiters")
 	}
 }
 
-func TestLateAndGoneWaiters(t *testing.T) {
+func TestExpiredAndRemovedWaiters(t *testing.T) {
 	q := quota.NewQueue(10, 10)
-	late, gone, next := waiter("a", 1, 5), waiter("b", 1, 5), waiter("c", 1, 5)
+	late, removed, next := waiter("a", 1, 5), waiter("b", 1, 5), waiter("c", 1, 5)
 	late.Deadline = start.Add(-time.Second)
-	for _, w := range []*quota.Waiter{late, gone, next} {
+	for _, w := range []*quota.Waiter{late, removed, next} {
 		q.Push(w)
 	}
-	q.Remove(gone)
-	q.Remove(gone)
+	q.Remove(removed)
+	q.Remove(removed)
 	got, expired := q.Pop(start)
 	if got != next || len(expired) != 1 || expired[0] != late || q.Len() != 0 {
 		t.Errorf("popped %+v with %d late, %d left", got, len(expired), q.Len())
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestBucketOverTheFleet(t *testing.T) {
+func TestBucketLimitsFleetRate(t *testing.T) {
 	b := quota.NewBucket(start, 10, 5)
 	allowances := make([]quota.Allowance, 8)
 	served := 0
@@ -117,8 +117,8 @@
 		if _, denied := a.Denied(now); denied {
 			continue
 		}
-		granted, later := b.Grant(now, a.Ask(now))
-		a.Granted(now, granted, later)
+		granted, retryAfter := b.Grant(now, a.Ask(now))
+		a.Granted(now, granted, retryAfter)
 		if granted > 0 && a.Take(now) {
 			served++
 		}
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestTwoHomesGrantTheRateTwiceAtMost(t *testing.T) {
+func TestTwoHomesGrantAtMostTwiceTheRate(t *testing.T) {
 	old := quota.NewBucket(start, 10, 100)
 	old.Grant(start, 100)
 	fresh := quota.NewColdBucket(start, 10, 100)
@@ -160,32 +160,33 @@
 	}
 }
 
-// A home that dies just after a grant was used up must not stop its workspace.
-func TestHomeLostAfterAGrant(t *testing.T) {
+// Guards against a workspace without tokens after its home crashed: the grant has been used
+// up, and no router answers the next token request.
+func TestHomeUnreachableAfterGrant(t *testing.T) {
 	var a quota.Allowance
 	a.Granted(start, 1, 0)
 	a.Take(start)
 	a.NoHome(start, 16, 2)
 	if !a.Take(start) {
-		t.Error("no token although the home cannot be asked")
+		t.Error("no token while the home is unreachable")
 	}
 }
 
-func TestLimitsChange(t *testing.T) {
+func TestBucketLimitsChange(t *testing.T) {
 	b := quota.NewBucket(start, 10, 100)
 	b.Set(start, 1, 3)
 	if n, _ := b.Grant(start, 50); n != 3 {
 		t.Errorf("granted %d after the burst was lowered to 3", n)
 	}
-	_, later := b.Grant(start, 1)
-	if diff := cmp.Diff("1s", fmt.Sprint(later)); diff != "" {
+	_, retryAfter := b.Grant(start, 1)
+	if diff := cmp.Diff("1s", fmt.Sprint(retryAfter)); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Under lasting overload urgent requests go first, and those that are less urgent still get
-// a part of what they ask for.
-func TestLessUrgentRequestsDoNotStarve(t *testing.T) {
+// Under sustained overload, requests of high priority are served first, and those of low
+// priority still receive a part of their demand.
+func TestLowPriorityDoesNotStarve(t *testing.T) {
 	q := quota.NewQueue(1000, 1000)
 	for range 100 {
 		q.Push(waiter("a", 1, 9))
@@ -194,19 +195,19 @@
 	got := map[ident.Workspace]int{}
 	for range 80 {
 		w, _ := q.Pop(start)
-		// No room after all: the next try finds the same turn.
+		// No engine had capacity: the next Pop must repeat the same turn.
 		q.Return(w)
 		w, _ = q.Pop(start)
 		got[w.Workspace]++
 		q.Push(waiter(string(w.Workspace), 1, w.Priority))
 	}
 	if got["a"] < 40 || got["b"] < 15 {
-		t.Errorf("of 80 turns the urgent got %d, the others %d", got["a"], got["b"])
+		t.Errorf("of 80 turns the high priority received %d, the low priority %d", got["a"], got["b"])
 	}
 }
 
-// What is ahead of a newcomer bounds the turns until its own.
-func TestAhead(t *testing.T) {
+// Ahead must be an upper bound on the turns before the newcomer's own.
+func TestAheadBoundsTurns(t *testing.T) {
 	for _, newcomer := range []*quota.Waiter{waiter("quiet", 1, 5), waiter("surge", 1, 9), waiter("surge", 1, 1)} {
 		q := quota.NewQueue(1000, 1000)
 		for i := range 60 {
@@ -219,7 +220,7 @@
 			turns++
 		}
 		if turns > ahead {
-			t.Errorf("priority %d of %s: %d turns, at most %d were ahead", newcomer.Priority, newcomer.Workspace, turns, ahead)
+			t.Errorf("priority %d of %s: served after %d turns, Ahead returned %d", newcomer.Priority, newcomer.Workspace, turns, ahead)
 		}
 	}
 }
--- a/internal/rule/quota/returns.go
+++ b/internal/rule/quota/returns.go
@@ -3,36 +3,39 @@
 import "time"
 
 const (
-	// minReturn is the soonest that a caller is asked to come back: some round trips.
-	minReturn = 200 * time.Millisecond
-	// MaxReturn is the latest: longer than callers wait for interactive answers.
+	// minRetryAfter is the minimum Retry-After delay: several round trips.
+	minRetryAfter = 200 * time.Millisecond
+	// MaxReturn is the maximum Retry-After delay: longer than callers wait for interactive
+	// answers.
 	MaxReturn = 30 * time.Second
-	// unknownReturn is what callers are told while no rate is known, as after a start; by then it is.
-	unknownReturn = time.Second
-	// returnShare is the part of the room that comes back which callers who were refused
-	// are told to come back for; the rest is for those who come for the first time.
-	returnShare = 0.5
+	// defaultRetryAfter is the Retry-After delay while no rate has been measured, as after a start.
+	// A rate is available when the delay has elapsed.
+	defaultRetryAfter = time.Second
+	// retryCapacityRatio is the share of the freed capacity that Retry-After delays assign to rejected
+	// requests. The rest is left to new requests.
+	retryCapacityRatio = 0.5
 )
 
-// Returns are the times at which refused callers are told to come back. Each gets one of
-// its own, after those of all who were refused before, as far apart as room comes back:
-// callers who all came back after the same time would be refused again together.
+// Returns assigns Retry-After delays to rejected requests. Each request receives a retry time of
+// its own, later than those of all requests rejected before, at intervals that match the
+// rate at which capacity is freed. With equal delays the retries would arrive together and
+// be rejected again.
 type Returns struct {
-	// next is the first time that nobody was told.
+	// next is the earliest retry time that has not been assigned.
 	next time.Time
 }
 
-// Tell returns how long a caller is asked to stay away, given how many requests a second
-// find room and how long those that wait will take.
+// Tell returns the Retry-After delay of one rejected request. perSecond is the number of
+// requests served per second, and queue the time to serve those that are waiting.
 func (r *Returns) Tell(now time.Time, perSecond float64, queue time.Duration) time.Duration {
 	if perSecond <= 0 {
-		return unknownReturn
+		return defaultRetryAfter
 	}
-	soonest := now.Add(max(queue, minReturn))
-	if r.next.Before(soonest) {
-		r.next = soonest
+	earliest := now.Add(max(queue, minRetryAfter))
+	if r.next.Before(earliest) {
+		r.next = earliest
 	}
-	after := min(r.next.Sub(now), MaxReturn)
-	r.next = now.Add(after + time.Duration(float64(time.Second)/(returnShare*perSecond)))
-	return after
+	delay := min(r.next.Sub(now), MaxReturn)
+	r.next = now.Add(delay + time.Duration(float64(time.Second)/(retryCapacityRatio*perSecond)))
+	return delay
 }
--- a/internal/rule/quota/returns_test.go
+++ b/internal/rule/quota/returns_test.go
@@ -7,11 +7,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Refused callers are told times of their own: after the queue, as far apart as the room
-// that they may have comes back, and never later than callers wait.
-func TestTimesToComeBack(t *testing.T) {
+// Each rejected request receives a delay of its own: at least the time to serve the queue,
+// spaced at the rate at which capacity is freed for retries, and at most MaxReturn.
+func TestRetryAfterDelaysAreSpread(t *testing.T) {
 	const perSecond = 10
-	step := time.Duration(float64(time.Second) / (perSecond * returnShare))
+	interval := time.Duration(float64(time.Second) / (perSecond * retryCapacityRatio))
 	now := time.Unix(1000, 0)
 	var r Returns
 	var got []time.Duration
@@ -20,22 +20,23 @@
 	}
 	now = now.Add(10 * time.Second)
 	got = append(got, r.Tell(now, perSecond, 0))
-	want := []time.Duration{time.Second, time.Second + step, time.Second + 2*step, minReturn}
+	want := []time.Duration{time.Second, time.Second + interval, time.Second + 2*interval, minRetryAfter}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 	for range 1000 {
-		if after := r.Tell(now, perSecond, 0); after > MaxReturn {
-			t.Fatalf("told to come back after %v", after)
+		if delay := r.Tell(now, perSecond, 0); delay > MaxReturn {
+			t.Fatalf("Retry-After delay of %v, want at most MaxReturn", delay)
 		}
 	}
 }
 
-// Who has just started does not send callers away for half a minute.
-func TestTimeToComeBackWithoutARate(t *testing.T) {
+// A router that has just started has not measured a rate yet. It must not return delays of
+// half a minute.
+func TestRetryAfterDelayWithoutRate(t *testing.T) {
 	var r Returns
 	for range 40 {
-		if diff := cmp.Diff(unknownReturn, r.Tell(time.Unix(1000, 0), 0, 0)); diff != "" {
+		if diff := cmp.Diff(defaultRetryAfter, r.Tell(time.Unix(1000, 0), 0, 0)); diff != "" {
 			t.Fatal(diff)
 		}
 	}
