--- a/internal/rule/crash/answers.go
+++ b/internal/rule/crash/answers.go
@@ -6,28 +6,30 @@
 	"valescale/internal/plat/ident"
 )
 
-// answered is how many requests with whole answers are remembered, 16 bytes each: those of the last
-// seconds at 40 requests a second, twenty times as long as they are asked for.
-const answered = 4096
+// answerSlots is the number of slots for requests with complete answers, 16 bytes each. At 40
+// requests per second they hold the last 100 seconds, twenty times the period in which an
+// answer exempts a request from blame.
+const answerSlots = 4096
 
-// answers remember which requests were served lately. Requests that share a place replace each other.
-type answers [answered]struct {
+// answers is a hash table of the requests that were served recently. Requests with the same slot
+// replace each other.
+type answers [answerSlots]struct {
 	request ident.Fingerprint
 	// at is in Unix nanoseconds.
 	at int64
 }
 
-// note remembers that a request was served.
-func (a *answers) note(now time.Time, request ident.Fingerprint) {
-	place := &a[request%answered]
-	place.request, place.at = request, now.UnixNano()
+// record records that a request was served.
+func (a *answers) record(now time.Time, request ident.Fingerprint) {
+	slot := &a[request%answerSlots]
+	slot.request, slot.at = request, now.UnixNano()
 }
 
-// of is when a request was served, zero if that is not known.
-func (a *answers) of(request ident.Fingerprint) time.Time {
-	place := a[request%answered]
-	if place.request != request || place.at == 0 {
+// servedAt returns the time at which a request was served, or zero if it is not in the table.
+func (a *answers) servedAt(request ident.Fingerprint) time.Time {
+	slot := a[request%answerSlots]
+	if slot.request != request || slot.at == 0 {
 		return time.Time{}
 	}
-	return time.Unix(0, place.at)
+	return time.Unix(0, slot.at)
 }
--- a/internal/rule/crash/doc.go
+++ b/internal/rule/crash/doc.go
@@ -1,4 +1,5 @@
-// Package crash tells which requests are to blame for targets that end, from what routers saw end.
+// Package crash identifies requests that crash the targets that run them, from the crashes that
+// routers observe, and quarantines them.
 //
-// It has no goroutines, locks or input and output; time is passed in.
+// It has no goroutines, locks or I/O. Callers pass the time.
 package crash
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -8,26 +8,29 @@
 	"valescale/internal/plat/ident"
 )
 
-// model drives the record's code of eight routers on a clock of its own: 18 engines, 190 harmless
-// requests a second of 1.5 s each on average, sent to two engines at most and brought back once by their
-// callers, and some that end each engine 60 ms after it began to run them. An engine is back after 4 s.
+// model simulates the records of eight routers with a simulated clock. There are 18 engines and 190
+// harmless requests per second with a mean duration of 1.5 s. Each is sent to at most two engines,
+// and retried once by its caller. Crashing requests crash each engine 60 ms after it started to run
+// them. An engine restarts within 4 s.
 type model struct {
 	rng     *rand.Rand
 	now     time.Time
 	routers []*Record
 	engines []modelEngine
-	// urgent are routers that have news to pass on at once.
+	// urgent is the set of routers with changes to send at once.
 	urgent map[int]bool
 	next   ident.Fingerprint
-	// harmless counts the tries of harmless requests, cut those that ended with their engine, held those
-	// that were refused, unserved the requests without a try left.
-	harmless int
-	cut      int
-	held     int
-	unserved int
-	// ends are the engines lost to each fatal request, late those lost 3 s after the third.
-	ends map[ident.Fingerprint][]time.Time
-	late int
+	// harmlessAttempts counts the attempts of harmless requests, aborted those that a crash ended,
+	// rejected those not sent because of a quarantine, and unserved the requests without an attempt
+	// left.
+	harmlessAttempts int
+	aborted          int
+	rejected         int
+	unserved         int
+	// crashTimes holds the times of the crashes under each crashing request. lateCrashes counts the
+	// crashes more than 3 s after the third of their request.
+	crashTimes  map[ident.Fingerprint][]time.Time
+	lateCrashes int
 }
 
 type modelEngine struct {
@@ -36,35 +39,36 @@
 	running     []*modelRun
 }
 
-// modelRun is a request at an engine.
+// modelRun is a request and its current attempt at an engine.
 type modelRun struct {
 	request ident.Fingerprint
 	router  int
 	sent    time.Time
 	until   time.Time
-	// fatal is how long after it came the request ends its engine; zero never.
-	fatal time.Duration
-	// tries counts the engines it has been sent to.
-	tries int
+	// crashAfter is the time after which the request crashes its engine; zero for a harmless
+	// request.
+	crashAfter time.Duration
+	// attempts counts the engines that the request has been sent to.
+	attempts int
 }
 
 const (
-	modelStep    = 10 * time.Millisecond
-	modelEngines = 18
-	modelRouters = 8
-	modelRate    = 190.0
-	modelMean    = 1500 * time.Millisecond
-	modelFatal   = 60 * time.Millisecond
-	modelBack    = 4 * time.Second
-	modelGossip  = 400 * time.Millisecond
-	// modelTries is twice the attempts of a route: the caller comes back once.
-	modelTries = 4
+	modelStep         = 10 * time.Millisecond
+	modelEngines      = 18
+	modelRouters      = 8
+	modelRate         = 190.0
+	modelMeanDuration = 1500 * time.Millisecond
+	modelCrashAfter   = 60 * time.Millisecond
+	modelRestartTime  = 4 * time.Second
+	modelGossip       = 400 * time.Millisecond
+	// modelMaxAttempts is twice the number of attempts of a route, because the caller retries once.
+	modelMaxAttempts = 4
 )
 
 func newModel(seed uint64) *model {
 	m := &model{
 		rng: rand.New(rand.NewPCG(seed, 1)), now: time.Unix(1000, 0), engines: make([]modelEngine, modelEngines),
-		urgent: map[int]bool{}, next: 1 << 32, ends: map[ident.Fingerprint][]time.Time{},
+		urgent: map[int]bool{}, next: 1 << 32, crashTimes: map[ident.Fingerprint][]time.Time{},
 	}
 	for range modelRouters {
 		m.routers = append(m.routers, NewRecord())
@@ -72,14 +76,14 @@
 	return m
 }
 
-// send sends a request to an engine that is up, unless its router holds it.
+// send sends a request to a running engine, unless its router has quarantined it.
 func (m *model) send(run *modelRun) {
-	if run.fatal == 0 {
-		m.harmless++
+	if run.crashAfter == 0 {
+		m.harmlessAttempts++
 	}
 	if m.routers[run.router].HeldFor(m.now, run.request) > 0 {
-		if run.fatal == 0 {
-			m.held++
+		if run.crashAfter == 0 {
+			m.rejected++
 			m.unserved++
 		}
 		return
@@ -91,60 +95,60 @@
 		}
 		at = (at + 1) % modelEngines
 	}
-	run.tries++
+	run.attempts++
 	run.sent = m.now
-	run.until = m.now.Add(run.fatal)
-	if run.fatal == 0 {
-		run.until = m.now.Add(time.Duration(m.rng.ExpFloat64() * float64(modelMean)))
+	run.until = m.now.Add(run.crashAfter)
+	if run.crashAfter == 0 {
+		run.until = m.now.Add(time.Duration(m.rng.ExpFloat64() * float64(modelMeanDuration)))
 	}
 	m.engines[at].running = append(m.engines[at].running, run)
 }
 
-// end takes an engine away with all that runs there, and has that sent again.
-func (m *model) end(at int) {
+// crash crashes an engine and retries the requests that ran there.
+func (m *model) crash(at int) {
 	e := &m.engines[at]
-	lost := e.running
+	interrupted := e.running
 	e.running = nil
-	e.back = m.now.Add(modelBack)
+	e.back = m.now.Add(modelRestartTime)
 	start := NewStart(ident.TargetHash(at), e.incarnation)
 	e.incarnation++
-	for _, run := range lost {
-		m.note(run.router, m.routers[run.router].Ended(m.now, run.request, start, m.now.Sub(run.sent)))
+	for _, run := range interrupted {
+		m.noteUrgency(run.router, m.routers[run.router].Ended(m.now, run.request, start, m.now.Sub(run.sent)))
 	}
-	for _, run := range lost {
-		if run.fatal == 0 {
-			m.cut++
+	for _, run := range interrupted {
+		if run.crashAfter == 0 {
+			m.aborted++
 		}
 		switch {
-		case run.tries >= modelTries || run.fatal > 0 && run.tries%2 == 0:
-			if run.fatal == 0 {
+		case run.attempts >= modelMaxAttempts || run.crashAfter > 0 && run.attempts%2 == 0:
+			if run.crashAfter == 0 {
 				m.unserved++
 			}
 			continue
-		case run.tries%2 == 0:
+		case run.attempts%2 == 0:
 			run.router = m.rng.IntN(modelRouters)
 		}
 		m.send(run)
 	}
 }
 
-func (m *model) note(router int, news News) {
-	if news == Urgent {
+func (m *model) noteUrgency(router int, urgency News) {
+	if urgency == Urgent {
 		m.urgent[router] = true
 	}
 }
 
-// tell has two routers tell each other their news.
-func (m *model) tell(a, b int) {
+// exchange lets two routers exchange their suspects.
+func (m *model) exchange(a, b int) {
 	for _, s := range m.routers[a].Outgoing(m.now, modelRouters) {
-		m.note(b, m.routers[b].Merge(m.now, s))
+		m.noteUrgency(b, m.routers[b].Merge(m.now, s))
 	}
 	for _, s := range m.routers[b].Outgoing(m.now, modelRouters) {
-		m.note(a, m.routers[a].Merge(m.now, s))
+		m.noteUrgency(a, m.routers[a].Merge(m.now, s))
 	}
 }
 
-// step moves the model on.
+// step advances the model by modelStep.
 func (m *model) step() {
 	m.now = m.now.Add(modelStep)
 	for at := range m.engines {
@@ -161,7 +165,7 @@
 			peers++
 		}
 		for range peers {
-			m.tell(router, m.rng.IntN(modelRouters))
+			m.exchange(router, m.rng.IntN(modelRouters))
 		}
 	}
 	for due := modelRate * modelStep.Seconds(); due > 0; due-- {
@@ -173,7 +177,7 @@
 	}
 }
 
-// run ends what is over at one engine.
+// run completes the requests of one engine that are finished, or crashes the engine.
 func (m *model) run(at int) {
 	e := &m.engines[at]
 	var left []*modelRun
@@ -181,115 +185,117 @@
 		switch {
 		case run.until.After(m.now):
 			left = append(left, run)
-		case run.fatal > 0:
-			m.fell(run.request)
-			m.end(at)
+		case run.crashAfter > 0:
+			m.recordCrash(run.request)
+			m.crash(at)
 			return
 		default:
-			m.note(run.router, m.routers[run.router].Served(m.now, run.request))
+			m.noteUrgency(run.router, m.routers[run.router].Served(m.now, run.request))
 		}
 	}
 	e.running = left
 }
 
-// fell notes an engine lost to a fatal request.
-func (m *model) fell(request ident.Fingerprint) {
-	ends := append(m.ends[request], m.now)
-	m.ends[request] = ends
-	if len(ends) > 3 && m.now.Sub(ends[2]) > 3*time.Second {
-		m.late++
+// recordCrash records a crash under a crashing request.
+func (m *model) recordCrash(request ident.Fingerprint) {
+	crashTimes := append(m.crashTimes[request], m.now)
+	m.crashTimes[request] = crashTimes
+	if len(crashTimes) > 3 && m.now.Sub(crashTimes[2]) > 3*time.Second {
+		m.lateCrashes++
 	}
 }
 
-// outcome is what became of the requests of some seeds.
+// outcome is the result of several runs of the model.
 type outcome struct {
-	lost, most, late              int
-	harmless, cut, held, unserved int
+	crashes, maxPerRequest, lateCrashes           int
+	harmlessAttempts, aborted, rejected, unserved int
 }
 
-// play runs the model for 20 s with each seed; each 10 ms, disturb does what it will.
-func play(t *testing.T, seeds uint64, disturb func(m *model, step int)) outcome {
+// runModel runs the model for 20 s with each seed and calls beforeStep before each step of 10 ms.
+func runModel(t *testing.T, seeds uint64, beforeStep func(m *model, step int)) outcome {
 	t.Helper()
 	var out outcome
 	for seed := range seeds {
 		m := newModel(seed)
 		for i := range 2000 {
-			disturb(m, i)
+			beforeStep(m, i)
 			m.step()
 		}
-		for _, ends := range m.ends {
-			out.lost += len(ends)
-			out.most = max(out.most, len(ends))
+		for _, crashTimes := range m.crashTimes {
+			out.crashes += len(crashTimes)
+			out.maxPerRequest = max(out.maxPerRequest, len(crashTimes))
 		}
-		out.late += m.late
-		out.harmless += m.harmless
-		out.cut += m.cut
-		out.held += m.held
+		out.lateCrashes += m.lateCrashes
+		out.harmlessAttempts += m.harmlessAttempts
+		out.aborted += m.aborted
+		out.rejected += m.rejected
 		out.unserved += m.unserved
 	}
 	t.Logf("%+v", out)
 	return out
 }
 
-// comes has fatal requests come three times a second each.
-func comes(m *model, step, requests int, after time.Duration) {
+// sendCrashing sends the given number of different crashing requests, each three times per second.
+func sendCrashing(m *model, step, requests int, after time.Duration) {
 	if step >= 200 && step%8 == 0 {
-		m.send(&modelRun{request: ident.Fingerprint(1 + step/8%requests), router: m.rng.IntN(modelRouters), fatal: after})
+		m.send(&modelRun{request: ident.Fingerprint(1 + step/8%requests), router: m.rng.IntN(modelRouters), crashAfter: after})
 	}
 }
 
-// Pattern: four requests, each of which ends every engine that runs it, come three times a second at any of
-// eight routers. Each costs three engines on average, none 3 s after its third, and of the hundreds of
-// harmless requests that are cut off with those engines hardly one is refused.
-func TestHarmlessRequestsBesideFatalOnes(t *testing.T) {
-	got := play(t, 8, func(m *model, step int) { comes(m, step, 4, modelFatal) })
-	if got.held > got.harmless/5000 {
-		t.Errorf("%d of %d harmless tries were refused", got.held, got.harmless)
+// Pattern: four requests, each of which crashes every engine that runs it, are sent three times per
+// second to any of eight routers. Each may crash three engines on average, none more than 3 s after
+// its third. Of the hundreds of harmless requests that those crashes abort, hardly one may be
+// rejected.
+func TestHarmlessRequestsBesideCrashingOnes(t *testing.T) {
+	got := runModel(t, 8, func(m *model, step int) { sendCrashing(m, step, 4, modelCrashAfter) })
+	if got.rejected > got.harmlessAttempts/5000 {
+		t.Errorf("%d of %d harmless attempts were rejected", got.rejected, got.harmlessAttempts)
 	}
-	if got.late != 0 || got.most > 5 || got.lost > 8*4*3 {
-		t.Errorf("%d engines were lost, %d to one request, %d late", got.lost, got.most, got.late)
+	if got.lateCrashes != 0 || got.maxPerRequest > 5 || got.crashes > 8*4*3 {
+		t.Errorf("%d engines crashed, %d under one request, %d late", got.crashes, got.maxPerRequest, got.lateCrashes)
 	}
 }
 
-// Pattern: a request that ends its engines 1.5 s after it came, when most of what runs beside it came
-// later. It takes longer to be told from the others, and is.
-func TestRequestThatEndsEnginesLate(t *testing.T) {
-	got := play(t, 8, func(m *model, step int) {
+// Pattern: a request crashes its engines 1.5 s after it was sent, when most of the requests that
+// run beside it were sent later. It must be identified, although after more crashes.
+func TestRequestThatCrashesEnginesLate(t *testing.T) {
+	got := runModel(t, 8, func(m *model, step int) {
 		if step%40 == 0 {
-			comes(m, step, 1, 1500*time.Millisecond)
+			sendCrashing(m, step, 1, 1500*time.Millisecond)
 		}
 	})
-	if got.held > got.harmless/5000 {
-		t.Errorf("%d of %d harmless tries were refused", got.held, got.harmless)
+	if got.rejected > got.harmlessAttempts/5000 {
+		t.Errorf("%d of %d harmless attempts were rejected", got.rejected, got.harmlessAttempts)
 	}
-	if got.most > 12 || got.late > 8*3 {
-		t.Errorf("%d engines were lost to one request, %d late", got.most, got.late)
+	if got.maxPerRequest > 12 || got.lateCrashes > 8*3 {
+		t.Errorf("%d engines crashed under one request, %d late", got.maxPerRequest, got.lateCrashes)
 	}
 }
 
-// Pattern: engines end by themselves, one a second and now and then six at once. No request is to blame,
-// and of those that are cut off again and again few are refused: what runs beside them is served, which leaves
-// the blame with them.
-func TestEnginesThatEndByThemselves(t *testing.T) {
-	got := play(t, 8, func(m *model, step int) {
+// Pattern: engines crash independently of their requests, one per second and occasionally six at
+// once. Requests that are aborted repeatedly are blamed in error, because the requests that ran
+// beside them are served. Few attempts may be rejected for this reason.
+func TestEnginesThatCrashIndependently(t *testing.T) {
+	got := runModel(t, 8, func(m *model, step int) {
 		if step%100 == 0 {
-			m.end(m.rng.IntN(modelEngines))
+			m.crash(m.rng.IntN(modelEngines))
 		}
 		if step%500 == 250 {
 			for i := range 6 {
-				m.end((i + step/500) % modelEngines)
+				m.crash((i + step/500) % modelEngines)
 			}
 		}
 	})
-	if got.held > got.harmless/500 {
-		t.Errorf("%d of %d harmless tries were refused", got.held, got.harmless)
+	if got.rejected > got.harmlessAttempts/500 {
+		t.Errorf("%d of %d harmless attempts were rejected", got.rejected, got.harmlessAttempts)
 	}
 }
 
-// Pattern: 300 routers, of which one in ten answers nobody. Two of them saw one end each; the word of both
-// is with all others within 2 s, ahead of the 3 s after which no router may send the request on.
-func TestWordReachesAllRouters(t *testing.T) {
-	const routers, frozen, fanout = 300, 30, 3
+// Pattern: of 300 routers, one in ten does not respond. Two others observed one crash each. Both
+// crashes must reach all responding routers within 2 s, before the limit of 3 s after which no
+// router may send the request to a target.
+func TestSuspectReachesAllRouters(t *testing.T) {
+	const routers, unresponsive, fanout = 300, 30, 3
 	rng := rand.New(rand.NewPCG(1, 1))
 	now := time.Unix(1000, 0)
 	var all []*Record
@@ -297,12 +303,12 @@
 		all = append(all, NewRecord())
 	}
 	urgent := make([]bool, routers)
-	told := 0
+	exchanges := 0
 	all[routers-1].Ended(now, 1, 1, time.Second)
 	all[routers-2].Ended(now, 1, 2, time.Second)
-	knowing := func() int {
+	quarantining := func() int {
 		count := 0
-		for _, r := range all[frozen:] {
+		for _, r := range all[unresponsive:] {
 			if r.HeldFor(now, 1) > 0 {
 				count++
 			}
@@ -312,7 +318,7 @@
 	var after []int
 	for step := range 20 {
 		now = now.Add(100 * time.Millisecond)
-		for a := frozen; a < routers; a++ {
+		for a := unresponsive; a < routers; a++ {
 			peers := 0
 			if urgent[a] {
 				peers = fanout
@@ -323,10 +329,10 @@
 			}
 			for range peers {
 				b := rng.IntN(routers)
-				if b < frozen || b == a {
+				if b < unresponsive || b == a {
 					continue
 				}
-				told++
+				exchanges++
 				for _, s := range all[a].Outgoing(now, routers) {
 					urgent[b] = all[b].Merge(now, s) == Urgent || urgent[b]
 				}
@@ -335,10 +341,10 @@
 				}
 			}
 		}
-		after = append(after, knowing())
+		after = append(after, quarantining())
 	}
-	t.Logf("routers that hold the request after each tenth of a second: %v; %d exchanges", after, told)
-	if after[19] < routers-frozen {
-		t.Errorf("after 2 s %d of %d routers hold the request", after[19], routers-frozen)
+	t.Logf("routers that quarantine the request after each 100 ms: %v; %d exchanges", after, exchanges)
+	if after[19] < routers-unresponsive {
+		t.Errorf("after 2 s %d of %d routers quarantine the request", after[19], routers-unresponsive)
 	}
 }
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -9,62 +9,64 @@
 	"valescale/internal/plat/ident"
 )
 
-// Record is what one router knows of requests under which targets end. It is not safe for use by
-// several goroutines at once.
+// Record holds one router's suspects. It is not safe for concurrent use.
 type Record struct {
 	entries map[ident.Fingerprint]*entry
 	answers answers
 }
 
-// entry is a suspect with how it has been passed on.
+// entry is a suspect with the state of its dissemination to peers.
 type entry struct {
 	Suspect
-	// own is set if this router saw one of the ends itself.
-	own bool
-	// sent counts how often the latest news was passed on.
+	// observed is set if this router observed one of the crashes itself.
+	observed bool
+	// sent counts the messages that have included the entry since it last changed.
 	sent int
-	// ends is for how many ends the request is blamed, ran how long it ran on average before them.
-	ends int
-	ran  time.Duration
+	// crashes is the number of crashes that the request is blamed for, meanRan the mean time that
+	// it ran before them.
+	crashes int
+	meanRan time.Duration
 }
 
-// NewRecord returns a record that knows of nothing.
+// NewRecord returns an empty record.
 func NewRecord() *Record { return &Record{entries: map[ident.Fingerprint]*entry{}} }
 
-// maxEntries bounds the suspects remembered, about 100 bytes each. The end of a target makes suspects of
-// all that ran there, a dozen or two, most of which are served elsewhere at once.
+// maxEntries is the maximum number of suspects, about 100 bytes each. The crash of a target makes
+// suspects of all requests that ran there, a dozen or two, most of which are soon served by
+// another target.
 const maxEntries = 1024
 
-// News is what a change of the record means to others.
+// News is the urgency of sending a change of the record to peers.
 type News int
 
 const (
-	// Nothing has changed.
+	// Nothing means that the record has not changed.
 	Nothing News = iota
-	// Minor news can wait for the next exchange between routers.
+	// Minor changes are sent with the next periodic gossip.
 	Minor
-	// Urgent news may have the request held everywhere.
+	// Urgent changes may quarantine the request on all routers.
 	Urgent
 )
 
-// Ended notes that a target has ended under a request that was sent there some time before.
+// Ended records that a target has crashed while it ran a request; ran is the time since the request
+// was sent to it.
 func (r *Record) Ended(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) News {
 	e := r.entry(now, request)
-	e.own = true
+	e.observed = true
 	return r.changed(e, e.add(End{Start: start, At: now, Ran: ran}))
 }
 
-// Served notes a target's whole answer to a request.
+// Served records a complete answer to a request.
 func (r *Record) Served(now time.Time, request ident.Fingerprint) News {
-	r.answers.note(now, request)
-	e, known := r.entries[request]
-	if !known {
+	r.answers.record(now, request)
+	e, found := r.entries[request]
+	if !found {
 		return Nothing
 	}
 	return r.changed(e, e.serve(now))
 }
 
-// Merge takes in what another router knows of a request.
+// Merge adds the crashes and the last complete answer in a suspect received from a peer.
 func (r *Record) Merge(now time.Time, s Suspect) News {
 	if s.Expired(now) {
 		return Nothing
@@ -77,33 +79,33 @@
 	return r.changed(e, changed)
 }
 
-// changed has a changed entry passed on.
+// changed schedules a changed entry for sending to peers and returns the urgency.
 func (r *Record) changed(e *entry, changed bool) News {
 	if !changed {
 		return Nothing
 	}
 	e.sent = 0
-	e.ends, e.ran = e.weight()
-	if e.ends >= heldAfter {
+	e.crashes, e.meanRan = e.blame()
+	if e.crashes >= quarantineThreshold {
 		return Urgent
 	}
 	return Minor
 }
 
-// entry returns the entry of a request, made on first use.
+// entry returns the entry of a request and creates it if there is none.
 func (r *Record) entry(now time.Time, request ident.Fingerprint) *entry {
-	e, known := r.entries[request]
-	if !known {
-		r.makeRoom(now)
-		e = &entry{Suspect: Suspect{Request: request, Served: r.answers.of(request)}}
+	e, found := r.entries[request]
+	if !found {
+		r.evict(now)
+		e = &entry{Suspect: Suspect{Request: request, Served: r.answers.servedAt(request)}}
 		r.entries[request] = e
 	}
 	return e
 }
 
-// makeRoom forgets what has expired, and if that is not enough the request that is blamed for the
-// fewest ends, the oldest of these.
-func (r *Record) makeRoom(now time.Time) {
+// evict removes expired entries if the record is full. If none has expired, it evicts the entry
+// that is blamed for the fewest crashes, and of several the one with the oldest crash.
+func (r *Record) evict(now time.Time) {
 	if len(r.entries) < maxEntries {
 		return
 	}
@@ -112,12 +114,12 @@
 		return
 	}
 	least := slices.MinFunc(r.all(), func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(a.ends, b.ends), a.latest().Compare(b.latest()), cmp.Compare(a.Request, b.Request))
+		return cmp.Or(cmp.Compare(a.crashes, b.crashes), a.latest().Compare(b.latest()), cmp.Compare(a.Request, b.Request))
 	})
 	delete(r.entries, least.Request)
 }
 
-// latest is when the latest target ended.
+// latest returns the time of the latest crash, or of the last complete answer if there is no crash.
 func (e *entry) latest() time.Time {
 	if len(e.Ends) == 0 {
 		return e.Served
@@ -125,7 +127,7 @@
 	return e.Ends[len(e.Ends)-1].At
 }
 
-// all lists the entries.
+// all returns the entries in no particular order.
 func (r *Record) all() []*entry {
 	out := make([]*entry, 0, len(r.entries))
 	for _, e := range r.entries {
@@ -134,7 +136,7 @@
 	return out
 }
 
-// Sweep forgets what has expired.
+// Sweep removes expired entries.
 func (r *Record) Sweep(now time.Time) {
 	for request, e := range r.entries {
 		if e.Expired(now) {
@@ -143,71 +145,75 @@
 	}
 }
 
-// HeldFor is how much longer a request is held; zero if it is not.
+// HeldFor returns the remaining quarantine of a request, or zero if it is not quarantined.
 func (r *Record) HeldFor(now time.Time, request ident.Fingerprint) time.Duration {
-	e, known := r.entries[request]
-	if !known {
+	e, found := r.entries[request]
+	if !found {
 		return 0
 	}
 	return r.heldFor(now, e)
 }
 
-// heldFor is how much longer an entry's request is held.
+// heldFor returns the remaining quarantine of an entry's request.
 func (r *Record) heldFor(now time.Time, e *entry) time.Duration {
-	if e.ends < heldAfter {
+	if e.crashes < quarantineThreshold {
 		return 0
 	}
-	own := r.unexplained(e)
-	if len(own) < heldAfter {
+	unexplained := r.unexplainedCrashes(e)
+	if len(unexplained) < quarantineThreshold {
 		return 0
 	}
-	return max(own[len(own)-1].At.Add(hold(len(own))).Sub(now), 0)
+	return max(unexplained[len(unexplained)-1].At.Add(quarantineDuration(len(unexplained))).Sub(now), 0)
 }
 
-// unexplained are a request's ends that no likelier request explains: one that is blamed for as many
-// ends, but for one, and before them ran a shorter time.
+// unexplainedCrashes returns the crashes that an entry is blamed for and that no likelier request
+// explains. A likelier request is blamed for at least as many crashes less one, and ran for a
+// shorter time before them.
 //
-// An engine takes some 15 harmless requests along. They are sent again, and while several fatal requests
-// are about some lose engine after engine with them. What ends an engine mostly does so soon after it
-// came, and goes on doing so, whereas harmless requests are served or given up: with all ends counted
-// alike, 37 of 31,400 harmless tries of the model were held, so 2 of 32,200, for 86 engines lost to 32
-// fatal requests in place of 61; 37 and 25 harmless requests stayed unserved. A request that ends its engines late
-// is held some ends later, once it is blamed for more than what ran beside it.
-func (r *Record) unexplained(e *entry) []End {
-	var likelier []*entry
+// A crash aborts some 15 harmless requests. They are retried, and while several crashing requests
+// are in circulation, some of them are aborted repeatedly. A request that crashes engines mostly
+// does so soon after it was sent, and repeatedly, whereas harmless requests are eventually served
+// or abandoned. If all crashes counted alike, 37 of 31,400 harmless attempts of the model were
+// quarantined and 61 engines lost to 32 crashing requests; with this rule it is 2 of 32,200
+// attempts and 86 engines. 37 and 25 harmless requests respectively stayed unserved. A request that
+// crashes its engines late is quarantined some crashes later, once it is blamed for more crashes
+// than the requests that ran beside it.
+func (r *Record) unexplainedCrashes(e *entry) []End {
+	var likelierEntries []*entry
 	for _, other := range r.entries {
-		if other.ends >= e.ends-1 && other.ran < e.ran {
-			likelier = append(likelier, other)
+		if other.crashes >= e.crashes-1 && other.meanRan < e.meanRan {
+			likelierEntries = append(likelierEntries, other)
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(e.live()), func(end End) bool {
-		return slices.ContainsFunc(likelier, func(other *entry) bool { return other.ranOn(end.Start) })
+	return slices.DeleteFunc(slices.Clone(e.blamedCrashes()), func(end End) bool {
+		return slices.ContainsFunc(likelierEntries, func(other *entry) bool { return other.blamedForStart(end.Start) })
 	})
 }
 
-// Doubted reports whether one more end may have a request held.
+// Doubted reports whether one more crash may quarantine a request.
 func (r *Record) Doubted(request ident.Fingerprint) bool {
-	e, known := r.entries[request]
-	return known && e.ends >= heldAfter-1
+	e, found := r.entries[request]
+	return found && e.crashes >= quarantineThreshold-1
 }
 
-// Find returns what is known of a request, and whether this router saw some of it itself.
-func (r *Record) Find(request ident.Fingerprint) (s Suspect, own, known bool) {
-	e, known := r.entries[request]
-	if !known {
+// Find returns the suspect of a request, and whether this router observed one of its crashes
+// itself.
+func (r *Record) Find(request ident.Fingerprint) (s Suspect, observed, found bool) {
+	e, found := r.entries[request]
+	if !found {
 		return Suspect{}, false, false
 	}
-	return e.copy(), e.own, true
+	return e.copy(), e.observed, true
 }
 
-// copy is the suspect for others to keep.
+// copy returns a copy of the suspect that shares no memory with the entry.
 func (e *entry) copy() Suspect {
 	s := e.Suspect
 	s.Ends = slices.Clone(s.Ends)
 	return s
 }
 
-// Held is how many requests are held now.
+// Held returns the number of requests that are quarantined now.
 func (r *Record) Held(now time.Time) int {
 	held := 0
 	for _, e := range r.entries {
@@ -219,34 +225,37 @@
 }
 
 const (
-	// maxNews is how many suspects one message tells of as news, some 20 bytes each.
-	maxNews = 32
-	// maxStanding is how many held requests it tells of that are no news, in turn: routers that start
-	// learn of them so.
-	maxStanding = 4
-	// spreadTimes is how often news is passed on, in multiples of the logarithm of the routers' number.
-	spreadTimes = 3
+	// maxChangedPerMessage is the maximum number of changed suspects in one message, some 20 bytes
+	// each.
+	maxChangedPerMessage = 32
+	// maxUnchangedPerMessage is the maximum number of unchanged quarantined requests in one
+	// message, selected in turn, so that routers that have just started receive all of them.
+	maxUnchangedPerMessage = 4
+	// disseminationFactor is the number of messages that include a changed suspect, as a multiple
+	// of the binary logarithm of the number of routers.
+	disseminationFactor = 3
 )
 
-// Outgoing returns what the next message to another router is to tell, to one of so many.
+// Outgoing returns the suspects to include in the next message to a peer, given the number of
+// routers in the fleet.
 func (r *Record) Outgoing(now time.Time, routers int) []Suspect {
-	var news, standing []*entry
+	var changed, unchanged []*entry
 	for _, e := range r.entries {
 		switch {
-		case e.sent < spreadTimes*bits.Len(uint(routers)):
-			news = append(news, e)
+		case e.sent < disseminationFactor*bits.Len(uint(routers)):
+			changed = append(changed, e)
 		case r.heldFor(now, e) > 0:
-			standing = append(standing, e)
+			unchanged = append(unchanged, e)
 		}
 	}
-	slices.SortFunc(news, func(a, b *entry) int {
-		return cmp.Or(cmp.Compare(b.ends, a.ends), cmp.Compare(a.sent, b.sent), cmp.Compare(a.Request, b.Request))
+	slices.SortFunc(changed, func(a, b *entry) int {
+		return cmp.Or(cmp.Compare(b.crashes, a.crashes), cmp.Compare(a.sent, b.sent), cmp.Compare(a.Request, b.Request))
 	})
-	slices.SortFunc(standing, func(a, b *entry) int {
+	slices.SortFunc(unchanged, func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.Request, b.Request))
 	})
 	var out []Suspect
-	for _, e := range slices.Concat(news[:min(len(news), maxNews)], standing[:min(len(standing), maxStanding)]) {
+	for _, e := range slices.Concat(changed[:min(len(changed), maxChangedPerMessage)], unchanged[:min(len(unchanged), maxUnchangedPerMessage)]) {
 		e.sent++
 		out = append(out, e.copy())
 	}
--- a/internal/rule/crash/record_test.go
+++ b/internal/rule/crash/record_test.go
@@ -10,137 +10,139 @@
 )
 
 const (
-	fatalRequest ident.Fingerprint = 7
-	otherRequest ident.Fingerprint = 8
+	crashingRequest ident.Fingerprint = 7
+	harmlessRequest ident.Fingerprint = 8
 )
 
-// at is a moment some seconds after the tests' beginning.
+// at returns the time the given number of seconds after the start of a test.
 func at(seconds float64) time.Time {
 	return time.Unix(1000, 0).Add(time.Duration(seconds * float64(time.Second)))
 }
 
-// A request is held from the second end on, each further one makes that longer, and between holds it
-// gets a try.
-func TestHoldsGrow(t *testing.T) {
+// A request is quarantined from the second crash on. Each further crash extends the quarantine, and
+// between two quarantines the request may be sent again.
+func TestQuarantineGrows(t *testing.T) {
 	r := NewRecord()
 	now := at(0)
 	var got []time.Duration
 	for start := range Start(6) {
-		r.Ended(now, fatalRequest, start, time.Second)
-		held := r.HeldFor(now, fatalRequest)
-		got = append(got, held)
-		now = now.Add(held)
-		if r.HeldFor(now, fatalRequest) != 0 {
-			t.Errorf("after end %d: still held when the hold is over", start+1)
+		r.Ended(now, crashingRequest, start, time.Second)
+		quarantine := r.HeldFor(now, crashingRequest)
+		got = append(got, quarantine)
+		now = now.Add(quarantine)
+		if r.HeldFor(now, crashingRequest) != 0 {
+			t.Errorf("after crash %d: still quarantined at the end of the quarantine", start+1)
 		}
 	}
-	want := []time.Duration{0, firstHold, holdFor, 2 * holdFor, 4 * holdFor, 8 * holdFor}
+	want := []time.Duration{0, firstQuarantine, baseQuarantine, 2 * baseQuarantine, 4 * baseQuarantine, 8 * baseQuarantine}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// One end that several attempts saw, or several routers, counts once.
-func TestAnEndCountsOnce(t *testing.T) {
+// A crash that several attempts or several routers observed is counted once.
+func TestCrashCountsOnce(t *testing.T) {
 	a, b := NewRecord(), NewRecord()
-	a.Ended(at(0), fatalRequest, 1, time.Second)
-	a.Ended(at(0.1), fatalRequest, 1, time.Second)
-	b.Ended(at(0.1), fatalRequest, 1, time.Second)
+	a.Ended(at(0), crashingRequest, 1, time.Second)
+	a.Ended(at(0.1), crashingRequest, 1, time.Second)
+	b.Ended(at(0.1), crashingRequest, 1, time.Second)
 	for _, s := range b.Outgoing(at(0.2), 2) {
-		if news := a.Merge(at(0.2), s); news != Nothing {
-			t.Errorf("the same end is news %d", news)
+		if urgency := a.Merge(at(0.2), s); urgency != Nothing {
+			t.Errorf("the same crash is reported as a change of urgency %d", urgency)
 		}
 	}
-	if held := a.HeldFor(at(0.2), fatalRequest); held != 0 {
-		t.Errorf("held for %v after one end", held)
+	if quarantine := a.HeldFor(at(0.2), crashingRequest); quarantine != 0 {
+		t.Errorf("quarantined for %v after one crash", quarantine)
 	}
 }
 
-// Routers that each saw one end hold the request once they have told each other; one that joins later
-// learns of it when the news is old.
-func TestEndsAddUpOverRouters(t *testing.T) {
+// Routers that observed one crash each quarantine the request once they have exchanged their
+// suspects. A router that joins later receives the suspect although it has not changed for long.
+func TestCrashesAddUpOverRouters(t *testing.T) {
 	a, b, late := NewRecord(), NewRecord(), NewRecord()
-	a.Ended(at(0), fatalRequest, 1, time.Second)
-	b.Ended(at(1), fatalRequest, 2, time.Second)
-	tell := func(from, to *Record, now time.Time) (news News) {
+	a.Ended(at(0), crashingRequest, 1, time.Second)
+	b.Ended(at(1), crashingRequest, 2, time.Second)
+	send := func(from, to *Record, now time.Time) (urgency News) {
 		for _, s := range from.Outgoing(now, 3) {
-			news = max(news, to.Merge(now, s))
+			urgency = max(urgency, to.Merge(now, s))
 		}
-		return news
+		return urgency
 	}
-	if news := tell(a, b, at(1.1)); news != Urgent {
-		t.Errorf("the second end is news %d, want urgent", news)
+	if urgency := send(a, b, at(1.1)); urgency != Urgent {
+		t.Errorf("the second crash is reported with urgency %d, want Urgent", urgency)
 	}
-	tell(b, a, at(1.1))
+	send(b, a, at(1.1))
 	for range 100 {
-		tell(b, a, at(1.2))
+		send(b, a, at(1.2))
 	}
-	tell(b, late, at(2))
+	send(b, late, at(2))
 	for name, r := range map[string]*Record{"a": a, "b": b, "late": late} {
-		if diff := cmp.Diff(firstHold-time.Second, r.HeldFor(at(2), fatalRequest)); diff != "" {
+		if diff := cmp.Diff(firstQuarantine-time.Second, r.HeldFor(at(2), crashingRequest)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
 }
 
-// A whole answer clears a request, here and wherever the word of it comes. What was served a moment
-// before is not blamed for targets that end together.
+// A complete answer clears a request on the router that received it and on its peers. A request
+// that was served shortly before is not blamed for targets that crash together.
 func TestServedRequestsAreCleared(t *testing.T) {
 	a, b := NewRecord(), NewRecord()
 	for start := range Start(3) {
-		a.Ended(at(0), fatalRequest, start, time.Second)
-		b.Ended(at(0), fatalRequest, start, time.Second)
+		a.Ended(at(0), crashingRequest, start, time.Second)
+		b.Ended(at(0), crashingRequest, start, time.Second)
 	}
-	a.Served(at(1), fatalRequest)
+	a.Served(at(1), crashingRequest)
 	for _, s := range a.Outgoing(at(1), 2) {
 		b.Merge(at(1), s)
 	}
 	for start := range Start(3) {
-		b.Ended(at(2), fatalRequest, 10+start, time.Second)
+		b.Ended(at(2), crashingRequest, 10+start, time.Second)
 	}
-	a.Served(at(1), otherRequest)
+	a.Served(at(1), harmlessRequest)
 	for start := range Start(6) {
-		a.Ended(at(3), otherRequest, start, time.Second)
+		a.Ended(at(3), harmlessRequest, start, time.Second)
 	}
-	if a.HeldFor(at(3), fatalRequest)+b.HeldFor(at(3), fatalRequest)+a.HeldFor(at(3), otherRequest) != 0 {
-		t.Error("a request that was served is held")
+	if a.HeldFor(at(3), crashingRequest)+b.HeldFor(at(3), crashingRequest)+a.HeldFor(at(3), harmlessRequest) != 0 {
+		t.Error("a request that was served is quarantined")
 	}
 	for start := range Start(2) {
-		a.Ended(at(3+trust.Seconds()), otherRequest, 20+start, time.Second)
+		a.Ended(at(3+grace.Seconds()), harmlessRequest, 20+start, time.Second)
 	}
-	if a.HeldFor(at(3+trust.Seconds()), otherRequest) == 0 {
-		t.Error("a request that was served long ago is never blamed")
+	if a.HeldFor(at(3+grace.Seconds()), harmlessRequest) == 0 {
+		t.Error("a request that was served long ago is not blamed for new crashes")
 	}
 }
 
-// Of two requests at the same targets, the one that had been there for a moment only is held.
-func TestTheLikelierRequestIsHeld(t *testing.T) {
+// Of two requests that ran on the same targets, the one that had been sent there shortly before the
+// crashes is quarantined.
+func TestLikelierRequestIsQuarantined(t *testing.T) {
 	r := NewRecord()
 	for start := range Start(2) {
-		r.Ended(at(1), otherRequest, start, 2*time.Second)
-		r.Ended(at(1), fatalRequest, start, 60*time.Millisecond)
+		r.Ended(at(1), harmlessRequest, start, 2*time.Second)
+		r.Ended(at(1), crashingRequest, start, 60*time.Millisecond)
 	}
-	if r.HeldFor(at(1), fatalRequest) == 0 || r.HeldFor(at(1), otherRequest) != 0 {
-		t.Errorf("held: %v, and %v that ran beside it", r.HeldFor(at(1), fatalRequest), r.HeldFor(at(1), otherRequest))
+	if r.HeldFor(at(1), crashingRequest) == 0 || r.HeldFor(at(1), harmlessRequest) != 0 {
+		t.Errorf("quarantined for %v, and for %v the request that ran beside it", r.HeldFor(at(1), crashingRequest), r.HeldFor(at(1), harmlessRequest))
 	}
 }
 
-// The record stays small whatever ends, and keeps what matters most.
+// The record must stay within its limit, whatever number of targets crash, and keep the requests
+// with the most crashes.
 func TestRecordIsBounded(t *testing.T) {
 	r := NewRecord()
-	r.Ended(at(0), fatalRequest, 1, time.Millisecond)
-	r.Ended(at(0), fatalRequest, 2, time.Millisecond)
+	r.Ended(at(0), crashingRequest, 1, time.Millisecond)
+	r.Ended(at(0), crashingRequest, 2, time.Millisecond)
 	for i := range ident.Fingerprint(3 * maxEntries) {
 		r.Ended(at(1), 100+i, Start(i), time.Second)
 	}
-	if len(r.entries) > maxEntries || r.HeldFor(at(1), fatalRequest) == 0 {
-		t.Errorf("%d entries, held for %v", len(r.entries), r.HeldFor(at(1), fatalRequest))
+	if len(r.entries) > maxEntries || r.HeldFor(at(1), crashingRequest) == 0 {
+		t.Errorf("%d entries, quarantined for %v", len(r.entries), r.HeldFor(at(1), crashingRequest))
 	}
-	if got := len(r.Outgoing(at(1), 400)); got > maxNews+maxStanding {
+	if got := len(r.Outgoing(at(1), 400)); got > maxChangedPerMessage+maxUnchangedPerMessage {
 		t.Errorf("%d suspects in one message", got)
 	}
 	r.Sweep(at(0).Add(24 * time.Hour))
 	if len(r.entries) != 0 {
-		t.Errorf("%d entries are left after a day", len(r.entries))
+		t.Errorf("%d entries remain after a day", len(r.entries))
 	}
 }
--- a/internal/rule/crash/suspect.go
+++ b/internal/rule/crash/suspect.go
@@ -7,120 +7,129 @@
 	"valescale/internal/plat/ident"
 )
 
-// Start stands for one start of a target, 32 bits of a hash.
+// Start identifies one start of a target by 32 bits of a hash.
 type Start uint32
 
-// NewStart returns the start that an incarnation of a target is.
+// NewStart returns the identifier of an incarnation of a target.
 func NewStart(target ident.TargetHash, incarnation ident.Incarnation) Start {
 	return Start(ident.Mix(uint64(target), uint64(incarnation)))
 }
 
-// End is a target's end while it ran a request.
+// End is the crash of a target while it ran a request.
 type End struct {
 	Start Start
 	At    time.Time
-	// Ran is how long before that the request had been sent there.
+	// Ran is the time from sending the request to the target until the crash.
 	Ran time.Duration
 }
 
-// Suspect is a request under which targets have ended.
+// Suspect is a request under which targets have crashed.
 type Suspect struct {
 	Request ident.Fingerprint
-	// Ends are the latest ends, at most one a start, in order of time.
+	// Ends are the latest crashes, in order of time, with at most one for each start.
 	Ends []End
-	// Served is when a target last gave a whole answer to the request; zero for never.
+	// Served is the time of the last complete answer to the request, or zero if there is none.
 	Served time.Time
 }
 
 const (
-	// heldAfter is how many targets must end under a request, and not under likelier ones, for it to be
-	// held. In the model two cost 86 engines for 32 fatal requests and 25 harmless requests that stay
-	// unserved, three 113 and 166: each engine lost takes along 15 harmless requests, of which some lose
-	// their last try.
-	heldAfter = 2
-	// firstHold is how long a request is held after the second end. Two ends are thin proof: should they
-	// have been chance, a caller loses no more than this. A third end settles it.
-	firstHold = 30 * time.Second
-	// holdFor is how long it is held after the third end, twice as long after each further one. One more
-	// try then shows whether the targets have been mended, which may cost another: 8 of them in a day.
-	holdFor = 10 * time.Minute
-	// maxEnds is how many ends of one request are kept; the hold grows to 5.3 hours.
-	maxEnds = 8
-	// trust is how long after a whole answer ends are not blamed on the request: what many callers ask
-	// for is at every target that ends, several of which may lose power together.
-	trust = 5 * time.Second
-	// forgetAfter is how many times as long as its hold, and as holdFor, a request is remembered.
-	forgetAfter = 2
+	// quarantineThreshold is the number of crashes under a request, not explained by a likelier
+	// request, after which it is quarantined. In the model, a threshold of two costs 86 engines for
+	// 32 requests that crash their targets, and leaves 25 harmless requests unserved; three costs
+	// 113 and 166. Each crash aborts 15 harmless requests, some of them on their last attempt.
+	quarantineThreshold = 2
+	// firstQuarantine is the duration of the quarantine after the second crash. Two crashes are
+	// weak evidence: if they are a coincidence, the caller is delayed by no more than this. A third
+	// crash is taken as proof.
+	firstQuarantine = 30 * time.Second
+	// baseQuarantine is the duration of the quarantine after the third crash; it doubles with each
+	// further one. After it, one more attempt shows whether the targets have been fixed, which may
+	// crash another one: 8 of them in a day.
+	baseQuarantine = 10 * time.Minute
+	// maxCrashes is the maximum number of crashes recorded for one request. The quarantine grows to
+	// 5.3 hours.
+	maxCrashes = 8
+	// grace is the period after a complete answer in which crashes are not blamed on
+	// the request. A request that many callers send runs on every target that crashes, and several
+	// targets may lose power together.
+	grace = 5 * time.Second
+	// expiryFactor is the time after which a suspect expires, as a multiple of its quarantine and
+	// at least of baseQuarantine.
+	expiryFactor = 2
 )
 
-// blamed reports whether the request is blamed for an end.
-func (s Suspect) blamed(e End) bool { return s.Served.IsZero() || e.At.After(s.Served.Add(trust)) }
+// blamed reports whether the request is blamed for a crash.
+func (s Suspect) blamed(e End) bool { return s.Served.IsZero() || e.At.After(s.Served.Add(grace)) }
 
-// live are the ends that the request is blamed for.
-func (s Suspect) live() []End {
+// blamedCrashes returns the crashes that the request is blamed for.
+func (s Suspect) blamedCrashes() []End {
 	if s.Served.IsZero() {
 		return s.Ends
 	}
 	return slices.DeleteFunc(slices.Clone(s.Ends), func(e End) bool { return !s.blamed(e) })
 }
 
-// weight is for how many ends the request is blamed, and how long it ran on average before them.
-func (s Suspect) weight() (ends int, ran time.Duration) {
+// blame returns the number of crashes that the request is blamed for, and the mean time that it ran
+// before them.
+func (s Suspect) blame() (crashes int, ran time.Duration) {
 	for _, e := range s.Ends {
 		if s.blamed(e) {
-			ends++
+			crashes++
 			ran += e.Ran
 		}
 	}
-	return ends, ran / time.Duration(max(ends, 1))
+	return crashes, ran / time.Duration(max(crashes, 1))
 }
 
-// ranOn reports whether the request is blamed for the end of a start.
-func (s Suspect) ranOn(start Start) bool {
+// blamedForStart reports whether the request is blamed for the crash of a start.
+func (s Suspect) blamedForStart(start Start) bool {
 	return slices.ContainsFunc(s.Ends, func(e End) bool { return e.Start == start && s.blamed(e) })
 }
 
-// hold is for how long after the latest of some ends a request is held.
-func hold(ends int) time.Duration {
+// quarantineDuration returns the duration of the quarantine after the given number of crashes, from
+// the latest of them.
+func quarantineDuration(crashes int) time.Duration {
 	switch {
-	case ends < heldAfter:
+	case crashes < quarantineThreshold:
 		return 0
-	case ends == heldAfter:
-		return firstHold
+	case crashes == quarantineThreshold:
+		return firstQuarantine
 	default:
-		return holdFor << (min(ends, maxEnds) - heldAfter - 1)
+		return baseQuarantine << (min(crashes, maxCrashes) - quarantineThreshold - 1)
 	}
 }
 
-// Expired reports whether the request need not be remembered any more.
+// Expired reports whether the suspect can be removed.
 func (s Suspect) Expired(now time.Time) bool {
-	latest := s.Served.Add(trust)
+	latest := s.Served.Add(grace)
 	if n := len(s.Ends); n > 0 && s.Ends[n-1].At.After(latest) {
 		latest = s.Ends[n-1].At
 	}
-	return now.Sub(latest) > forgetAfter*max(hold(len(s.live())), holdFor)
+	return now.Sub(latest) > expiryFactor*max(quarantineDuration(len(s.blamedCrashes())), baseQuarantine)
 }
 
-// add takes in an end and reports whether it was new.
+// add adds a crash. It reports whether the list of crashes changed: a start that is already in the
+// list is not added, and neither is a crash older than those of a full list.
 func (s *Suspect) add(e End) bool {
-	if slices.ContainsFunc(s.Ends, func(known End) bool { return known.Start == e.Start }) {
+	if slices.ContainsFunc(s.Ends, func(recorded End) bool { return recorded.Start == e.Start }) {
 		return false
 	}
 	at, _ := slices.BinarySearchFunc(s.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
 	s.Ends = slices.Insert(s.Ends, at, e)
-	if len(s.Ends) > maxEnds {
+	if len(s.Ends) > maxCrashes {
 		s.Ends = s.Ends[1:]
 		return at > 0
 	}
 	return true
 }
 
-// serve notes a whole answer and reports whether it changes what the request is blamed for.
+// serve records a complete answer and reports whether it changes the crashes that the request is
+// blamed for.
 func (s *Suspect) serve(at time.Time) bool {
 	if !at.After(s.Served) {
 		return false
 	}
-	before := len(s.live())
+	before := len(s.blamedCrashes())
 	s.Served = at
-	return len(s.live()) != before
+	return len(s.blamedCrashes()) != before
 }
--- a/internal/rule/quota/queue.go
+++ b/internal/rule/quota/queue.go
@@ -45,9 +45,9 @@
 	heap     waiterHeap
 }
 
-// NewQueue returns a queue of at most limit waiters, and at most perFlow of one workspace.
-func NewQueue(limit, maxPerFlow int) *Queue {
-	return &Queue{maxWaiters: limit, maxPerFlow: maxPerFlow, flows: map[ident.Workspace]*flow{}}
+// NewQueue returns a queue of at most maxWaiters waiters, and at most maxPerFlow of one workspace.
+func NewQueue(maxWaiters, maxPerFlow int) *Queue {
+	return &Queue{maxWaiters: maxWaiters, maxPerFlow: maxPerFlow, flows: map[ident.Workspace]*flow{}}
 }
 
 // Len returns the number of waiters.
@@ -141,8 +141,8 @@
 	// shard of 28 engines, this delays a waiter by at most 25 ms. In a model of such a shard,
 	// four times as many gave no further improvement.
 	maxPassed = 16
-	// maxSuitedDistance is the maximum distance in virtual time between the waiter whose turn it is and
-	// one that is selected instead: the work of 16 requests of a workspace of weight 1. In the
+	// maxSuitedDistance is the maximum distance in virtual time between the waiter whose turn it is
+	// and one that is selected instead: the work of 16 requests of a workspace of weight 1. In the
 	// same model, 0.62 of the requests reached an engine with their prompt prefix cached at a
 	// distance of 4 requests, 0.76 at 16, 0.79 at 64, and 0.15 without selection.
 	maxSuitedDistance = 16 * float64(ident.OneRequest)
--- a/internal/rule/quota/retry_after.go
+++ b/internal/rule/quota/retry_after.go
@@ -11,8 +11,8 @@
 	// defaultRetryAfter is the Retry-After delay while no rate has been measured, as after a start.
 	// A rate is available when the delay has elapsed.
 	defaultRetryAfter = time.Second
-	// retryCapacityRatio is the share of the freed capacity that Retry-After delays assign to rejected
-	// requests. The rest is left to new requests.
+	// retryCapacityRatio is the share of the freed capacity that Retry-After delays assign to
+	// rejected requests. The rest is left to new requests.
 	retryCapacityRatio = 0.5
 )
 
