--- a/internal/rule/canary/canary_test.go
+++ b/internal/rule/canary/canary_test.go
@@ -8,58 +8,61 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// The sum of what routers let through keeps to the share of all that they send, at each moment and whoever starts anew.
-func TestGatesKeepTheShare(t *testing.T) {
+// The fleet's requests to the canary must stay within the share of its requests to the service
+// after every request, even when routers restart.
+func TestGatesKeepFleetWithinShare(t *testing.T) {
 	const share, routers = 0.06, 60
 	rng := rand.New(rand.NewPCG(1, 2))
 	gates := make([]Gate, routers)
 	for i := range gates {
 		gates[i] = NewGate(share)
 	}
-	all, tried := 0, 0
+	total, toCanary := 0, 0
 	for step := range 100_000 {
 		i := rng.IntN(routers)
-		onTrial := gates[i].Admits()
-		gates[i].Sent(onTrial)
-		all++
-		if onTrial {
-			tried++
+		isCanary := gates[i].Admits()
+		gates[i].Sent(isCanary)
+		total++
+		if isCanary {
+			toCanary++
 		}
-		if float64(tried) > share*float64(all) {
-			t.Fatalf("%d of %d requests try a version after step %d, want %v at most", tried, all, step, share)
+		if float64(toCanary) > share*float64(total) {
+			t.Fatalf("%d of %d requests were sent to the canary after step %d, want a share of at most %v", toCanary, total, step, share)
 		}
 		if rng.IntN(500) == 0 {
 			gates[i] = NewGate(share)
 		}
 	}
-	if float64(tried) < share/2*float64(all) {
-		t.Errorf("only %d of %d requests try a version", tried, all)
+	if float64(toCanary) < share/2*float64(total) {
+		t.Errorf("only %d of %d requests were sent to the canary", toCanary, total)
 	}
 }
 
-// world is a service whose old version answers some routes badly, and a version on trial.
-type world struct {
+// simulation is a service whose current version fails on some routes, and a canary of it.
+type simulation struct {
 	rng *rand.Rand
-	// fails is the share of requests that the old version fails, by route.
-	fails []float64
-	norms []Norm
+	// failureRatios are the shares of requests that the current version fails, by route.
+	failureRatios []float64
+	norms         []Norm
 }
 
-// answer is one answer of the old version: how long it takes varies much from request to request.
-func (w *world) answer(route int) (ok bool, took time.Duration) {
-	return w.rng.Float64() >= w.fails[route], time.Duration(w.rng.ExpFloat64() * float64(50*time.Millisecond))
+// answer returns the result and the response time of one request to the current version. Response
+// times vary widely.
+func (w *simulation) answer(route int) (ok bool, took time.Duration) {
+	return w.rng.Float64() >= w.failureRatios[route], time.Duration(w.rng.ExpFloat64() * float64(50*time.Millisecond))
 }
 
-// trial has a version answer until it is given up, for at most so many answers, and returns the evidence.
-func (w *world) trial(answers int, spoil func(route int, ok bool, took time.Duration) (bool, time.Duration)) Evidence {
-	w.norms = make([]Norm, len(w.fails))
+// rollout sends requests to a canary until it is judged bad or has given the number of answers, and
+// returns the evidence. spoil turns answers of the current version into those of the canary.
+func (w *simulation) rollout(answers int, spoil func(route int, ok bool, took time.Duration) (bool, time.Duration)) Evidence {
+	w.norms = make([]Norm, len(w.failureRatios))
 	var e Evidence
 	for range answers {
 		for range 15 {
-			route := w.rng.IntN(len(w.fails))
+			route := w.rng.IntN(len(w.failureRatios))
 			w.norms[route].Note(w.answer(route))
 		}
-		route := w.rng.IntN(len(w.fails))
+		route := w.rng.IntN(len(w.failureRatios))
 		ok, took := w.answer(route)
 		ok, took = spoil(route, ok, took)
 		e.Add(&w.norms[route], ok, took)
@@ -70,11 +73,12 @@
 	return e
 }
 
-// A bad version is given up long before its fiftieth poor answer, whether it fails or is slow, on all routes or on
-// one; a sound one seldom, though one route fails often in any case.
-func TestVersionsAreToldApart(t *testing.T) {
-	const trials, answers = 300, 250
-	w := &world{rng: rand.New(rand.NewPCG(3, 4)), fails: []float64{0.004, 0.14, 0, 0.01}}
+// A bad canary must be reverted long before its fiftieth poor answer, whether it fails or is slow,
+// on all routes or on one. A sound canary may only rarely be reverted, although one route often
+// fails with any version.
+func TestBadCanaryIsReverted(t *testing.T) {
+	const rollouts, answers = 300, 250
+	w := &simulation{rng: rand.New(rand.NewPCG(3, 4)), failureRatios: []float64{0.004, 0.14, 0, 0.01}}
 	for _, c := range []struct {
 		name  string
 		spoil func(route int, ok bool, took time.Duration) (bool, time.Duration)
@@ -90,28 +94,29 @@
 		}, true},
 		{"fails on one route", func(route int, ok bool, took time.Duration) (bool, time.Duration) { return ok && route != 2, took }, true},
 	} {
-		given, most := 0, 0
-		for range trials {
-			if e := w.trial(answers, c.spoil); e.Bad() {
-				given++
-				most = max(most, e.Poor)
+		reverted, maxPoor := 0, 0
+		for range rollouts {
+			if e := w.rollout(answers, c.spoil); e.Bad() {
+				reverted++
+				maxPoor = max(maxPoor, e.Poor)
 			}
 		}
-		t.Logf("%s: %d of %d given up, after %d poor answers at most", c.name, given, trials, most)
-		if c.bad && (given < trials || most >= 50) {
-			t.Errorf("%s: %d of %d given up, after %d poor answers at most", c.name, given, trials, most)
+		t.Logf("%s: %d of %d reverted, after at most %d poor answers", c.name, reverted, rollouts, maxPoor)
+		if c.bad && (reverted < rollouts || maxPoor >= 50) {
+			t.Errorf("%s: %d of %d reverted, after at most %d poor answers", c.name, reverted, rollouts, maxPoor)
 		}
-		if !c.bad && given > trials/50 {
-			t.Errorf("%s: %d of %d given up", c.name, given, trials)
+		if !c.bad && reverted > rollouts/50 {
+			t.Errorf("%s: %d of %d reverted", c.name, reverted, rollouts)
 		}
 	}
 }
 
-// A version takes over only once enough answers have shown it sound, and before the order's time is over.
-func TestOrdersEndInTime(t *testing.T) {
-	seen := time.Unix(1000, 0)
+// A canary is promoted only after enough sound answers, and before the duration of the rollout has
+// elapsed.
+func TestRolloutIsDecidedInTime(t *testing.T) {
+	readAt := time.Unix(1000, 0)
 	o := Order{Over: 12 * time.Second}
-	if done, promoted := o.DoneAt(seen), o.PromotedAt(seen); !promoted.Before(done) || !done.Before(seen.Add(o.Over)) || !promoted.After(seen) {
+	if done, promoted := o.DoneAt(readAt), o.PromotedAt(readAt); !promoted.Before(done) || !done.Before(readAt.Add(o.Over)) || !promoted.After(readAt) {
 		t.Errorf("promoted at %v, done at %v", promoted, done)
 	}
 	got := []bool{Evidence{}.Sound(), Evidence{Answers: 30}.Sound(), Evidence{Answers: 30, Poor: 9, Expected: 1}.Sound()}
--- a/internal/rule/canary/doc.go
+++ b/internal/rule/canary/doc.go
@@ -1,5 +1,5 @@
-// Package canary decides how a service moves to another version of its software: how many requests may try that
-// version while nobody knows whether it is sound, and what their answers say of it.
+// Package canary controls the rollout of another version of a service: it limits the share of
+// requests that are sent to the canary, and judges the canary by its answers.
 //
-// It has no goroutines, locks or input and output; time is passed in.
+// It has no goroutines, locks or I/O. Callers pass the time.
 package canary
--- a/internal/rule/canary/evidence.go
+++ b/internal/rule/canary/evidence.go
@@ -3,86 +3,95 @@
 import "time"
 
 const (
-	// slowFactor is how many times as long as usual an answer takes that counts as poor.
+	// slowFactor is the multiple of the mean response time above which an answer is poor.
 	slowFactor = 3
-	// usualAfter is how many answers tell what is usual.
-	usualAfter = 5
-	// remembered is about how many answers of a route count in what is usual.
-	remembered = 100
-	// priorPoor of priorAnswers are taken for poor before anything is known of a route.
+	// minBaselineAnswers is the minimum number of answers for the mean response time to be used.
+	minBaselineAnswers = 5
+	// baselineWindow is the approximate number of latest answers of a route that the averages
+	// cover.
+	baselineWindow = 100
+	// priorPoor and priorAnswers are the prior of the share of poor answers on a route: half an
+	// answer in ten.
 	priorPoor    = 0.5
 	priorAnswers = 10
 )
 
-// Norm is how the version in service answers on one route, as one router sees it. Some routes fail often, whatever
-// the version.
+// Norm is the baseline of one route: the share of poor answers and the mean response time of the
+// current version, as measured by one router. Baselines are kept per route because some routes
+// fail often with any version.
 type Norm struct {
 	answers, poor float64
-	took          time.Duration
+	// latency is the mean response time of successful answers.
+	latency time.Duration
 }
 
-// Poor reports whether an answer is poor by the measure of the route.
-func (n *Norm) Poor(ok bool, took time.Duration) bool {
-	return !ok || n.answers >= usualAfter && took > slowFactor*n.took
+// Poor reports whether an answer is poor: it failed, or it was slow relative to the mean of the
+// route.
+func (n *Norm) Poor(ok bool, latency time.Duration) bool {
+	return !ok || n.answers >= minBaselineAnswers && latency > slowFactor*n.latency
 }
 
-// Note takes in an answer of the version in service.
-func (n *Norm) Note(ok bool, took time.Duration) {
-	const kept = 1 - 1.0/remembered
-	poor := n.Poor(ok, took)
-	n.answers, n.poor = n.answers*kept+1, n.poor*kept
+// Note adds an answer of the current version to the baseline.
+func (n *Norm) Note(ok bool, latency time.Duration) {
+	const decay = 1 - 1.0/baselineWindow
+	poor := n.Poor(ok, latency)
+	n.answers, n.poor = n.answers*decay+1, n.poor*decay
 	if poor {
 		n.poor++
 	}
 	if ok {
-		n.took += time.Duration(float64(took-n.took) / n.answers)
+		n.latency += time.Duration(float64(latency-n.latency) / n.answers)
 	}
 }
 
-// Share is the share of answers that are poor.
+// Share returns the estimated share of poor answers.
 func (n *Norm) Share() float64 { return (n.poor + priorPoor) / (n.answers + priorAnswers) }
 
-// Evidence is what routers have seen of a version on trial.
+// Evidence counts the answers of a canary.
 type Evidence struct {
 	Answers int
 	Poor    int
-	// Expected is how many of the answers the version in service would have made poor.
+	// Expected is the number of poor answers that the current version would have given to the same
+	// requests.
 	Expected float64
 }
 
-// Add takes in an answer of the version on trial to a request of a route.
-func (e *Evidence) Add(norm *Norm, ok bool, took time.Duration) {
+// Add adds an answer of the canary, given the baseline of the request's route.
+func (e *Evidence) Add(norm *Norm, ok bool, latency time.Duration) {
 	e.Answers++
 	e.Expected += norm.Share()
-	if norm.Poor(ok, took) {
+	if norm.Poor(ok, latency) {
 		e.Poor++
 	}
 }
 
-// Plus is the evidence of two taken together.
+// Plus returns the sum of both.
 func (e Evidence) Plus(other Evidence) Evidence {
 	return Evidence{Answers: e.Answers + other.Answers, Poor: e.Poor + other.Poor, Expected: e.Expected + other.Expected}
 }
 
 const (
-	// leastPoor poor answers beyond twice what was to be expected show that a version is bad. Of sound versions that are
-	// looked at after each answer very few are reverted; a bad one's fiftieth poor answer is far off.
-	leastPoor    = 4
-	expectFactor = 2
-	// leastAnswers is of how many answers a version must prove sound.
-	leastAnswers = 20
+	// maxExcessPoor is the number of poor answers beyond maxPoorRatio times the expected number
+	// above which a canary is bad. With these limits very few sound versions are reverted, although
+	// each is judged after every answer, and a bad one is reverted long before its fiftieth poor
+	// answer.
+	maxExcessPoor = 4
+	maxPoorRatio  = 2
+	// minAnswers is the number of answers after which a canary can be promoted.
+	minAnswers = 20
 )
 
-// Bad reports whether the version is to be given up.
-func (e Evidence) Bad() bool { return float64(e.Poor) > expectFactor*e.Expected+leastPoor }
+// Bad reports whether the rollout must be reverted.
+func (e Evidence) Bad() bool { return float64(e.Poor) > maxPoorRatio*e.Expected+maxExcessPoor }
 
-// Sound reports whether the version may take over.
-func (e Evidence) Sound() bool { return e.Answers >= leastAnswers && !e.Bad() }
+// Sound reports whether the canary may be promoted.
+func (e Evidence) Sound() bool { return e.Answers >= minAnswers && !e.Bad() }
 
-// Report is one router's evidence on one order, as routers tell each other.
+// Report is one router's evidence on one rollout, as exchanged between routers.
 type Report struct {
+	// Number identifies the order.
 	Number uint64
-	// Source is the router's process.
+	// Source identifies the router's process.
 	Source uint64
 	Evidence
 }
--- a/internal/rule/canary/order.go
+++ b/internal/rule/canary/order.go
@@ -6,53 +6,56 @@
 	"valescale/internal/plat/ident"
 )
 
-// Order is operators' order to move a service to a version.
+// Order is an operator's instruction to roll out a version of a service.
 type Order struct {
 	Service ident.Service
 	Version ident.Version
-	// Over is how long the move may take.
+	// Over is the duration of the rollout.
 	Over time.Duration
-	// Number tells the order from others for the service.
+	// Number identifies the order among those of the service.
 	Number uint64
 }
 
-// State is what became of an order.
+// State is the state of a rollout.
 type State string
 
 const (
-	// Active orders are on trial.
+	// Active rollouts have not been decided.
 	Active State = "active"
-	// Done orders have moved the service.
+	// Done rollouts have moved the service to the version.
 	Done State = "done"
-	// Reverted orders have left the service where it was.
+	// Reverted rollouts have left the service on its earlier version.
 	Reverted State = "reverted"
 )
 
-// Status is what the fleet has decided of an order, for good once it is done or reverted.
+// Status is the decision of the fleet on a rollout. It is final once the state is Done or Reverted.
 type Status struct {
 	Service ident.Service
 	Version ident.Version
 	State   State
-	// Number is the order's.
+	// Number is that of the order.
 	Number uint64
 }
 
 const (
-	// promoteShare is the part of an order's time that its version gets all requests before the order is done: the
-	// others stop at once then, and requests on their way there would be lost.
-	promoteShare = 0.04
-	// promoteMost bounds that time.
-	promoteMost = time.Second
-	// doneShare is the part of its time after which an order is done: the word has to reach the store in time.
-	doneShare = 0.9
+	// promotionRatio is the part of a rollout's duration, at its end, in which the canary receives
+	// all requests. Targets of other versions stop as soon as the rollout is done, and requests
+	// still in flight to them would be lost.
+	promotionRatio = 0.04
+	// maxPromotionTime is the maximum length of that period.
+	maxPromotionTime = time.Second
+	// doneRatio is the part of a rollout's duration after which it is done. The rest is left for
+	// writing the decision to the store.
+	doneRatio = 0.9
 )
 
-// DoneAt is when a sound order that was seen at some time is done.
-func (o Order) DoneAt(seen time.Time) time.Time {
-	return seen.Add(time.Duration(doneShare * float64(o.Over)))
+// DoneAt returns the time at which the rollout is done, if the canary is sound, given the time at
+// which the order was first read.
+func (o Order) DoneAt(readAt time.Time) time.Time {
+	return readAt.Add(time.Duration(doneRatio * float64(o.Over)))
 }
 
-// PromotedAt is from when its version gets all requests.
-func (o Order) PromotedAt(seen time.Time) time.Time {
-	return o.DoneAt(seen).Add(-min(time.Duration(promoteShare*float64(o.Over)), promoteMost))
+// PromotedAt returns the time from which the canary receives all requests.
+func (o Order) PromotedAt(readAt time.Time) time.Time {
+	return o.DoneAt(readAt).Add(-min(time.Duration(promotionRatio*float64(o.Over)), maxPromotionTime))
 }
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -73,8 +73,8 @@
 	}
 	e := r.entry(now, s.Request)
 	changed := e.serve(s.Served)
-	for _, end := range s.Ends {
-		changed = e.add(end) || changed
+	for _, crash := range s.Ends {
+		changed = e.add(crash) || changed
 	}
 	return r.changed(e, changed)
 }
@@ -185,8 +185,8 @@
 			likelierEntries = append(likelierEntries, other)
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(e.blamedCrashes()), func(end End) bool {
-		return slices.ContainsFunc(likelierEntries, func(other *entry) bool { return other.blamedForStart(end.Start) })
+	return slices.DeleteFunc(slices.Clone(e.blamedCrashes()), func(crash End) bool {
+		return slices.ContainsFunc(likelierEntries, func(other *entry) bool { return other.blamedForStart(crash.Start) })
 	})
 }
 
@@ -215,13 +215,13 @@
 
 // Held returns the number of requests that are quarantined now.
 func (r *Record) Held(now time.Time) int {
-	held := 0
+	quarantined := 0
 	for _, e := range r.entries {
 		if r.heldFor(now, e) > 0 {
-			held++
+			quarantined++
 		}
 	}
-	return held
+	return quarantined
 }
 
 const (
