--- a/internal/rule/policy/doc.go
+++ b/internal/rule/policy/doc.go
@@ -1,8 +1,8 @@
-// Package policy holds the documents that operators write: services, workspaces
-// and policies, each one section of an INI file, and compiles them into a set
-// that routers evaluate.
+// Package policy parses the documents that operators write and compiles them into a set that
+// routers evaluate. A document describes a service, a workspace or a policy and is one section
+// of an INI file.
 //
-// A policy's settings are short CEL programs, type-checked and bounded in cost
-// before they are recorded. Should one still fail at run time, the strictest
-// value is used: never repeat, lowest priority, do not wait.
+// The settings of a policy are short CEL programs, which are type-checked and limited in cost
+// before they are recorded. If one still fails at run time, the strictest value is used: the
+// request is never repeated, has the lowest priority and does not wait.
 package policy
--- a/internal/rule/policy/document.go
+++ b/internal/rule/policy/document.go
@@ -9,34 +9,35 @@
 	"valescale/internal/plat/fault"
 )
 
-// DocumentKind is what a document describes.
+// DocumentKind is the type of object that a document describes.
 type DocumentKind string
 
 const (
-	// ServiceKind documents describe what requests are sent to.
+	// ServiceKind documents describe the targets that requests are sent to.
 	ServiceKind DocumentKind = "service"
-	// WorkspaceKind documents describe who sends requests.
+	// WorkspaceKind documents describe the callers that send requests.
 	WorkspaceKind DocumentKind = "workspace"
-	// PolicyKind documents say who goes where, what may wait and what must never repeat.
+	// PolicyKind documents define to which service a request is sent, how long it may wait and
+	// whether it may be repeated.
 	PolicyKind DocumentKind = "policy"
 )
 
-// MaxDocument bounds the text of one document, in bytes.
+// MaxDocument is the maximum size of one document's text, in bytes.
 const MaxDocument = 16 << 10
 
-// MaxName bounds the name of a document, in bytes.
+// MaxName is the maximum length of a document's name, in bytes.
 const MaxName = 64
 
-// ID names a document.
+// ID identifies a document.
 type ID struct {
 	Kind DocumentKind `json:"kind"`
 	Name string       `json:"name"`
 }
 
-// String returns the form used in messages and row keys.
+// String returns the ID in the form used in messages and row keys.
 func (id ID) String() string { return string(id.Kind) + "/" + id.Name }
 
-// Document is one section of an INI file in canonical form, or its deletion.
+// Document is one section of an INI file in canonical form, or the deletion of one.
 type Document struct {
 	ID      ID     `json:"id"`
 	Text    string `json:"text"`
@@ -46,7 +47,7 @@
 // Less orders documents by kind and name.
 func (d Document) Less(other Document) bool { return d.ID.String() < other.ID.String() }
 
-// loadOptions keep CEL programs as they are written: quotes and comment signs belong to them.
+// loadOptions preserve CEL programs as they are written, including quotes and comment characters.
 var loadOptions = ini.LoadOptions{
 	IgnoreInlineComment:        true,
 	PreserveSurroundedQuote:    true,
@@ -57,7 +58,7 @@
 	AllowShadows:               true,
 }
 
-// Split reads an INI file into its documents, in order of kind and name.
+// Split parses an INI file and returns its documents in order of kind and name.
 func Split(source string, data []byte) ([]Document, error) {
 	const op = "policy.Split"
 	file, err := ini.LoadSources(loadOptions, data)
@@ -69,7 +70,7 @@
 	for _, section := range file.Sections() {
 		if section.Name() == ini.DefaultSection {
 			if len(section.Keys()) > 0 {
-				return nil, fault.Newf(op, Syntax, "%s: key %q stands outside of a section", source, section.Keys()[0].Name())
+				return nil, fault.Newf(op, Syntax, "%s: key %q is outside of a section", source, section.Keys()[0].Name())
 			}
 			continue
 		}
@@ -78,7 +79,7 @@
 			return nil, fault.Newf(op, Syntax, "%s: %v", source, err)
 		}
 		if seen[doc.ID] {
-			return nil, fault.Newf(op, Syntax, "%s: [%s] stands twice", source, section.Name())
+			return nil, fault.Newf(op, Syntax, "%s: section [%s] is defined twice", source, section.Name())
 		}
 		seen[doc.ID] = true
 		out = append(out, doc)
@@ -117,22 +118,22 @@
 
 func checkName(name string) error {
 	if name == "" || len(name) > MaxName {
-		return fault.Newf("policy.checkName", Syntax, "name %q is not 1 to %d characters", name, MaxName)
+		return fault.Newf("policy.checkName", Syntax, "name %q is not 1 to %d characters long", name, MaxName)
 	}
 	for _, r := range name {
 		if (r < 'a' || r > 'z') && (r < '0' || r > '9') && r != '_' && r != '-' {
-			return fault.Newf("policy.checkName", Syntax, "name %q has other characters than a-z, 0-9, _ and -", name)
+			return fault.Newf("policy.checkName", Syntax, "name %q contains characters other than a-z, 0-9, _ and -", name)
 		}
 	}
 	return nil
 }
 
-// oneLine folds a value over several lines into one, which CEL reads alike.
+// oneLine joins the lines of a value with spaces, which does not change its meaning in CEL.
 func oneLine(value string) string {
 	return strings.Join(strings.Fields(value), " ")
 }
 
-// section reads a document's text back into keys.
+// section parses the text of a document into keys.
 func (d Document) section() (*ini.Section, error) {
 	file, err := ini.LoadSources(loadOptions, []byte(d.Text))
 	if err != nil {
@@ -141,17 +142,17 @@
 	return file.Section(ini.DefaultSection), nil
 }
 
-// fields reads a document's keys and remembers the first mistake.
+// fields reads the keys of a document. It keeps the first error, and the keys that were read.
 type fields struct {
-	id      ID
-	section *ini.Section
-	known   map[string]bool
-	err     error
+	id       ID
+	section  *ini.Section
+	keysRead map[string]bool
+	err      error
 }
 
 func (d Document) fields() *fields {
 	section, err := d.section()
-	f := &fields{id: d.ID, section: section, known: map[string]bool{}, err: err}
+	f := &fields{id: d.ID, section: section, keysRead: map[string]bool{}, err: err}
 	if err != nil {
 		f.section = ini.Empty().Section(ini.DefaultSection)
 	}
@@ -159,7 +160,7 @@
 }
 
 func (f *fields) text(key, fallback string) string {
-	f.known[key] = true
+	f.keysRead[key] = true
 	if !f.section.HasKey(key) {
 		return fallback
 	}
@@ -174,10 +175,10 @@
 	f.err = fault.Newf("policy.Compile", Invalid, "%s: %s: "+format, args...)
 }
 
-// done reports the first mistake, or a key that nothing asked for.
+// done returns the first error. A key that was not read is an error too.
 func (f *fields) done() error {
 	for _, key := range f.section.KeyStrings() {
-		if !f.known[key] {
+		if !f.keysRead[key] {
 			f.fail(key, "no such setting")
 		}
 	}
--- a/internal/rule/policy/policy.go
+++ b/internal/rule/policy/policy.go
@@ -10,33 +10,34 @@
 	"valescale/internal/rule/retry"
 )
 
-// OnLoss is what happens to a stream whose engine dies.
+// OnLoss defines how a stream is handled when its engine crashes.
 type OnLoss string
 
 const (
 	// Fail ends the stream with an explicit error.
 	Fail OnLoss = "fail"
-	// Continue goes on at another engine from the prompt and the text already sent.
+	// Continue resumes the stream on another engine from the prompt and the text already sent.
 	Continue OnLoss = "continue"
 )
 
-// MaxWait bounds how long a policy may let a request wait.
+// MaxWait is the maximum time that a policy may let a request wait.
 const MaxWait = 5 * time.Minute
 
-// Priorities run from MinPriority, shed first, to MaxPriority.
+// MinPriority and MaxPriority are the limits of a request's priority. When a queue is full,
+// requests of the lowest priority are rejected first.
 const (
 	MinPriority = 0
 	MaxPriority = 9
 )
 
-// Decision is what a policy says of one request.
+// Decision is the result of a policy for one request.
 type Decision struct {
 	Service  ident.Service
 	Repeat   retry.Repeat
 	Priority int
 	Wait     time.Duration
 	OnLoss   OnLoss
-	// Faulty is set when a program failed and the strictest value was used.
+	// Faulty is set if a program failed and the strictest value was used in its place.
 	Faulty bool
 }
 
@@ -50,13 +51,13 @@
 	onLoss   *program
 }
 
-// setting is one program of a policy with its default, type and allowed constants.
+// setting describes one program of a policy: its key, default, result type and permitted constants.
 type setting struct {
 	key      string
 	fallback string
 	kind     *cel.Type
 	allowed  []string
-	into     func(*Policy) **program
+	field    func(*Policy) **program
 }
 
 var settings = []setting{
@@ -85,7 +86,7 @@
 		if err != nil {
 			return nil, err
 		}
-		*s.into(p) = compiled
+		*s.field(p) = compiled
 		if s.allowed != nil {
 			f.checkLiterals(s.key, compiled, func(v string) bool { return contains(s.allowed, v) })
 		}
@@ -99,7 +100,7 @@
 	return p, f.done()
 }
 
-// checkLiterals refuses a program that spells out a value that is not allowed.
+// checkLiterals rejects a program that can return a string constant that is not permitted.
 func (f *fields) checkLiterals(key string, p *program, allowed func(string) bool) {
 	values, _ := p.literals()
 	for _, v := range values {
@@ -118,7 +119,7 @@
 	return false
 }
 
-// Decide runs the policy's programs on a request.
+// Decide evaluates the policy's programs for a request.
 func (p *Policy) Decide(r *Request) Decision {
 	d := Decision{Repeat: retry.Never, Priority: MinPriority, OnLoss: Fail}
 	service, ok := p.service.text(r)
@@ -147,13 +148,13 @@
 	return d
 }
 
-// Problem is one mistake found in a set of documents.
+// Problem is one error in a set of documents.
 type Problem struct {
 	Document ID
 	Err      error
 }
 
-func problemOf(id ID, err error) Problem {
+func newProblem(id ID, err error) Problem {
 	if fault.KindOf[Kind](err) == "" {
 		err = fault.New("policy.Compile", Invalid, err)
 	}
--- a/internal/rule/policy/program.go
+++ b/internal/rule/policy/program.go
@@ -15,16 +15,16 @@
 	"valescale/internal/plat/fault"
 )
 
-// MaxCost bounds the estimated cost of one setting's program, in CEL's cost units.
+// MaxCost is the maximum estimated cost of one setting's program, in CEL's cost units.
 const MaxCost = 2000
 
-// Sizes that the cost estimate assumes of a request's parts; the front enforces them.
+// Maximum sizes of a request's parts that the cost estimate assumes. The front enforces them.
 const (
 	maxTextSize    = 256
 	maxHeaderCount = 64
 )
 
-// Request is what a policy's programs can see.
+// Request contains the properties of a request that a policy's programs can read.
 type Request struct {
 	Method    string
 	Path      string
@@ -39,7 +39,7 @@
 	Hour      int64
 }
 
-// variable is one name that programs can use and how to read it.
+// variable is a name that programs can use, with its type and the function that reads it.
 type variable struct {
 	name string
 	kind *cel.Type
@@ -60,7 +60,7 @@
 	{"time.hour", cel.IntType, func(r *Request) any { return r.Hour }},
 }
 
-// ResolveName gives CEL the value of a name.
+// ResolveName returns the value of a variable. It implements interpreter.Activation.
 func (r *Request) ResolveName(name string) (any, bool) {
 	for i := range variables {
 		if variables[i].name == name {
@@ -70,11 +70,12 @@
 	return nil, false
 }
 
-// Parent returns nil: a request is the outermost scope.
+// Parent returns nil, because a request is the outermost scope. It implements
+// interpreter.Activation.
 func (r *Request) Parent() interpreter.Activation { return nil }
 
-// newEnv declares the variables and the function value, which unlike indexing
-// cannot fail: a header that is not there is empty.
+// newEnv declares the variables and the function value. Unlike indexing, value cannot fail: for a
+// header that is absent it returns the empty string.
 func newEnv() (*cel.Env, error) {
 	options := []cel.EnvOption{
 		cel.ClearMacros(),
@@ -96,7 +97,7 @@
 	return found
 }
 
-// sizes tells the cost estimate how large a request's parts can be.
+// sizes provides the maximum sizes of a request's parts to CEL's cost estimate.
 type sizes struct{}
 
 func (sizes) EstimateSize(node cost.AstNode) *cost.SizeEstimate {
@@ -118,7 +119,7 @@
 	return &cost.CallEstimate{CostEstimate: cost.Estimate{Min: 1, Max: 1}, ResultSize: &size}
 }
 
-// program is one setting's compiled CEL expression.
+// program is the compiled CEL expression of one setting.
 type program struct {
 	source string
 	run    cel.Program
@@ -132,14 +133,14 @@
 		return nil, fault.Newf(op, Program, "%s: %s: %v", id, key, issues.Err())
 	}
 	if !checked.OutputType().IsExactType(want) {
-		return nil, fault.Newf(op, Program, "%s: %s: gives %s, must give %s", id, key, checked.OutputType(), want)
+		return nil, fault.Newf(op, Program, "%s: %s: has type %s, want %s", id, key, checked.OutputType(), want)
 	}
 	estimate, err := env.EstimateCost(checked, sizes{})
 	if err != nil {
 		return nil, fault.Newf(op, Program, "%s: %s: %v", id, key, err)
 	}
 	if estimate.Max > MaxCost {
-		return nil, fault.Newf(op, Program, "%s: %s: may cost %d, more than %d", id, key, estimate.Max, MaxCost)
+		return nil, fault.Newf(op, Program, "%s: %s: estimated cost %d exceeds the limit of %d", id, key, estimate.Max, MaxCost)
 	}
 	run, err := env.Program(checked, cel.EvalOptions(cel.OptOptimize), cel.CostLimit(MaxCost))
 	if err != nil {
@@ -148,9 +149,9 @@
 	return &program{source: source, run: run, expr: checked.NativeRep().Expr()}, nil
 }
 
-// literals lists the string constants that a program can give, as far as they are
-// written out in it; known is false when it can give others.
-func (p *program) literals() (values []string, known bool) {
+// literals returns the string constants that a program can return. complete is false if it can also
+// return other values.
+func (p *program) literals() (values []string, complete bool) {
 	return literalsOf(p.expr)
 }
 
@@ -164,9 +165,9 @@
 		if call.FunctionName() != operators.Conditional {
 			return nil, false
 		}
-		yes, yesKnown := literalsOf(call.Args()[1])
-		no, noKnown := literalsOf(call.Args()[2])
-		return append(yes, no...), yesKnown && noKnown
+		yes, yesComplete := literalsOf(call.Args()[1])
+		no, noComplete := literalsOf(call.Args()[2])
+		return append(yes, no...), yesComplete && noComplete
 	default:
 		return nil, false
 	}
--- a/internal/rule/policy/service.go
+++ b/internal/rule/policy/service.go
@@ -8,23 +8,23 @@
 	"valescale/internal/plat/ident"
 )
 
-// TargetKind is what a service's targets are.
+// TargetKind is the type of a service's targets.
 type TargetKind string
 
 const (
-	// EngineTargets run language models and speak chat completions.
+	// EngineTargets run language models and serve the chat completions API.
 	EngineTargets TargetKind = "engine"
 	// PlainTargets are ordinary applications.
 	PlainTargets TargetKind = "plain"
 )
 
-// Balance is how a service's targets are chosen.
+// Balance is the method of selecting a target of a service.
 type Balance string
 
 const (
-	// Exact balance takes a permit from the shard's home for each request.
+	// Exact balance acquires a permit from the shard's home for each request.
 	Exact Balance = "exact"
-	// Local balance decides in the router that has the request, without messages.
+	// Local balance selects a target in the edge router, without a request to a home.
 	Local Balance = "local"
 )
 
@@ -33,44 +33,44 @@
 	Name    ident.Service
 	Kind    TargetKind
 	Balance Balance
-	// Shards is how many parts its pools are counted in.
+	// Shards is the number of shards of each of its pools.
 	Shards int
-	// Bound is the multiple of the mean load that no target may exceed.
+	// Bound limits the load of each target to this multiple of the mean load.
 	Bound float64
-	// Slots is how many requests one target runs at once; zero means no limit.
+	// Slots is the number of requests that one target runs concurrently; zero means no limit.
 	Slots int
-	// Timeout bounds one attempt from the first byte sent to the last received.
+	// Timeout limits the time of one attempt from the first byte sent to the last byte received.
 	Timeout time.Duration
-	// NotRunStatus are answers that this service's contract says mean "not run".
+	// NotRunStatus are the status codes that the service's contract defines as "not run".
 	NotRunStatus []int
-	// Fenced targets refuse orders and claims with an older fencing token.
+	// Fenced targets reject orders and claims with an older fencing token.
 	Fenced bool
-	// Export says that its engines can copy cached prefixes to each other.
+	// Export is set if its engines can copy cached prompt prefixes to each other.
 	Export bool
-	// Echo says that its targets return the attempt's id with each answer, so that
-	// connections to them can be kept.
+	// Echo is set if its targets return the attempt's ID with each answer. Connections to them
+	// can then be reused.
 	Echo bool
-	// Protocol is how its targets are spoken to.
+	// Protocol is the protocol of its targets.
 	Protocol Protocol
-	// Weighing is what its targets' load is measured in.
-	Weighing Weighing
-	// Model is the model that its engines are to have loaded; empty gives no orders.
+	// WorkUnit is the unit of its targets' load.
+	WorkUnit WorkUnit
+	// Model is the model that its engines are ordered to load. If it is empty, no orders are sent.
 	Model string
-	// ClosedZones are the availability zones whose targets get no new work.
+	// ClosedZones are the availability zones whose targets receive no new requests.
 	ClosedZones []ident.Zone
 }
 
-// Protocol is how targets are spoken to.
+// Protocol is the protocol of a service's targets.
 type Protocol string
 
 const (
-	// HTTP1 targets speak HTTP/1.1.
+	// HTTP1 targets use HTTP/1.1.
 	HTTP1 Protocol = "http1"
-	// HTTP2 targets speak HTTP/2 in clear text.
+	// HTTP2 targets use HTTP/2 without TLS.
 	HTTP2 Protocol = "http2"
 )
 
-// DefaultShards is the number of shards of a pool that does not say.
+// DefaultShards is the number of shards of a pool if the document does not set it.
 const DefaultShards = 2
 
 const (
@@ -94,7 +94,7 @@
 		Echo:     f.boolean("echo", false),
 		Protocol: Protocol(f.oneOf("protocol", string(HTTP1), string(HTTP1), string(HTTP2))),
 		Model:    f.text("model", ""),
-		Weighing: Weighing(f.oneOf("work", string(ByRequests), string(ByRequests), string(ByTokens))),
+		WorkUnit: WorkUnit(f.oneOf("work", string(ByRequests), string(ByRequests), string(ByTokens))),
 	}
 	balance := Exact
 	if s.Kind == PlainTargets {
@@ -107,7 +107,7 @@
 	for _, part := range f.list("not_run_status") {
 		status, err := strconv.Atoi(part)
 		if err != nil || status < 400 || status > 599 {
-			f.fail("not_run_status", "%q is not a status from 400 to 599", part)
+			f.fail("not_run_status", "%q is not an HTTP status from 400 to 599", part)
 			continue
 		}
 		s.NotRunStatus = append(s.NotRunStatus, status)
@@ -115,42 +115,42 @@
 	return s, f.done()
 }
 
-// Weighing is what a service's load is measured in.
-type Weighing string
+// WorkUnit is the unit of a service's load.
+type WorkUnit string
 
 const (
-	// ByRequests counts each request alike.
-	ByRequests Weighing = "requests"
-	// ByTokens counts a request by its estimated tokens.
-	ByTokens Weighing = "tokens"
+	// ByRequests counts each request as the same work.
+	ByRequests WorkUnit = "requests"
+	// ByTokens counts the work of a request by its estimated number of tokens.
+	ByTokens WorkUnit = "tokens"
 )
 
-// Of a request measured by tokens: how many make one plain request's work, how
-// many answers have when the caller does not say, and how much cheaper a token of
-// the prompt is than one of the answer.
+// Limits and defaults of work measured in tokens: the number of answer tokens whose work equals
+// ident.OneRequest, the assumed length of an answer if the caller sets no limit, and the number of
+// prompt tokens that cost as much as one answer token.
 const (
-	tokensPerRequest   = 512
-	defaultAnswer      = 256
-	promptTokensAsOne  = 8
-	minWork            = ident.OneRequest / 8
-	maxWork            = ident.OneRequest * 16
-	maxCountableTokens = 1 << 20
+	tokensPerRequest           = 512
+	defaultAnswerTokens        = 256
+	promptTokensPerAnswerToken = 8
+	minWork                    = ident.OneRequest / 8
+	maxWork                    = ident.OneRequest * 16
+	maxCountedTokens           = 1 << 20
 )
 
-// WorkOf is the work of a request with an estimated number of tokens in its prompt
-// and at most so many in its answer; zero means not known.
+// WorkOf returns the work of a request, given the estimated number of tokens of its prompt and the
+// maximum number of tokens of its answer. Zero means that the number is unknown.
 func (s Service) WorkOf(prompt, answer int64) ident.Work {
-	if s.Weighing != ByTokens {
+	if s.WorkUnit != ByTokens {
 		return ident.OneRequest
 	}
 	if answer <= 0 {
-		answer = defaultAnswer
+		answer = defaultAnswerTokens
 	}
-	tokens := min(answer, maxCountableTokens) + min(prompt, maxCountableTokens)/promptTokensAsOne
+	tokens := min(answer, maxCountedTokens) + min(prompt, maxCountedTokens)/promptTokensPerAnswerToken
 	return min(max(ident.Work(tokens)*ident.OneRequest/tokensPerRequest, minWork), maxWork)
 }
 
-// MeansNotRun reports whether the service's contract says that a status means "not run".
+// MeansNotRun reports whether the service's contract defines a status code as "not run".
 func (s Service) MeansNotRun(status int) bool {
 	for _, known := range s.NotRunStatus {
 		if known == status {
@@ -192,7 +192,7 @@
 func (f *fields) duration(key string, fallback, low, high time.Duration) time.Duration {
 	value, err := time.ParseDuration(f.text(key, fallback.String()))
 	if err != nil || value < low || value > high {
-		f.fail(key, "not a time from %s to %s, such as 30s", low, high)
+		f.fail(key, "not a duration from %s to %s, such as 30s", low, high)
 		return fallback
 	}
 	return value
@@ -201,7 +201,7 @@
 func (f *fields) boolean(key string, fallback bool) bool {
 	value, err := strconv.ParseBool(f.text(key, strconv.FormatBool(fallback)))
 	if err != nil {
-		f.fail(key, "neither true nor false")
+		f.fail(key, "must be true or false")
 		return fallback
 	}
 	return value
--- a/internal/rule/policy/set.go
+++ b/internal/rule/policy/set.go
@@ -7,7 +7,7 @@
 	"valescale/internal/plat/ident"
 )
 
-// Set is a whole configuration, compiled.
+// Set is a compiled configuration.
 type Set struct {
 	Services   map[ident.Service]Service
 	Workspaces map[ident.Workspace]Workspace
@@ -16,8 +16,7 @@
 	certs      map[string]ident.Workspace
 }
 
-// Compile builds a set from documents and returns every mistake that it finds;
-// with any mistake the set is nil.
+// Compile builds a set from documents. It returns all errors found; the set is nil if there is one.
 func Compile(documents []Document) (*Set, []Problem) {
 	s := &Set{
 		Services:   map[ident.Service]Service{},
@@ -44,7 +43,7 @@
 		}
 		service, err := compileService(d)
 		if err != nil {
-			problems = append(problems, problemOf(d.ID, err))
+			problems = append(problems, newProblem(d.ID, err))
 		}
 		s.Services[service.Name] = service
 	}
@@ -54,7 +53,7 @@
 func (s *Set) addPolicies(documents []Document) (problems []Problem) {
 	env, err := newEnv()
 	if err != nil {
-		return []Problem{problemOf(ID{}, err)}
+		return []Problem{newProblem(ID{}, err)}
 	}
 	for _, d := range documents {
 		if d.ID.Kind != PolicyKind || d.Deleted {
@@ -62,7 +61,7 @@
 		}
 		compiled, err := compilePolicy(env, d, s.Services)
 		if err != nil {
-			problems = append(problems, problemOf(d.ID, err))
+			problems = append(problems, newProblem(d.ID, err))
 			continue
 		}
 		s.Policies[d.ID.Name] = compiled
@@ -83,7 +82,7 @@
 			err = fault.Newf("policy.Compile", Invalid, "%s: policy: %q does not exist", d.ID, w.Policy)
 		}
 		if err != nil {
-			problems = append(problems, problemOf(d.ID, err))
+			problems = append(problems, newProblem(d.ID, err))
 			continue
 		}
 		s.Workspaces[w.Name] = w
@@ -91,36 +90,37 @@
 	return problems
 }
 
-// addIdentities refuses a token or certificate that two workspaces claim.
+// addIdentities registers a workspace's tokens and certificates. It rejects one that is already
+// assigned to another workspace.
 func (s *Set) addIdentities(id ID, w Workspace) error {
 	for _, token := range w.Tokens {
 		if other, taken := s.tokens[token]; taken {
-			return fault.Newf("policy.Compile", Invalid, "%s: token_sha256: %s is also of workspace %s", id, token, other)
+			return fault.Newf("policy.Compile", Invalid, "%s: token_sha256: %s is already assigned to workspace %s", id, token, other)
 		}
 		s.tokens[token] = w.Name
 	}
 	for _, cert := range w.Certs {
 		if other, taken := s.certs[cert]; taken {
-			return fault.Newf("policy.Compile", Invalid, "%s: certs: %s is also of workspace %s", id, cert, other)
+			return fault.Newf("policy.Compile", Invalid, "%s: certs: %s is already assigned to workspace %s", id, cert, other)
 		}
 		s.certs[cert] = w.Name
 	}
 	return nil
 }
 
-// ByToken returns the workspace that a bearer token belongs to.
+// ByToken returns the workspace of a bearer token.
 func (s *Set) ByToken(token string) (Workspace, bool) {
 	name, ok := s.tokens[HashToken(token)]
 	return s.Workspaces[name], ok
 }
 
-// ByCert returns the workspace that a client certificate's common name belongs to.
+// ByCert returns the workspace of a client certificate's common name.
 func (s *Set) ByCert(name string) (Workspace, bool) {
 	workspace, ok := s.certs[name]
 	return s.Workspaces[workspace], ok
 }
 
-// Decide runs the workspace's policy on a request.
+// Decide evaluates the workspace's policy for a request.
 func (s *Set) Decide(w Workspace, r *Request) Decision {
 	return s.Policies[w.Policy].Decide(r)
 }
--- a/internal/rule/policy/set_test.go
+++ b/internal/rule/policy/set_test.go
@@ -50,7 +50,7 @@
 	}
 	w, ok := set.ByToken("test")
 	if !ok {
-		t.Fatal("token not known")
+		t.Fatal("no workspace has the token")
 	}
 	got := set.Decide(w, &policy.Request{
 		Method: "POST", Path: "/orders", Headers: map[string]string{"x-bench": "florist"},
@@ -63,15 +63,15 @@
 	}
 }
 
-func TestMistakesAreNamed(t *testing.T) {
+func TestCompileReportsProblems(t *testing.T) {
 	cases := []struct{ name, old, replacement, message string }{
-		{"type", `duration("2s")`, `"2s"`, "gives string, must give"},
+		{"type", `duration("2s")`, `"2s"`, "has type string, want"},
 		{"unknown name", "request.method ==", "request.verb ==", "undeclared reference"},
 		{"unknown service", `: "shop-app"`, `: "shop-ap"`, `"shop-ap", which does not exist`},
 		{"unknown repeat", `"never"`, `"nevr"`, `"nevr", which does not exist`},
-		{"cost", `request.path == "/orders"`, strings.Repeat(`request.path.matches("(a+)+b") && `, 60) + "true", "may cost"},
+		{"cost", `request.path == "/orders"`, strings.Repeat(`request.path.matches("(a+)+b") && `, 60) + "true", "estimated cost"},
 		{"range", "slots = 24", "slots = -1", "not a whole number"},
-		{"status", "429, 503", "200", "not a status"},
+		{"status", "429, 503", "200", "not an HTTP status"},
 		{"unknown key", "slots = 24", "slotz = 24", "no such setting"},
 		{"policy", "policy = shop\n", "policy = shp\n", `"shp" does not exist`},
 	}
@@ -89,12 +89,12 @@
 	}
 }
 
-func TestSplitRefuses(t *testing.T) {
+func TestSplitRejectsBadFiles(t *testing.T) {
 	for _, text := range []string{
 		"loose = 1", "[router x]\n", "[service A B]\n", "[service x]\na=1\na=2\n", "[service x]\n[service x]\n", "[service",
 	} {
 		if _, err := policy.Split("bad.ini", []byte(text)); err == nil {
-			t.Errorf("%q was taken", text)
+			t.Errorf("%q was accepted", text)
 		}
 	}
 }
--- a/internal/rule/policy/workspace.go
+++ b/internal/rule/policy/workspace.go
@@ -11,7 +11,7 @@
 // TokenHash is the SHA-256 of a caller's bearer token.
 type TokenHash [sha256.Size]byte
 
-// HashToken hashes a bearer token as workspace documents store it.
+// HashToken returns the hash of a bearer token in the form that workspace documents contain.
 func HashToken(token string) TokenHash { return sha256.Sum256([]byte(token)) }
 
 // String returns the hash in hexadecimal.
@@ -21,15 +21,15 @@
 type Workspace struct {
 	Name   ident.Workspace
 	Policy string
-	// Tokens are the hashes of the bearer tokens that callers may show.
+	// Tokens are the hashes of the bearer tokens that authenticate its callers.
 	Tokens []TokenHash
-	// Certs are the common names of the client certificates that callers may show.
+	// Certs are the common names of the client certificates that authenticate its callers.
 	Certs []string
-	// Weight is its share when workspaces wait for the same engines.
+	// Weight is its relative share of capacity when workspaces wait for the same engines.
 	Weight int
-	// Rate limits its requests a second over the whole fleet; zero means no limit.
+	// Rate limits its requests per second over the whole fleet; zero means no limit.
 	Rate quota.Rate
-	// Burst is how many requests may come at once above the rate.
+	// Burst is the number of requests that may arrive at once, in excess of the rate.
 	Burst int
 }
 
--- a/internal/rule/retry/breaker.go
+++ b/internal/rule/retry/breaker.go
@@ -102,7 +102,7 @@
 	}
 }
 
-// Cancelled ends a probe whose request finished without an outcome that says anything about
+// Cancelled ends a probe whose request finished without an outcome that reflects the state of
 // the target, for example because the caller disconnected. The next request may probe again.
 func (b *Breaker) Cancelled() { b.probing = false }
 
