--- a/internal/rule/match/config.go
+++ b/internal/rule/match/config.go
@@ -7,43 +7,44 @@
 	"valescale/internal/rule/retry"
 )
 
-// RouteName is the operators' name of a route.
+// RouteName is the name that operators give a route.
 type RouteName string
 
-// Share is a service's part of a route's requests.
+// Share is a service's share of a route's requests.
 type Share struct {
 	Service ident.Service
-	// Weight is relative to the other shares of the route; a zero gets no requests.
+	// Weight is relative to the other shares of the route; a share of weight zero receives no
+	// requests.
 	Weight int
 }
 
-// Route says where requests of one host and path prefix go, and under which terms.
+// Route defines the services and the limits of requests with a given host and path prefix.
 type Route struct {
 	Name RouteName
 	Host string
 	// Prefix begins and ends with a slash.
 	Prefix string
-	// Repeat says whether a request that may have run can be sent again.
+	// Repeat defines whether a request that may have run can be sent again.
 	Repeat retry.Repeat
 	// Stream routes answer with server-sent events.
 	Stream bool
-	// Resumable streams can go on at another target after a given event.
+	// Resumable streams can be continued by another target after a given event.
 	Resumable bool
-	// Timeout is the longest time from the request's arrival to the end of its answer.
+	// Timeout limits the time from the arrival of a request to the end of its answer.
 	Timeout time.Duration
 	// Objective is the time to the answer, or to a stream's first event, that callers expect.
 	Objective time.Duration
-	// GapObjective is the pause between two events of a stream that callers expect at most.
+	// GapObjective is the maximum time between two events of a stream that callers expect.
 	GapObjective time.Duration
 	// Rank orders routes by urgency; zero is the most urgent.
 	Rank int
-	// Attempts is how many targets may work on one request.
+	// Attempts is the maximum number of targets that one request is sent to.
 	Attempts int
-	// Public routes need no API key.
+	// Public routes accept requests without an API key.
 	Public bool
-	// Sticky routes prefer the target that has a prompt's shared part cached.
+	// Sticky routes prefer the target that has the prompt prefix of a request cached.
 	Sticky bool
-	// Shares are the services that requests go to, one at least.
+	// Shares are the services that requests are sent to. There is at least one.
 	Shares []Share
 }
 
@@ -60,35 +61,36 @@
 	Name ident.Service
 	// Engine services run language models and cache prompts.
 	Engine bool
-	// Conns is how many connections one target takes from all callers together; zero is
-	// unknown.
+	// Conns is the number of connections that one target accepts from all clients together; zero
+	// means that it is unknown.
 	Conns int
-	// Copies says that engines can take cached prompt parts from each other.
+	// Copies is set if engines can copy cached prompt prefixes from each other.
 	Copies bool
-	// ColdFor is how long a target is cold after it has started or its availability zone was
-	// opened again; ColdRate is how many requests a second one bears meanwhile, zero if any.
+	// ColdFor is the time for which a target is cold after its start or after its availability zone
+	// was opened again. ColdRate is the number of requests per second that a cold target can
+	// serve; zero means no limit.
 	ColdFor  time.Duration
 	ColdRate float64
 }
 
-// Limits bound what callers may send.
+// Limits are the limits on callers' requests and connections.
 type Limits struct {
-	// HeaderBytes and BodyBytes are the largest request header and body, in bytes.
+	// HeaderBytes and BodyBytes are the maximum sizes of a request's header and body.
 	HeaderBytes int
 	BodyBytes   int64
-	// HeaderTime is how long a caller may take to send a header.
+	// HeaderTime is the maximum time for receiving a request's header.
 	HeaderTime time.Duration
-	// IdleTime is how long a caller's connection may stay without a request.
+	// IdleTime is the maximum time for which a caller's connection may be idle.
 	IdleTime time.Duration
 }
 
-// Config is a configuration as operators wrote it.
+// Config is a configuration as operators wrote it, before Compile.
 type Config struct {
 	Revision   ident.Revision
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed says that requests need an API key except on public routes.
+	// Keyed is set if requests need an API key, except on public routes.
 	Keyed  bool
 	Limits Limits
 }
--- a/internal/rule/match/doc.go
+++ b/internal/rule/match/doc.go
@@ -1,5 +1,5 @@
-// Package match decides which service a request goes to and under which terms: routes
-// by host and longest path prefix, workspaces by API key, limits on what callers send.
+// Package match selects the route, the workspace and the service of a request: routes by host
+// and longest path prefix, workspaces by API key, services by weight.
 //
-// The package does no input or output; a table is immutable once compiled.
+// The package does no I/O. A compiled table is immutable.
 package match
--- a/internal/rule/match/table.go
+++ b/internal/rule/match/table.go
@@ -14,28 +14,28 @@
 type Table struct {
 	Revision ident.Revision
 	Limits   Limits
-	// keyed says that requests need an API key except on public routes.
+	// keyed is set if requests need an API key, except on public routes.
 	keyed  bool
-	routes map[address]*Route
+	routes map[routeKey]*Route
 	keys   map[string]*Workspace
-	// services are the services as they are described, by name.
+	// services are the services of the configuration by name.
 	services map[ident.Service]Service
 }
 
-// address is where a route is looked up.
-type address struct {
+// routeKey is the key of a route in the table.
+type routeKey struct {
 	host   string
 	prefix string
 }
 
-// Compile checks a configuration and makes a table of it. Of two routes with the same
-// host and prefix the later one counts, as with any other document.
+// Compile validates a configuration and builds a table. Of two routes with the same host and
+// prefix the later one is used, as with other documents of the same key.
 func Compile(c Config) (*Table, error) {
 	t := &Table{
 		Revision: c.Revision,
 		Limits:   c.Limits,
 		keyed:    c.Keyed,
-		routes:   make(map[address]*Route, len(c.Routes)),
+		routes:   make(map[routeKey]*Route, len(c.Routes)),
 		keys:     map[string]*Workspace{},
 		services: make(map[ident.Service]Service, len(c.Services)),
 	}
@@ -44,10 +44,10 @@
 	}
 	for i := range c.Routes {
 		r := &c.Routes[i]
-		if err := r.check(); err != nil {
+		if err := r.validate(); err != nil {
 			return nil, err
 		}
-		t.routes[address{strings.ToLower(r.Host), r.Prefix}] = r
+		t.routes[routeKey{strings.ToLower(r.Host), r.Prefix}] = r
 	}
 	for i := range c.Workspaces {
 		w := &c.Workspaces[i]
@@ -58,14 +58,14 @@
 	return t, nil
 }
 
-// check reports what contradicts the route's own terms.
-func (r *Route) check() error {
+// validate returns an error if the prefix is not enclosed in slashes or the route has no service.
+func (r *Route) validate() error {
 	const op = "match.Compile"
 	if !strings.HasPrefix(r.Prefix, "/") || !strings.HasSuffix(r.Prefix, "/") {
 		return fault.Newf(op, Invalid, "route %s: prefix %q does not begin and end with a slash", r.Name, r.Prefix)
 	}
 	if len(r.Shares) == 0 {
-		return fault.Newf(op, Invalid, "route %s: no service", r.Name)
+		return fault.Newf(op, Invalid, "route %s: has no service", r.Name)
 	}
 	return nil
 }
@@ -74,20 +74,20 @@
 func (t *Table) Route(host, path string) (*Route, error) {
 	host = strings.ToLower(host)
 	for end := len(path); end > 0; {
-		cut := strings.LastIndexByte(path[:end], '/')
-		if cut < 0 {
+		slash := strings.LastIndexByte(path[:end], '/')
+		if slash < 0 {
 			break
 		}
-		if r, ok := t.routes[address{host, path[:cut+1]}]; ok {
+		if r, ok := t.routes[routeKey{host, path[:slash+1]}]; ok {
 			return r, nil
 		}
-		end = cut
+		end = slash
 	}
 	return nil, fault.Newf("match.Route", NoRoute, "%s%s", host, path)
 }
 
-// Workspace returns the workspace of an API key; on a public route, or without keys in
-// the configuration, it is none.
+// Workspace returns the workspace of an API key. For other keys it returns an empty workspace if
+// the route is public or the configuration requires no keys, and an error otherwise.
 func (t *Table) Workspace(r *Route, key string) (*Workspace, error) {
 	if w, ok := t.keys[key]; ok && key != "" {
 		return w, nil
@@ -98,15 +98,15 @@
 	return nil, fault.New("match.Workspace", NoWorkspace, nil)
 }
 
-// Service returns what is known of a service beside its targets.
+// Service returns the description of a service, or the zero value if there is none.
 func (t *Table) Service(name ident.Service) Service { return t.services[name] }
 
-// Routes is the number of routes.
+// Routes returns the number of routes.
 func (t *Table) Routes() int { return len(t.routes) }
 
-// ServiceOf picks the service of a request by the weights of the route's shares. The
-// same key goes to the same service until a share's weight changes, and then as few
-// keys as possible move.
+// ServiceOf selects the service of a request by the weights of the route's shares. A key is
+// assigned to the same service until a weight changes, and then the minimum number of keys is
+// reassigned.
 func (r *Route) ServiceOf(key ident.ChatKey) ident.Service {
 	if len(r.Shares) == 1 {
 		return r.Shares[0].Service
@@ -117,7 +117,7 @@
 		if s.Weight <= 0 {
 			continue
 		}
-		// Weighted rendezvous: the smallest exponential variate wins.
+		// Weighted rendezvous hashing: the share with the smallest exponential variate is selected.
 		hash := ident.Mix(uint64(key), xxhash.Sum64String(string(s.Service)))
 		score := -math.Log(ident.Unit(hash)) / float64(s.Weight)
 		if score < lowest {
--- a/internal/rule/match/table_test.go
+++ b/internal/rule/match/table_test.go
@@ -24,7 +24,7 @@
 }
 
 func TestLongestPrefix(t *testing.T) {
-	tab := table(t, Config{Routes: []Route{
+	compiled := table(t, Config{Routes: []Route{
 		route("root", "a.example", "/"), route("x", "a.example", "/x/"), route("xy", "a.example", "/x/y/"),
 		route("other", "b.example", "/x/"),
 	}})
@@ -41,7 +41,7 @@
 		{"b.example", "/", ""},
 		{"c.example", "/x/", ""},
 	} {
-		r, err := tab.Route(c.host, c.path)
+		r, err := compiled.Route(c.host, c.path)
 		var got RouteName
 		if err == nil {
 			got = r.Name
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestCompileRefusesContradictions(t *testing.T) {
+func TestCompileRejectsInvalidRoutes(t *testing.T) {
 	for _, r := range []Route{route("a", "h", "x/"), route("b", "h", "/x"), {Name: "c", Prefix: "/"}} {
 		_, err := Compile(Config{Routes: []Route{r}})
 		if diff := cmp.Diff(Invalid, fault.KindOf[Kind](err)); diff != "" {
@@ -61,10 +61,10 @@
 	}
 }
 
-func TestKeys(t *testing.T) {
+func TestWorkspaceByKey(t *testing.T) {
 	closed, open := route("closed", "h", "/c/"), route("open", "h", "/o/")
 	open.Public = true
-	tab := table(t, Config{
+	compiled := table(t, Config{
 		Routes: []Route{closed, open}, Keyed: true,
 		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}},
 	})
@@ -81,7 +81,7 @@
 		{&open, "", "", ""},
 		{&open, "k1", "w", ""},
 	} {
-		w, err := tab.Workspace(c.route, c.key)
+		w, err := compiled.Workspace(c.route, c.key)
 		if diff := cmp.Diff(c.kind, fault.KindOf[Kind](err)); diff != "" {
 			t.Errorf("%s with %q: %s", c.route.Name, c.key, diff)
 		}
@@ -91,23 +91,23 @@
 	}
 }
 
-func TestSplitByWeight(t *testing.T) {
+func TestServiceByWeight(t *testing.T) {
 	r := Route{Shares: []Share{{"a", 90}, {"b", 10}, {"c", 0}}}
 	counts := map[ident.Service]int{}
-	moved := 0
+	reassigned := 0
 	for i := range 10_000 {
 		key := ident.NewChatKey("w", fmt.Sprint(i))
 		before := r.ServiceOf(key)
 		counts[before]++
 		changed := Route{Shares: []Share{{"a", 80}, {"b", 20}, {"c", 0}}}
 		if changed.ServiceOf(key) != before {
-			moved++
+			reassigned++
 		}
 	}
 	if counts["b"] < 900 || counts["b"] > 1100 || counts["c"] != 0 {
-		t.Errorf("shares are %v, want about 9000 to 1000", counts)
+		t.Errorf("requests per service are %v, want about 9000 and 1000", counts)
 	}
-	if moved > 1300 {
-		t.Errorf("%d of 10000 keys moved with a tenth of the weight", moved)
+	if reassigned > 1300 {
+		t.Errorf("%d of 10000 keys were reassigned after a tenth of the weight was shifted", reassigned)
 	}
 }
