--- /dev/null
+++ b/internal/rule/quota/retry_after.go
@@ -0,0 +1,41 @@
+package quota
+
+import "time"
+
+const (
+	// minRetryAfter is the minimum Retry-After delay: several round trips.
+	minRetryAfter = 200 * time.Millisecond
+	// MaxReturn is the maximum Retry-After delay: longer than callers wait for interactive
+	// answers.
+	MaxReturn = 30 * time.Second
+	// defaultRetryAfter is the Retry-After delay while no rate has been measured, as after a start.
+	// A rate is available when the delay has elapsed.
+	defaultRetryAfter = time.Second
+	// retryCapacityRatio is the share of the freed capacity that Retry-After delays assign to
+	// rejected requests. The rest is left to new requests.
+	retryCapacityRatio = 0.5
+)
+
+// Returns assigns Retry-After delays to rejected requests. Each request receives a retry time of
+// its own, later than those of all requests rejected before, at intervals that match the
+// rate at which capacity is freed. With equal delays the retries would arrive together and
+// be rejected again.
+type Returns struct {
+	// next is the earliest retry time that has not been assigned.
+	next time.Time
+}
+
+// Tell returns the Retry-After delay of one rejected request. perSecond is the number of
+// requests served per second, and queue the time to serve those that are waiting.
+func (r *Returns) Tell(now time.Time, perSecond float64, queue time.Duration) time.Duration {
+	if perSecond <= 0 {
+		return defaultRetryAfter
+	}
+	earliest := now.Add(max(queue, minRetryAfter))
+	if r.next.Before(earliest) {
+		r.next = earliest
+	}
+	delay := min(r.next.Sub(now), MaxReturn)
+	r.next = now.Add(delay + time.Duration(float64(time.Second)/(retryCapacityRatio*perSecond)))
+	return delay
+}
