--- a/internal/plat/boxes/boxes.go
+++ b/internal/plat/boxes/boxes.go
@@ -12,26 +12,26 @@
 	"valescale/internal/plat/ident"
 )
 
-// Kind tells the list's failures apart.
+// Kind classifies errors of reading the list.
 type Kind string
 
-// Failed means that the list could not be read; what was read last stays in use.
+// Failed means that the list could not be read; callers keep using the list read before.
 const Failed Kind = "failed"
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// State is what the platform says of a box.
+// State is the lifecycle state of a box as reported by the platform.
 type State string
 
 const (
-	// Live boxes may get work.
+	// Live boxes accept new work.
 	Live State = "live"
-	// Leaving boxes finish what they have.
+	// Leaving boxes finish running work and accept no new work.
 	Leaving State = "leaving"
 )
 
-// Role says what runs on a box.
+// Role is the kind of program that runs on a box.
 type Role string
 
 const (
@@ -41,7 +41,7 @@
 	TargetRole Role = "target"
 )
 
-// Box is one line of the list.
+// Box is one entry of the list.
 type Box struct {
 	ID          string            `json:"id"`
 	Role        Role              `json:"role"`
@@ -51,12 +51,12 @@
 	Region      ident.Region      `json:"region"`
 	State       State             `json:"state"`
 	Incarnation ident.Incarnation `json:"incarnation"`
-	// Cores is how much processor time the box may use; zero if that is not known.
+	// Cores is the processor time that the box may use, in cores; zero if unknown.
 	Cores ident.Cores `json:"cores,omitempty"`
 }
 
-// maxList bounds the list read, in bytes.
-const maxList = 16 << 20
+// maxListBytes limits the size of the list that is read.
+const maxListBytes = 16 << 20
 
 // Client reads the list over HTTP.
 type Client struct {
@@ -64,17 +64,18 @@
 	http    *http.Client
 	timeout time.Duration
 	mu      sync.Mutex
-	// tag and list are of the latest answer, so that an unchanged list is not sent again.
-	tag  string
+	// etag and list belong to the latest response. The ETag is sent with the next request, so that an
+	// unchanged list is not transferred again.
+	etag string
 	list []Box
 }
 
-// New returns a client of the list at a base URL.
+// New returns a client of the list at a base URL; timeout limits each call.
 func New(base string, transport http.RoundTripper, timeout time.Duration) *Client {
 	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// List reads the whole list; the caller must not change it.
+// List returns the whole list; the caller must not modify it.
 func (c *Client) List(ctx context.Context) ([]Box, error) {
 	const op = "boxes.List"
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -85,8 +86,8 @@
 	}
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if c.tag != "" {
-		req.Header.Set("If-None-Match", c.tag)
+	if c.etag != "" {
+		req.Header.Set("If-None-Match", c.etag)
 	}
 	resp, err := c.http.Do(req)
 	if err != nil {
@@ -100,9 +101,9 @@
 		return nil, fault.Newf(op, Failed, "status %d", resp.StatusCode)
 	}
 	var list []Box
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxList)).Decode(&list); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxListBytes)).Decode(&list); err != nil {
 		return nil, fault.New(op, Failed, err)
 	}
-	c.tag, c.list = resp.Header.Get("ETag"), list
+	c.etag, c.list = resp.Header.Get("ETag"), list
 	return list, nil
 }
--- a/internal/plat/boxes/doc.go
+++ b/internal/plat/boxes/doc.go
@@ -1,2 +1,2 @@
-// Package boxes reads the platform's lagging list of live and leaving boxes.
+// Package boxes reads the platform's list of live and leaving boxes, which lags behind their actual state.
 package boxes
--- a/internal/plat/decay/decay.go
+++ b/internal/plat/decay/decay.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// Kept is the part of a count that is left after a time, given its half-life. Nothing is lost
-// while no time has passed, or a clock was set back.
-func Kept(passed, halfLife time.Duration) float64 {
-	return math.Exp2(-float64(max(passed, 0)) / float64(halfLife))
+// Kept returns the decay factor for the given elapsed time and half-life. The factor is 1 if the
+// elapsed time is negative, as after a clock was set back.
+func Kept(elapsed, halfLife time.Duration) float64 {
+	return math.Exp2(-float64(max(elapsed, 0)) / float64(halfLife))
 }
--- a/internal/plat/decay/decay_test.go
+++ b/internal/plat/decay/decay_test.go
@@ -9,8 +9,8 @@
 
 func TestKept(t *testing.T) {
 	var got []float64
-	for _, passed := range []time.Duration{-time.Hour, 0, time.Second, 2 * time.Second} {
-		got = append(got, Kept(passed, time.Second))
+	for _, elapsed := range []time.Duration{-time.Hour, 0, time.Second, 2 * time.Second} {
+		got = append(got, Kept(elapsed, time.Second))
 	}
 	if diff := cmp.Diff([]float64{1, 1, 0.5, 0.25}, got); diff != "" {
 		t.Error(diff)
--- a/internal/plat/decay/doc.go
+++ b/internal/plat/decay/doc.go
@@ -1,2 +1,2 @@
-// Package decay lets what was counted earlier count less.
+// Package decay computes exponential decay factors for counts and averages over time.
 package decay
--- a/internal/plat/engine/doc.go
+++ b/internal/plat/engine/doc.go
@@ -1,3 +1,3 @@
-// Package engine is a thin client of what model engines offer beside answers:
-// load reports with cache events, and fenced orders.
+// Package engine is a client of the control interface of model engines: load reports with cache
+// events, and fenced orders.
 package engine
--- a/internal/plat/engine/engine.go
+++ b/internal/plat/engine/engine.go
@@ -14,82 +14,83 @@
 	"valescale/internal/plat/ident"
 )
 
-// Kind tells an engine's failures apart.
+// Kind classifies errors of calls to engines.
 type Kind string
 
 const (
-	// Failed means that the engine did not answer as expected.
+	// Failed means that the call failed or the response was not valid.
 	Failed Kind = "failed"
-	// Stale means that the engine refused an order because it knows a later epoch.
+	// Stale means that the engine rejected an order because it has seen a later epoch.
 	Stale Kind = "stale"
 )
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// Report is what an engine says of itself, with a lag.
+// Report is the state that an engine reports; it lags behind the actual state.
 type Report struct {
 	Incarnation ident.Incarnation `json:"incarnation"`
 	Leaving     bool              `json:"leaving"`
 	InFlight    int               `json:"in_flight"`
 	Slots       int               `json:"slots"`
 	Model       string            `json:"model"`
-	// Seq is the number of the latest cache event; Gap is set when earlier ones were dropped.
+	// Seq is the number of the latest cache event; Gap is set if earlier events were dropped.
 	Seq uint64 `json:"seq"`
 	Gap bool   `json:"gap"`
-	// Evicted are the chats whose prefix is no longer cached.
+	// Evicted lists the chats whose prompt prefix is no longer cached.
 	Evicted []ident.ChatKey `json:"evicted,omitempty"`
 }
 
-// OrderKind is what an order asks for.
+// OrderKind is the kind of an order.
 type OrderKind string
 
 const (
-	// LoadModel orders name the model that the engine is to have loaded.
+	// LoadModel orders set the model that the engine serves.
 	LoadModel OrderKind = "load_model"
-	// ExportCache orders name another engine to which a chat's cached prefix is to be copied.
+	// ExportCache orders copy the cached prefixes of chats to another engine.
 	ExportCache OrderKind = "export_cache"
 )
 
-// Order states a wanted end state, so that one sent twice does nothing more.
+// Order is a command to an engine. It describes the desired state, so that applying it twice has no
+// further effect.
 type Order struct {
 	Kind  OrderKind   `json:"kind"`
 	Epoch ident.Epoch `json:"epoch"`
 	Model string      `json:"model,omitempty"`
-	// Keys and To belong to ExportCache.
+	// Keys and To are set for ExportCache only.
 	Keys []ident.ChatKey `json:"keys,omitempty"`
 	To   string          `json:"to,omitempty"`
 }
 
 // Headers that routers send to targets with each attempt.
 const (
-	// AttemptHeader carries the attempt's id, which a target may echo.
+	// AttemptHeader contains the id of the attempt, which a target may echo.
 	AttemptHeader = "X-Attempt-Id"
-	// CacheHeader carries the chat key that the engine's cache events name.
+	// CacheHeader contains the chat key that the engine uses in its cache events.
 	CacheHeader = "X-Cache-Key"
-	// FenceHeader carries the fencing token of a claim or an order.
+	// FenceHeader contains the fencing token of a claim or an order.
 	FenceHeader = "X-Fencing-Token"
-	// LeavingHeader in an answer says that the target's incarnation is leaving.
+	// LeavingHeader in a response indicates that this incarnation of the target is leaving.
 	LeavingHeader = "X-Target-Leaving"
-	// StreamHeader in an answer names the stream for resuming.
+	// StreamHeader in a response contains the id by which the stream can be resumed.
 	StreamHeader = "X-Stream-Id"
 )
 
-// maxReport bounds a report, in bytes.
-const maxReport = 4 << 20
+// maxReportBytes limits the size of a report that is read.
+const maxReportBytes = 4 << 20
 
-// Client speaks to engines by address.
+// Client calls engines, which are given by address.
 type Client struct {
 	http    *http.Client
 	timeout time.Duration
 }
 
-// New returns a client whose calls are bounded by timeout.
+// New returns a client; timeout limits each call.
 func New(transport http.RoundTripper, timeout time.Duration) *Client {
 	return &Client{http: &http.Client{Transport: transport}, timeout: timeout}
 }
 
-// Report reads an engine's report with the cache events after a number.
+// Report returns an engine's report with the cache events after the given sequence number.
 func (c *Client) Report(ctx context.Context, addr string, since uint64) (Report, error) {
 	const op = "engine.Report"
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -109,13 +110,13 @@
 		return Report{}, fault.Newf(op, Failed, "status %d", resp.StatusCode)
 	}
 	var report Report
-	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReport)).Decode(&report); err != nil {
+	if err := json.NewDecoder(io.LimitReader(resp.Body, maxReportBytes)).Decode(&report); err != nil {
 		return Report{}, fault.New(op, Failed, err)
 	}
 	return report, nil
 }
 
-// Send gives an engine an order.
+// Send sends an order to an engine.
 func (c *Client) Send(ctx context.Context, addr string, order Order) error {
 	const op = "engine.Send"
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
@@ -135,7 +136,7 @@
 		return fault.New(op, Failed, err)
 	}
 	defer resp.Body.Close()
-	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReport))
+	_, _ = io.Copy(io.Discard, io.LimitReader(resp.Body, maxReportBytes))
 	switch resp.StatusCode {
 	case http.StatusOK:
 		return nil
--- a/internal/plat/fault/doc.go
+++ b/internal/plat/fault/doc.go
@@ -1,3 +1,3 @@
-// Package fault is the common shape of the packages' error types: each package
-// declares its own kinds and instantiates Error with them.
+// Package fault provides the generic error type of the other packages: each package declares its
+// own error kinds and instantiates Error with them.
 package fault
--- a/internal/plat/fault/lack.go
+++ b/internal/plat/fault/lack.go
@@ -7,12 +7,12 @@
 	"github.com/pkg/errors"
 )
 
-// ownLack are the errors of calls to others that tell of this box alone: no descriptor, port or
-// memory is left for a connection.
-var ownLack = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM}
+// localResourceErrors are the errors of outgoing calls that are caused by this box alone: it has no
+// file descriptor, port or memory left for a connection.
+var localResourceErrors = []error{syscall.EMFILE, syscall.ENFILE, syscall.EADDRNOTAVAIL, syscall.ENOBUFS, syscall.ENOMEM}
 
-// OwnLack reports whether a call failed for what this box lacks itself, so that it says nothing
-// of whoever was called.
+// OwnLack reports whether a call failed because this box ran out of a local resource. Such an error
+// does not indicate a fault of the called host.
 func OwnLack(err error) bool {
-	return slices.ContainsFunc(ownLack, func(lack error) bool { return errors.Is(err, lack) })
+	return slices.ContainsFunc(localResourceErrors, func(e error) bool { return errors.Is(err, e) })
 }
--- a/internal/plat/ident/doc.go
+++ b/internal/plat/ident/doc.go
@@ -1,2 +1,2 @@
-// Package ident names the ids and units that the other packages share.
+// Package ident defines the identifiers, units and hashes that the other packages share.
 package ident
--- a/internal/plat/ident/ident.go
+++ b/internal/plat/ident/ident.go
@@ -9,19 +9,19 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-// Router is the id of one router process, as its settings give it.
+// Router is the id of a router process, as configured in its settings.
 type Router string
 
-// Target is the id of one engine or plain service replica on the platform's list.
+// Target is the id of an engine or a replica of a plain service, as in the platform's list.
 type Target string
 
-// Workspace is the id of one customer's workspace.
+// Workspace is the id of a customer's workspace.
 type Workspace string
 
-// Service is the name of a service that callers can be sent to.
+// Service is the name of a service to which requests can be routed.
 type Service string
 
-// Pool is the name of the targets that serve one service in one region.
+// Pool is the name of the set of targets that serve one service in one region.
 type Pool string
 
 // Zone is the name of an availability zone.
@@ -30,67 +30,68 @@
 // Region is the name of a region.
 type Region string
 
-// Version names a version of a service's software.
+// Version is the version of a service's software.
 type Version string
 
-// Incarnation counts the starts of a process; a higher one has lost the soft state of the lower.
+// Incarnation counts the starts of a process. A process with a higher incarnation no longer has the
+// in-memory state of the lower ones.
 type Incarnation uint64
 
-// Revision counts the recorded configurations; zero is none.
+// Revision is the sequence number of a recorded configuration; zero means none.
 type Revision uint64
 
-// Epoch counts the holders of a lease and only grows.
+// Epoch counts the holders of a lease; it never decreases.
 type Epoch uint64
 
-// ChatKey identifies a chat by hash, 64 bits of xxHash.
+// ChatKey identifies a chat by a 64-bit xxHash.
 type ChatKey uint64
 
-// TargetHash stands for a target id on the wire between routers, 32 bits of xxHash.
+// TargetHash represents a target id in messages between routers, as a 32-bit xxHash.
 type TargetHash uint32
 
-// Shard numbers a part of a pool, from zero.
+// Shard is the number of a part of a pool, counted from zero.
 type Shard uint32
 
-// Cores is how much processor time a box may use, in cores. It is as precise as what
-// routers send each other, so that all compare the same numbers.
+// Cores is the processor time that a box may use, in cores. It has the precision of the wire format
+// between routers, so that all routers compare equal values.
 type Cores float32
 
-// Work measures a request's load on an engine, in work units of one thousandth of a plain request.
+// Work is the load of a request on an engine, in thousandths of a plain request.
 type Work int64
 
-// Requests is the work in requests, as people count it.
+// Requests returns the work as a number of plain requests.
 func (w Work) Requests() float64 { return float64(w) / float64(OneRequest) }
 
-// OneRequest is the work of a request of which nothing else is known.
+// OneRequest is the default work of a request for which there is no estimate.
 const OneRequest Work = 1000
 
-// Attempt is the random id of one sending of one request to one target.
+// Attempt is the random id of one attempt to send a request to a target.
 type Attempt string
 
-// Hash returns the wire form of a target id.
+// Hash returns the hash that represents a target id in messages between routers.
 func (t Target) Hash() TargetHash {
 	return TargetHash(xxhash.Sum64String(string(t)))
 }
 
-// Hash returns a 32-bit hash of a router's id.
+// Hash returns the 32-bit hash of a router's id.
 func (r Router) Hash() uint32 {
 	return uint32(xxhash.Sum64String(string(r)))
 }
 
-// PoolHash stands for a pool's name on the wire between routers, 32 bits of xxHash.
+// PoolHash represents a pool's name in messages between routers, as a 32-bit xxHash.
 type PoolHash uint32
 
-// Hash returns the wire form of a pool's name.
+// Hash returns the hash that represents a pool's name in messages between routers.
 func (p Pool) Hash() PoolHash {
 	return PoolHash(xxhash.Sum64String(string(p)))
 }
 
-// NewPool names the pool of a service in a region.
+// NewPool returns the name of the pool of a service in a region.
 func NewPool(service Service, region Region) Pool {
 	return Pool(string(service) + "@" + string(region))
 }
 
-// NewChatKey hashes a workspace and what identifies the chat within it.
+// NewChatKey hashes a workspace and the identifier of a chat within it.
 func NewChatKey(workspace Workspace, chat string) ChatKey {
 	d := xxhash.New()
 	_, _ = d.WriteString(string(workspace))
@@ -99,10 +100,10 @@
 	return ChatKey(d.Sum64())
 }
 
-// RequestHash is SHA-256 of a request's method, path with query, and body.
+// RequestHash is the SHA-256 hash of a request's method, path with query, and body.
 type RequestHash [sha256.Size]byte
 
-// HashRequest hashes what makes two requests the same to a target.
+// HashRequest hashes the parts of a request by which a target distinguishes requests.
 func HashRequest(method, path string, body []byte) RequestHash {
 	h := sha256.New()
 	h.Write([]byte(method + "\x00" + path + "\x00"))
@@ -110,8 +111,9 @@
 	return RequestHash(h.Sum(nil))
 }
 
-// Fingerprint is the same for a workspace's requests that are the same to a target, whatever their
-// ids: 64 bits of SHA-256, so that nobody can make a request that is taken for another's.
+// Fingerprint identifies a request by its content and its workspace: requests of a workspace that are
+// equal for a target have the same fingerprint, whatever their ids. It is 64 bits of a SHA-256 hash, so
+// that no caller can construct a request with the fingerprint of another caller's request.
 type Fingerprint uint64
 
 // NewFingerprint returns the fingerprint of a workspace's request to a host.
@@ -122,10 +124,10 @@
 	return Fingerprint(binary.BigEndian.Uint64(h.Sum(nil)))
 }
 
-// String returns the fingerprint in hexadecimal, as logs have it.
+// String returns the fingerprint in hexadecimal, the format used in logs.
 func (f Fingerprint) String() string { return strconv.FormatUint(uint64(f), 16) }
 
-// Mix combines two hashes into one well spread hash without allocating.
+// Mix combines two hashes into one uniformly distributed hash without allocating.
 func Mix(a, b uint64) uint64 {
 	x := a ^ (b * 0x9e3779b97f4a7c15)
 	x ^= x >> 32
@@ -136,17 +138,18 @@
 	return x
 }
 
-// Unit maps a hash to the open interval between zero and one.
+// Unit maps a hash to the open interval (0, 1).
 func Unit(h uint64) float64 {
 	return (float64(h>>11) + 0.5) / (1 << 53)
 }
 
-// Clock tells the time; tests pass their own.
+// Clock returns the current time; tests use a fake clock.
 type Clock func() time.Time
 
-// Elapsed is how long ago something was, by whichever of a box's two clocks counted more. The steady one
-// stands still while the box is suspended, so that what was learnt before would look fresh; the time of
-// day counts on, but may be set. To take something for older than it is costs another look.
+// Elapsed returns the time from since to now, by the monotonic clock or the wall clock, whichever gives
+// more. The monotonic clock stops while the box is suspended, so that state from before the suspension
+// would look fresh; the wall clock continues, but can be set. An elapsed time that is too long only
+// causes an unnecessary refresh.
 func Elapsed(since, now time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
 }
--- a/internal/plat/ident/ident_test.go
+++ b/internal/plat/ident/ident_test.go
@@ -10,32 +10,33 @@
 )
 
 func TestElapsedCountsSuspension(t *testing.T) {
-	began := time.Now()
+	start := time.Now()
 	got := []time.Duration{
-		Elapsed(began, began.Add(time.Second)),
-		Elapsed(began, asleep.For(began.Add(time.Second), 4)),
-		// A clock that was set back by 4 s while a second passed.
-		Elapsed(asleep.For(began, 4), began.Add(time.Second)),
+		Elapsed(start, start.Add(time.Second)),
+		Elapsed(start, asleep.For(start.Add(time.Second), 4)),
+		// The wall clock is set back by 4 s while one second passes.
+		Elapsed(asleep.For(start, 4), start.Add(time.Second)),
 	}
 	if diff := cmp.Diff([]time.Duration{time.Second, 5 * time.Second, time.Second}, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// What callers may vary without making another request stays out of a fingerprint, all else is in it.
+// The fingerprint depends on the workspace, host, method, path and body of a request, and on nothing
+// that differs between two sends of the same request.
 func TestFingerprintsDiffer(t *testing.T) {
-	of := func(workspace Workspace, host, method, path, body string) Fingerprint {
+	fingerprint := func(workspace Workspace, host, method, path, body string) Fingerprint {
 		return NewFingerprint(workspace, host, HashRequest(method, path, []byte(body)))
 	}
 	seen := map[Fingerprint]bool{}
 	for _, f := range []Fingerprint{
-		of("w", "h", "POST", "/a", "body"), of("w", "h", "POST", "/a", "body"), of("v", "h", "POST", "/a", "body"),
-		of("w", "g", "POST", "/a", "body"), of("w", "h", "PUT", "/a", "body"), of("w", "h", "POST", "/b", "body"),
-		of("w", "h", "POST", "/a", "bodies"),
+		fingerprint("w", "h", "POST", "/a", "body"), fingerprint("w", "h", "POST", "/a", "body"), fingerprint("v", "h", "POST", "/a", "body"),
+		fingerprint("w", "g", "POST", "/a", "body"), fingerprint("w", "h", "PUT", "/a", "body"), fingerprint("w", "h", "POST", "/b", "body"),
+		fingerprint("w", "h", "POST", "/a", "bodies"),
 	} {
 		seen[f] = true
 	}
 	if len(seen) != 6 {
-		t.Errorf("%d fingerprints of 6 requests", len(seen))
+		t.Errorf("got %d distinct fingerprints for 6 different requests", len(seen))
 	}
 }
--- a/internal/plat/object/client.go
+++ b/internal/plat/object/client.go
@@ -11,39 +11,39 @@
 	"valescale/internal/plat/fault"
 )
 
-// Kind tells the object store's failures apart.
+// Kind classifies errors of the object store.
 type Kind string
 
 const (
-	// Missing means that there is no object of that name.
+	// Missing means that no object has the given name.
 	Missing Kind = "missing"
-	// Failed means that the store did not answer as expected.
+	// Failed means that the call failed, the response was not valid, or the object exceeds the limit.
 	Failed Kind = "failed"
 )
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// Client speaks to the object store over HTTP.
+// Client calls the object store over HTTP.
 type Client struct {
-	base    string
-	http    *http.Client
-	timeout time.Duration
-	limit   int64
+	base     string
+	http     *http.Client
+	timeout  time.Duration
+	maxBytes int64
 }
 
-// New returns a client that reads objects of at most limit bytes.
+// New returns a client that reads objects of at most limit bytes; timeout limits each call.
 func New(base string, transport http.RoundTripper, timeout time.Duration, limit int64) *Client {
-	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, limit: limit}
+	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, maxBytes: limit}
 }
 
-// Put stores an object; storing the same object again is harmless.
+// Put stores an object. It is idempotent.
 func (c *Client) Put(ctx context.Context, name string, data []byte) error {
 	_, err := c.call(ctx, "object.Put", http.MethodPut, name, data)
 	return err
 }
 
-// Get reads an object whole.
+// Get returns the content of an object.
 func (c *Client) Get(ctx context.Context, name string) ([]byte, error) {
 	return c.call(ctx, "object.Get", http.MethodGet, name, nil)
 }
@@ -60,14 +60,14 @@
 		return nil, fault.New(op, Failed, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, c.limit+1))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, c.maxBytes+1))
 	if err != nil {
 		return nil, fault.New(op, Failed, err)
 	}
 	if resp.StatusCode == http.StatusNotFound {
 		return nil, fault.New(op, Missing, nil)
 	}
-	if resp.StatusCode != http.StatusOK || int64(len(data)) > c.limit {
+	if resp.StatusCode != http.StatusOK || int64(len(data)) > c.maxBytes {
 		return nil, fault.Newf(op, Failed, "status %d, %d bytes", resp.StatusCode, len(data))
 	}
 	return data, nil
--- a/internal/plat/object/doc.go
+++ b/internal/plat/object/doc.go
@@ -1,2 +1,2 @@
-// Package object is a thin client of the platform's object store.
+// Package object is a client of the platform's object store.
 package object
--- a/internal/plat/pause/doc.go
+++ b/internal/plat/pause/doc.go
@@ -1,2 +1,2 @@
-// Package pause waits for a time that the end of a context cuts short.
+// Package pause provides a sleep that ends early when a context is done.
 package pause
--- a/internal/plat/pause/pause.go
+++ b/internal/plat/pause/pause.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// For waits until the time is over or the context ends, and reports whether the time
-// was over first.
+// For waits for the duration d or until ctx is done, whichever is first, and reports whether the
+// full duration passed.
 func For(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
--- a/internal/plat/pause/pause_test.go
+++ b/internal/plat/pause/pause_test.go
@@ -11,29 +11,29 @@
 	"valescale/internal/plat/pause"
 )
 
-// outcome is how a pause ended and after how long.
+// outcome is the result of For and the time it took.
 type outcome struct {
-	Over  bool
-	Taken time.Duration
+	Completed bool
+	Elapsed   time.Duration
 }
 
-func TestFor(t *testing.T) {
+func TestForStopsWithContext(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		limit time.Duration
-		want  outcome
+		name    string
+		timeout time.Duration
+		want    outcome
 	}{
-		{"time is over", time.Hour, outcome{Over: true, Taken: time.Minute}},
-		{"context ends", time.Second, outcome{Over: false, Taken: time.Second}},
+		{"duration passes", time.Hour, outcome{Completed: true, Elapsed: time.Minute}},
+		{"context is done", time.Second, outcome{Completed: false, Elapsed: time.Second}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			synctest.Test(t, func(t *testing.T) {
-				ctx, cancel := context.WithTimeout(t.Context(), c.limit)
+				ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
 				defer cancel()
-				began := time.Now()
-				got := outcome{Over: pause.For(ctx, time.Minute), Taken: time.Since(began)}
+				start := time.Now()
+				got := outcome{Completed: pause.For(ctx, time.Minute), Elapsed: time.Since(start)}
 				if diff := cmp.Diff(c.want, got); diff != "" {
-					t.Errorf("pause (-want +got):\n%s", diff)
+					t.Errorf("outcome (-want +got):\n%s", diff)
 				}
 			})
 		})
--- a/internal/plat/table/client.go
+++ b/internal/plat/table/client.go
@@ -16,20 +16,21 @@
 	"valescale/internal/plat/fault"
 )
 
-// maxReply bounds what the client reads of one answer, in bytes.
-const maxReply = 64 << 20
+// maxResponseBytes limits the size of a response that is read.
+const maxResponseBytes = 64 << 20
 
-// Counts are the calls that a client has made.
+// Counts are the numbers of calls that a client has made.
 type Counts struct {
 	Reads  uint64
 	Writes uint64
 	Failed uint64
 }
 
-// HeaderEra is in all answers of the service: how often it has come back from an older copy of itself.
+// HeaderEra is a header of all responses of the service. It contains the era, the number of times the
+// service has been restored from an older snapshot.
 const HeaderEra = "Table-Era"
 
-// Client speaks to the table service over HTTP. It follows the service's era through the answers.
+// Client calls the table service over HTTP. It tracks the service's era by the responses.
 type Client struct {
 	*Eras
 	base    string
@@ -41,22 +42,22 @@
 	up      atomic.Bool
 }
 
-// New returns a client of the service at a base URL; each call is bounded by timeout.
+// New returns a client of the service at a base URL; timeout limits each call.
 func New(base string, transport http.RoundTripper, timeout time.Duration, logger log.Logger) *Client {
 	c := &Client{Eras: NewEras(logger), base: base, http: &http.Client{Transport: transport}, timeout: timeout}
 	c.up.Store(true)
 	return c
 }
 
-// Up reports whether the latest call was answered.
+// Up reports whether the latest call got a valid response.
 func (c *Client) Up() bool { return c.up.Load() }
 
-// Counts returns how many calls were made so far.
+// Counts returns the numbers of calls made so far.
 func (c *Client) Counts() Counts {
 	return Counts{Reads: c.reads.Load(), Writes: c.writes.Load(), Failed: c.failed.Load()}
 }
 
-// Commit applies a transaction.
+// Commit applies a transaction atomically.
 func (c *Client) Commit(ctx context.Context, txn Txn) error {
 	const op = "table.Commit"
 	c.writes.Add(1)
@@ -68,7 +69,7 @@
 	return err
 }
 
-// Get reads one row. A row that is missing tells the answer's era too.
+// Get reads one row. The era of the response is set in the returned row even if the row is missing.
 func (c *Client) Get(ctx context.Context, name Name, key Key) (Row, error) {
 	c.reads.Add(1)
 	var row Row
@@ -78,7 +79,7 @@
 	return row, err
 }
 
-// Scan reads rows in key order.
+// Scan returns rows in key order.
 func (c *Client) Scan(ctx context.Context, r Range) ([]Row, error) {
 	c.reads.Add(1)
 	var rows []Row
@@ -90,28 +91,29 @@
 	return rows, err
 }
 
-// call sends one request, decodes its answer, unless into is nil, and returns the answer's era.
-func (c *Client) call(ctx context.Context, op, method, path string, body []byte, into any) (Era, error) {
-	began := c.Now()
+// call sends one request, decodes the response into dest unless that is nil, and returns the era of the
+// response.
+func (c *Client) call(ctx context.Context, op, method, path string, body []byte, dest any) (Era, error) {
+	startEra := c.Now()
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return began, fault.New(op, Refused, err)
+		return startEra, fault.New(op, Refused, err)
 	}
-	// The transport must not send a commit twice by itself.
+	// Without GetBody the transport cannot retry a commit by itself.
 	req.GetBody = nil
 	resp, err := c.http.Do(req)
 	if err != nil {
-		return began, c.fail(op, err)
+		return startEra, c.fail(op, err)
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxReply))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
-		return began, c.fail(op, err)
+		return startEra, c.fail(op, err)
 	}
-	era := c.Of(resp.Header.Get(HeaderEra), began)
-	kind := kindOfStatus(resp.StatusCode)
+	era := c.Of(resp.Header.Get(HeaderEra), startEra)
+	kind := errorKindOf(resp.StatusCode)
 	if kind == Unknown || kind == Unavailable {
 		c.failed.Add(1)
 		c.up.Store(false)
@@ -121,24 +123,24 @@
 	if kind != "" {
 		return era, fault.Newf(op, kind, "status %d", resp.StatusCode)
 	}
-	if into == nil {
+	if dest == nil {
 		return era, nil
 	}
-	if err := json.Unmarshal(data, into); err != nil {
+	if err := json.Unmarshal(data, dest); err != nil {
 		return era, fault.New(op, Unknown, err)
 	}
 	return era, nil
 }
 
-// fail counts a call without a whole answer.
+// fail counts a call without a complete response and returns its error.
 func (c *Client) fail(op string, err error) error {
 	c.failed.Add(1)
 	c.up.Store(false)
 	return fault.New(op, KindOfFailure(err), err)
 }
 
-// kindOfStatus is what an answer's status means, empty for a success.
-func kindOfStatus(status int) Kind {
+// errorKindOf returns the error kind of a response status, empty for a success.
+func errorKindOf(status int) Kind {
 	switch {
 	case status == http.StatusOK:
 		return ""
--- a/internal/plat/table/doc.go
+++ b/internal/plat/table/doc.go
@@ -1,11 +1,12 @@
-// Package table is a thin client of the platform's transactional table service.
+// Package table is a client of the platform's transactional table service.
 //
-// A transaction is a list of checks on row versions and a list of writes, applied
-// all or none. A row that does not exist has version zero. The answer to a
-// transaction can be lost after it took effect: Commit then returns kind
-// Unknown, and the caller settles the question by reading what it wrote.
+// A transaction is a list of checks on row versions and a list of writes, applied atomically. A row that
+// does not exist has version zero. The response to a transaction can be lost after the transaction took
+// effect: Commit then returns an error of kind Unknown, and the caller has to read the rows to find out
+// whether they were written.
 //
-// The service may come back from an older copy of itself: what it acknowledged since then is lost, and
-// versions are given out again. Its answers tell an era, which rises by one each time; Position orders
-// versions across eras. Whoever holds what the service said asks of which era it is.
+// The service may be restored from an older snapshot: the writes that it acknowledged since then are
+// lost, and their versions are assigned again. Its responses contain an era, which increases by one with
+// each such store rollback; Position orders versions across eras. Code that caches rows has to compare
+// their eras too.
 package table
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -8,79 +8,81 @@
 	"github.com/go-kit/log/level"
 )
 
-// Eras follows the service's era through the answers that one client gets.
+// Eras tracks the service's era by the responses that one client receives.
 type Eras struct {
 	logger log.Logger
 	mu     sync.Mutex
 	latest Era
-	// changed are called with each era and the one before, zero before the first.
-	changed []func(era, was Era)
-	// refused is what an answer held last that told no usable era; told is set after one that did.
-	refused string
-	told    bool
+	// onChange are called with each new era and the previous one, which is zero for the first era.
+	onChange []func(era, was Era)
+	// lastInvalid is the latest era header that was invalid; valid is set if a valid one followed it.
+	lastInvalid string
+	valid       bool
 }
 
-// NewEras returns a follower that has heard of no era.
-func NewEras(logger log.Logger) *Eras { return &Eras{logger: logger, told: true} }
+// NewEras returns a tracker that has seen no era yet.
+func NewEras(logger log.Logger) *Eras { return &Eras{logger: logger, valid: true} }
 
-// OnChange adds what is called, before the answer is used, when an answer tells the first era, or a later one than
-// those before; it must not wait, or ask for the era. It must be added before the first call.
-func (e *Eras) OnChange(changed func(era, was Era)) { e.changed = append(e.changed, changed) }
+// OnChange registers a callback for the first era and for each later one. It is called before the response
+// with the new era is used, with the lock held, so that it must not block or call methods of Eras. It must
+// be registered before the first call of the client.
+func (e *Eras) OnChange(callback func(era, was Era)) { e.onChange = append(e.onChange, callback) }
 
-// Now is the latest era heard of, zero before the first.
+// Now returns the latest era seen, zero before the first.
 func (e *Eras) Now() Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.latest
 }
 
-// Hear takes in an era that somebody else has heard of.
+// Hear updates the era to one received from another client, if that is later.
 func (e *Eras) Hear(era Era) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era > e.latest {
-		e.follow(era)
+		e.advance(era)
 	}
 }
 
-// Of is the era of an answer by what it tells, to a call that began in an era. An answer without a usable
-// era is of the latest one. So is one of an era that was over before the call began: only answers that
-// were on their way may be of an earlier era.
-func (e *Eras) Of(told string, began Era) Era {
+// Of returns the era of a response, given its era header and the era in which the call started. The
+// latest era is used for a header that is missing or invalid, and for one with an era before that in
+// which the call started: only a response in flight while the era changed can have an earlier era.
+func (e *Eras) Of(header string, startEra Era) Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	number, err := strconv.ParseUint(told, 10, 64)
+	number, err := strconv.ParseUint(header, 10, 64)
 	era := Era(number)
-	if err != nil || era < began {
-		e.refuse(told)
+	if err != nil || era < startEra {
+		e.logInvalid(header)
 		return e.latest
 	}
-	e.told = true
+	e.valid = true
 	if era > e.latest {
-		e.follow(era)
+		e.advance(era)
 	}
 	return era
 }
 
-// follow takes over a later era; the caller holds the lock.
-func (e *Eras) follow(era Era) {
+// advance sets a later era and calls the callbacks; the caller holds the lock.
+func (e *Eras) advance(era Era) {
 	was := e.latest
 	e.latest = era
 	if was == 0 {
-		_ = level.Info(e.logger).Log("msg", "era of the store", "era", era)
+		_ = level.Info(e.logger).Log("msg", "store era detected", "era", era)
 	} else {
-		_ = level.Warn(e.logger).Log("msg", "the store has come back from an older copy", "era", era, "was", was)
+		_ = level.Warn(e.logger).Log("msg", "store restored from an older snapshot", "era", era, "was", was)
 	}
-	for _, changed := range e.changed {
-		changed(era, was)
+	for _, callback := range e.onChange {
+		callback(era, was)
 	}
 }
 
-// refuse logs the first of the answers in a row that tell no usable era; the caller holds the lock.
-func (e *Eras) refuse(told string) {
-	if !e.told && e.refused == told {
+// logInvalid logs an invalid era header, unless the response before had the same one; the caller holds
+// the lock.
+func (e *Eras) logInvalid(header string) {
+	if !e.valid && e.lastInvalid == header {
 		return
 	}
-	e.told, e.refused = false, told
-	_ = level.Warn(e.logger).Log("msg", "an answer of the store tells no usable era", "told", told, "era", e.latest)
+	e.valid, e.lastInvalid = false, header
+	_ = level.Warn(e.logger).Log("msg", "store response without a valid era", "told", header, "era", e.latest)
 }
--- a/internal/plat/table/error.go
+++ b/internal/plat/table/error.go
@@ -8,7 +8,7 @@
 	"valescale/internal/plat/fault"
 )
 
-// Kind tells the table service's failures apart.
+// Kind classifies errors of the table service.
 type Kind string
 
 const (
@@ -18,22 +18,22 @@
 	Missing Kind = "missing"
 	// Unavailable means that the request did not reach the service; nothing was written.
 	Unavailable Kind = "unavailable"
-	// Unknown means that the answer was lost; the write may have taken effect.
+	// Unknown means that there was no valid response; the write may have taken effect.
 	Unknown Kind = "unknown"
-	// Compacted means that the history of changes asked for is gone.
+	// Compacted means that the requested part of the change log no longer exists.
 	Compacted Kind = "compacted"
-	// Refused means that the service will not take this request, however often it is sent.
+	// Refused means that the service rejects this request permanently; a retry would not succeed.
 	Refused Kind = "refused"
 )
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// KindOf returns the table kind of an error, or the empty kind.
+// KindOf returns the kind of an error of this package, or the empty kind.
 func KindOf(err error) Kind { return fault.KindOf[Kind](err) }
 
-// KindOfFailure is what a call without an answer means: only a failure to connect is sure
-// to have changed nothing.
+// KindOfFailure returns the kind of a call that failed without a response. Only after a failure to
+// connect it is certain that nothing was written.
 func KindOfFailure(err error) Kind {
 	var failure *net.OpError
 	if errors.As(err, &failure) && failure.Op == "dial" {
--- a/internal/plat/table/row.go
+++ b/internal/plat/table/row.go
@@ -8,48 +8,50 @@
 // Key is the key of a row within its table; rows are ordered by key.
 type Key string
 
-// Version counts the writes to a row, within an era; zero means that the row does not exist.
+// Version counts the writes to a row within an era; zero means that the row does not exist.
 type Version int64
 
-// AnyVersion in a check passes whatever the row's version is, even if it does not exist.
+// AnyVersion in a check matches every version of the row, including that of a missing row.
 const AnyVersion Version = -1
 
-// Row is one row as read.
+// Row is a row as read from the service.
 type Row struct {
 	Table   Name    `json:"table"`
 	Key     Key     `json:"key"`
 	Version Version `json:"version"`
 	Value   []byte  `json:"value"`
-	// Deleted rows are told of only as changes.
+	// Deleted is set only in row changes, for a row that was deleted.
 	Deleted bool `json:"deleted,omitempty"`
-	// Era is that of the answer that the row was read from.
+	// Era is the era of the response that contained the row.
 	Era Era `json:"-"`
 }
 
-// Position is where a row was written last, as far as the answer's era tells.
+// Position returns the position of the row's latest write. Its era is that of the response, since rows
+// contain none.
 func (r Row) Position() Position { return Position{Era: r.Era, Version: r.Version} }
 
-// Page is the whole of a table or what changed in it.
+// Page is a full snapshot of a table or a delta.
 type Page struct {
 	Rows []Row
-	// At is the store's position that the page leads up to.
+	// At is the store's position up to which the page contains all changes.
 	At Position
-	// Whole pages hold all rows, others those that changed.
+	// Whole is set for a full snapshot; otherwise the page contains only the changed rows.
 	Whole bool
-	// Age is how long ago the store said that there is nothing later.
+	// Age is the time since the store confirmed that there was no later change.
 	Age time.Duration
-	// Kept are rows that never go back and rank above what the asker has, whatever the store shows now.
+	// Kept contains rows that are never rolled back and are newer than those of the requesting router,
+	// whatever the store contains now.
 	Kept []Row
 }
 
-// Check demands that a row has a version at the commit.
+// Check is the condition that a row has a version at the time of the commit.
 type Check struct {
 	Table   Name    `json:"table"`
 	Key     Key     `json:"key"`
 	Version Version `json:"version"`
 }
 
-// Put writes or deletes a row.
+// Put is the write or the deletion of a row.
 type Put struct {
 	Table  Name   `json:"table"`
 	Key    Key    `json:"key"`
@@ -57,20 +59,20 @@
 	Delete bool   `json:"delete,omitempty"`
 }
 
-// Txn is applied all or none.
+// Txn is a transaction, which is applied atomically.
 type Txn struct {
 	Checks []Check `json:"checks,omitempty"`
 	Puts   []Put   `json:"puts"`
 }
 
-// Range asks for the rows of a table from a key on, at most Limit of them.
+// Range selects at most Limit rows of a table, in key order beginning with the key From.
 type Range struct {
 	Table Name `json:"table"`
 	From  Key  `json:"from"`
 	Limit int  `json:"limit"`
 }
 
-// Replace returns a transaction that writes a row which must have a version.
+// Replace returns a transaction that writes a row on the condition that its version is unchanged.
 func Replace(row Row, value []byte) Txn {
 	return Txn{
 		Checks: []Check{{Table: row.Table, Key: row.Key, Version: row.Version}},
