--- a/internal/edge/guard/doc.go
+++ b/internal/edge/guard/doc.go
@@ -1,6 +1,5 @@
-// Package guard keeps requests under which targets end away from further targets.
+// Package guard quarantines requests under which targets crash, so that they reach no further targets.
 //
-// A request may crash each target that begins to run it. Its caller, or another one, sends it
-// again, and whichever router gets it would lose more targets to it, each with all the requests
-// that ran there beside it.
+// A request may crash each target that starts to run it. Callers retry it, and each retry would crash
+// another target, together with all other requests that run there, whichever router receives it.
 package guard
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -13,167 +13,170 @@
 	"valescale/internal/rule/crash"
 )
 
-// Prober looks whether targets are still there.
+// Prober checks whether targets are still running.
 type Prober interface {
-	// Gone reports whether nothing listens at an address any more.
+	// Gone reports whether no process listens at the address any more.
 	Gone(ctx context.Context, addr string) bool
 }
 
-// Parts are what a guard works with.
+// Parts are the dependencies of a Guard.
 type Parts struct {
 	Prober Prober
 	Store  Store
 	Logger log.Logger
 	Clock  ident.Clock
-	// Reads reports whether this router reads the store for others too.
+	// Reads reports whether this router is a reader, which reads the store's tables for the other routers.
 	Reads func() bool
-	// Spread has the other routers told soon; it must not wait.
+	// Spread requests that suspect requests are gossiped to the peers soon; it must not block.
 	Spread func()
 }
 
-// Guard finds out which requests targets end under, and holds those back.
+// Guard detects requests under which targets crash and quarantines them.
 type Guard struct {
 	Parts
 	ctx    context.Context
 	mu     sync.Mutex
 	record *crash.Record
-	// looks are the looks under way, by the target's address.
-	looks map[string]*look
-	// held are the requests that the log was told of as held.
-	held map[ident.Fingerprint]bool
-	// unsaved are those that the store has yet to be told of, unsettled asks for that.
-	unsaved   map[ident.Fingerprint]bool
-	unsettled chan struct{}
+	// probes are the running probes by the target's address.
+	probes map[string]*probe
+	// quarantined are the requests that were last logged as quarantined.
+	quarantined map[ident.Fingerprint]bool
+	// unsaved are the requests whose rows have yet to be written to the store; saveRequested wakes the
+	// goroutine that writes them.
+	unsaved       map[ident.Fingerprint]bool
+	saveRequested chan struct{}
 }
 
-// New returns a guard and the function that ends its looks at targets.
+// New returns a guard and the function that cancels its probes of targets.
 func New(parts Parts) (*Guard, func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	return &Guard{
-		Parts: parts, ctx: ctx, record: crash.NewRecord(), looks: map[string]*look{}, held: map[ident.Fingerprint]bool{},
-		unsaved: map[ident.Fingerprint]bool{}, unsettled: make(chan struct{}, 1),
+		Parts: parts, ctx: ctx, record: crash.NewRecord(), probes: map[string]*probe{}, quarantined: map[ident.Fingerprint]bool{},
+		unsaved: map[ident.Fingerprint]bool{}, saveRequested: make(chan struct{}, 1),
 	}, cancel
 }
 
-// Break is a target's answer that broke off, or that never came because its connection broke.
+// Break is a response of a target that was interrupted, or missing because the connection failed.
 type Break struct {
-	// Request is the caller's id, for the log.
+	// Request is the request's id, for the log.
 	Request     string
 	Fingerprint ident.Fingerprint
 	Target      route.Target
-	// Ran is for how long the request had been there.
+	// Ran is the time for which the request had been at the target.
 	Ran time.Duration
 }
 
-// HeldFor is how much longer a request is held back; zero if it is not.
+// HeldFor returns the remaining quarantine time of a request; zero if it is not quarantined.
 func (g *Guard) HeldFor(request ident.Fingerprint) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.record.HeldFor(g.Clock(), request)
 }
 
-// Served notes a target's whole answer to a request.
+// Served records that a target sent a complete response to a request.
 func (g *Guard) Served(request ident.Fingerprint) {
 	g.mu.Lock()
-	news := g.record.Served(g.Clock(), request)
-	g.settle(request, news)
+	change := g.record.Served(g.Clock(), request)
+	g.updateQuarantine(request, change)
 	g.mu.Unlock()
-	g.tell(news)
+	g.spreadUrgent(change)
 }
 
-// Broke notes a break and looks whether the target has ended. It waits for that only if the request
-// may be held then, which is to be known before it is sent again.
+// Broke records an interrupted response and probes whether the target crashed. It waits for the probe only
+// if the request is already suspect and may be quarantined as a result, since that has to be known before
+// the request is sent again.
 func (g *Guard) Broke(b Break) {
 	g.mu.Lock()
-	doubted := g.record.Doubted(b.Fingerprint)
+	suspect := g.record.Doubted(b.Fingerprint)
 	g.mu.Unlock()
-	if doubted {
-		g.judge(b)
+	if suspect {
+		g.checkCrash(b)
 		return
 	}
-	go g.judge(b)
+	go g.checkCrash(b)
 }
 
-// judge blames the request for the target's end, if it has ended.
-func (g *Guard) judge(b Break) {
-	gone := g.gone(b.Target.Addr)
-	_ = level.Info(g.Logger).Log("msg", "answer broke off", "request", b.Request, "fingerprint", b.Fingerprint,
+// checkCrash probes the target and, if it crashed, attributes the crash to the request.
+func (g *Guard) checkCrash(b Break) {
+	gone := g.targetGone(b.Target.Addr)
+	_ = level.Info(g.Logger).Log("msg", "response interrupted", "request", b.Request, "fingerprint", b.Fingerprint,
 		"target", b.Target.ID, "addr", b.Target.Addr, "ran_ms", b.Ran.Milliseconds(), "target_gone", gone)
 	if !gone {
 		return
 	}
 	start := crash.NewStart(b.Target.ID.Hash(), b.Target.Incarnation)
 	g.mu.Lock()
-	news := g.record.Ended(g.Clock(), b.Fingerprint, start, b.Ran)
-	g.settle(b.Fingerprint, news)
+	change := g.record.Ended(g.Clock(), b.Fingerprint, start, b.Ran)
+	g.updateQuarantine(b.Fingerprint, change)
 	g.mu.Unlock()
-	g.tell(news)
+	g.spreadUrgent(change)
 }
 
-// Outgoing returns what is to be told one of so many routers.
+// Outgoing returns the suspect requests for a gossip message to one peer of a fleet of the given number of
+// routers.
 func (g *Guard) Outgoing(routers int) []crash.Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.record.Outgoing(g.Clock(), routers)
 }
 
-// Incoming takes in what another router tells, or what the store holds.
+// Incoming merges suspect requests received from a peer or read from the store.
 func (g *Guard) Incoming(list []crash.Suspect) {
-	latest := crash.Nothing
+	strongest := crash.Nothing
 	g.mu.Lock()
 	for _, s := range list {
-		news := g.record.Merge(g.Clock(), s)
-		g.settle(s.Request, news)
-		latest = max(latest, news)
+		change := g.record.Merge(g.Clock(), s)
+		g.updateQuarantine(s.Request, change)
+		strongest = max(strongest, change)
 	}
 	g.mu.Unlock()
-	g.tell(latest)
+	g.spreadUrgent(strongest)
 }
 
-// tell has the other routers told of what they should know soon.
-func (g *Guard) tell(news crash.News) {
-	if news == crash.Urgent {
+// spreadUrgent requests early gossip for an urgent change.
+func (g *Guard) spreadUrgent(change crash.News) {
+	if change == crash.Urgent {
 		g.Spread()
 	}
 }
 
-// settle tells the log, and the store if this router saw some of it, when a request is held or is no
-// more; the caller holds the lock.
-func (g *Guard) settle(request ident.Fingerprint, news crash.News) {
-	if news == crash.Nothing {
+// updateQuarantine logs the start and the end of a request's quarantine. It has the request's row written
+// if this router observed one of the crashes itself. The caller holds the lock.
+func (g *Guard) updateQuarantine(request ident.Fingerprint, change crash.News) {
+	if change == crash.Nothing {
 		return
 	}
-	wait := g.record.HeldFor(g.Clock(), request)
+	left := g.record.HeldFor(g.Clock(), request)
 	s, own, _ := g.record.Find(request)
-	if held := wait > 0; held != g.held[request] || held && own {
-		_ = level.Info(g.Logger).Log("msg", "request held back", "fingerprint", request, "held", held,
-			"targets_gone", len(s.Ends), "for_ms", wait.Milliseconds(), "seen_here", own)
+	if held := left > 0; held != g.quarantined[request] || held && own {
+		_ = level.Info(g.Logger).Log("msg", "request quarantine updated", "fingerprint", request, "held", held,
+			"targets_gone", len(s.Ends), "for_ms", left.Milliseconds(), "seen_here", own)
 	}
-	delete(g.held, request)
-	if wait == 0 {
+	delete(g.quarantined, request)
+	if left == 0 {
 		return
 	}
-	g.held[request] = true
+	g.quarantined[request] = true
 	if own {
-		g.save(request)
+		g.scheduleSave(request)
 	}
 }
 
-// Held is how many requests are held back now.
+// Held returns the number of quarantined requests.
 func (g *Guard) Held() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.record.Held(g.Clock())
 }
 
-// Sweep forgets what need not be remembered any more.
+// Sweep removes expired entries.
 func (g *Guard) Sweep() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.record.Sweep(g.Clock())
-	for request := range g.held {
+	for request := range g.quarantined {
 		if g.record.HeldFor(g.Clock(), request) == 0 {
-			delete(g.held, request)
+			delete(g.quarantined, request)
 		}
 	}
 }
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -15,39 +15,39 @@
 	"valescale/internal/plat/table"
 )
 
-// platform stands in for targets that are gone or not, and for the store.
-type platform struct {
-	mu    sync.Mutex
-	gone  bool
-	looks int
-	rows  map[table.Key]table.Row
-	// reads counts the readings of the store.
+// fakePlatform is a fake of the targets, which all run or have all crashed, and of the store.
+type fakePlatform struct {
+	mu     sync.Mutex
+	gone   bool
+	probes int
+	rows   map[table.Key]table.Row
+	// reads counts the reads of the store.
 	reads int
-	// failures is how many calls to the store fail from now on.
+	// failures is the number of next calls to the store that fail.
 	failures int
 }
 
-func (p *platform) Gone(context.Context, string) bool {
+func (p *fakePlatform) Gone(context.Context, string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	p.looks++
+	p.probes++
 	return p.gone
 }
 
-// fails uses up one failure; the caller holds the lock.
-func (p *platform) fails() error {
+// nextError returns the error of the next call to the store; the caller holds the lock.
+func (p *fakePlatform) nextError() error {
 	if p.failures == 0 {
 		return nil
 	}
 	p.failures--
-	return errors.New("down")
+	return errors.New("store unavailable")
 }
 
-func (p *platform) Held(context.Context) ([]table.Row, error) {
+func (p *fakePlatform) Held(context.Context) ([]table.Row, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
-	if err := p.fails(); err != nil {
+	if err := p.nextError(); err != nil {
 		return nil, err
 	}
 	var out []table.Row
@@ -57,10 +57,10 @@
 	return out, nil
 }
 
-func (p *platform) Commit(_ context.Context, txn table.Txn) error {
+func (p *fakePlatform) Commit(_ context.Context, txn table.Txn) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	if err := p.fails(); err != nil {
+	if err := p.nextError(); err != nil {
 		return err
 	}
 	for _, put := range txn.Puts {
@@ -72,19 +72,19 @@
 	return nil
 }
 
-// guarding is a guard with what it tells others.
-type guarding struct {
+// testGuard is a guard that counts its gossip requests and can be made a reader.
+type testGuard struct {
 	*Guard
-	spread int
-	reads  bool
+	spreads int
+	reader  bool
 }
 
-func newGuard(t *testing.T, p *platform, now *time.Time) *guarding {
+func newGuard(t *testing.T, p *fakePlatform, now *time.Time) *testGuard {
 	t.Helper()
-	out := &guarding{}
+	out := &testGuard{}
 	g, closeGuard := New(Parts{
-		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, Spread: func() { out.spread++ },
-		Reads: func() bool { return out.reads },
+		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, Spread: func() { out.spreads++ },
+		Reads: func() bool { return out.reader },
 	})
 	t.Cleanup(closeGuard)
 	out.Guard = g
@@ -93,76 +93,79 @@
 
 const request ident.Fingerprint = 7
 
-// breaks has answers of some targets to one request break off.
-func (g *guarding) breaks(targets ...ident.Target) {
+// interrupt interrupts the responses of the given targets to the test request.
+func (g *testGuard) interrupt(targets ...ident.Target) {
 	for _, id := range targets {
-		g.judge(Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id), Incarnation: 1}, Ran: time.Second})
+		g.checkCrash(Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id), Incarnation: 1}, Ran: time.Second})
 	}
 }
 
-func newPlatform(gone bool) *platform { return &platform{gone: gone, rows: map[table.Key]table.Row{}} }
+func newFakePlatform(gone bool) *fakePlatform {
+	return &fakePlatform{gone: gone, rows: map[table.Key]table.Row{}}
+}
 
-// A target that is still there has only broken off an answer: that holds no request back, however often.
-func TestTargetsThatLiveOnProveNothing(t *testing.T) {
+// Interrupted responses of targets that still run do not quarantine a request, however many there are;
+// after crashes a complete response ends the quarantine.
+func TestNoQuarantineWithoutCrash(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := newPlatform(false)
+	p := newFakePlatform(false)
 	g := newGuard(t, p, &now)
-	g.breaks("a", "b", "c", "d")
-	if g.HeldFor(request) != 0 || g.spread != 0 || len(g.Outgoing(8)) != 0 || p.looks != 4 {
-		t.Errorf("held for %v, %d looks", g.HeldFor(request), p.looks)
+	g.interrupt("a", "b", "c", "d")
+	if g.HeldFor(request) != 0 || g.spreads != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
+		t.Errorf("before crashes: quarantined for %v, %d probes", g.HeldFor(request), p.probes)
 	}
 	p.gone = true
-	g.breaks("a", "b")
-	if g.HeldFor(request) == 0 || g.spread != 1 || g.Held() != 1 {
-		t.Errorf("after two ends: held for %v, others told %d times", g.HeldFor(request), g.spread)
+	g.interrupt("a", "b")
+	if g.HeldFor(request) == 0 || g.spreads != 1 || g.Held() != 1 {
+		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.HeldFor(request), g.spreads)
 	}
 	g.Served(request)
 	if g.HeldFor(request) != 0 {
-		t.Error("a request that was served is held back")
+		t.Error("request is still quarantined after a complete response")
 	}
 }
 
-// What is held back outlasts all routers, also if the store fails at first, and what cannot be read or
-// is too old goes from the store.
-func TestHeldRequestsOutlastRouters(t *testing.T) {
+// The quarantine survives a restart of all routers, also if the first calls to the store fail. Rows that
+// cannot be decoded or have expired are removed from the store.
+func TestQuarantineSurvivesRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := newPlatform(true)
+	p := newFakePlatform(true)
 	first := newGuard(t, p, &now)
-	first.breaks("a", "b", "c")
+	first.interrupt("a", "b", "c")
 	p.failures = 1
-	if first.write(t.Context()) {
-		t.Error("a row counts as written though the store failed")
+	if first.writeUnsaved(t.Context()) {
+		t.Error("write reported success although the store failed")
 	}
-	if !first.write(t.Context()) || len(p.rows) != 1 {
+	if !first.writeUnsaved(t.Context()) || len(p.rows) != 1 {
 		t.Fatalf("%d rows in the store, want 1", len(p.rows))
 	}
-	p.rows["spoilt"] = table.Row{Table: Table, Key: "spoilt", Value: []byte("{}")}
+	p.rows["damaged"] = table.Row{Table: Table, Key: "damaged", Value: []byte("{}")}
 	p.rows["8"] = table.Row{Table: Table, Key: "8", Value: []byte("[")}
 	now = now.Add(time.Minute)
 	next := newGuard(t, p, &now)
 	p.failures = 1
 	if next.load(t.Context()) || !next.load(t.Context()) {
-		t.Error("a store that failed counts as read, or one that answered does not")
+		t.Error("load did not report whether the store responded")
 	}
 	if diff := cmp.Diff(first.HeldFor(request), next.HeldFor(request)); diff != "" || next.HeldFor(request) == 0 {
-		t.Errorf("the next router's hold: %s", diff)
+		t.Errorf("quarantine after the restart: %s", diff)
 	}
 	if len(p.rows) != 1 {
-		t.Errorf("%d rows in the store, want the sound one", len(p.rows))
+		t.Errorf("%d rows in the store, want only the valid one", len(p.rows))
 	}
 	now = now.Add(24 * time.Hour)
 	if late := newGuard(t, p, &now); !late.load(t.Context()) || late.HeldFor(request) != 0 || len(p.rows) != 0 {
-		t.Errorf("after a day: held for %v, %d rows", late.HeldFor(request), len(p.rows))
+		t.Errorf("after a day: quarantined for %v, %d rows", late.HeldFor(request), len(p.rows))
 	}
 }
 
-// A row that was written by a box whose clock is ahead holds no longer than any other.
-func TestRowFromAClockAhead(t *testing.T) {
+// A row that was written by a router whose clock is ahead does not extend the quarantine.
+func TestRowFromRouterWithClockAhead(t *testing.T) {
 	ahead, now := time.Unix(5000, 0), time.Unix(1000, 0)
-	p := newPlatform(true)
+	p := newFakePlatform(true)
 	first := newGuard(t, p, &ahead)
-	first.breaks("a", "b")
-	first.write(t.Context())
+	first.interrupt("a", "b")
+	first.writeUnsaved(t.Context())
 	next := newGuard(t, p, &now)
 	next.load(t.Context())
 	if diff := cmp.Diff(first.HeldFor(request), next.HeldFor(request)); diff != "" {
@@ -170,71 +173,71 @@
 	}
 }
 
-// slow is a prober that answers once it is told to.
-type slow struct{ answer chan struct{} }
+// blockingProber is a fake Prober whose probes return when the test sends to proceed.
+type blockingProber struct{ proceed chan struct{} }
 
-func (s slow) Gone(context.Context, string) bool {
-	<-s.answer
+func (b blockingProber) Gone(context.Context, string) bool {
+	<-b.proceed
 	return true
 }
 
-// Whether a request that has lost a target may be sent again waits for the word of the next one, and only
-// that: the first break holds nobody up.
-func TestDoubtedRequestWaitsForTheLook(t *testing.T) {
-	s := slow{answer: make(chan struct{})}
-	g, closeGuard := New(Parts{Prober: s, Logger: log.NewNopLogger(), Clock: time.Now, Spread: func() {}})
+// Broke waits for the probe only if the request is already suspect, so that the request is not sent again
+// before the result is known. The first interrupted response of a request delays nothing.
+func TestSuspectRequestWaitsForProbe(t *testing.T) {
+	prober := blockingProber{proceed: make(chan struct{})}
+	g, closeGuard := New(Parts{Prober: prober, Logger: log.NewNopLogger(), Clock: time.Now, Spread: func() {}})
 	t.Cleanup(closeGuard)
-	at := func(id ident.Target) Break {
+	breakAt := func(id ident.Target) Break {
 		return Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id)}, Ran: time.Second}
 	}
-	g.Broke(at("a"))
-	s.answer <- struct{}{}
-	for doubted := false; !doubted; {
+	g.Broke(breakAt("a"))
+	prober.proceed <- struct{}{}
+	for suspect := false; !suspect; {
 		g.mu.Lock()
-		doubted = g.record.Doubted(request)
+		suspect = g.record.Doubted(request)
 		g.mu.Unlock()
 	}
-	time.AfterFunc(10*time.Millisecond, func() { s.answer <- struct{}{} })
-	g.Broke(at("b"))
+	time.AfterFunc(10*time.Millisecond, func() { prober.proceed <- struct{}{} })
+	g.Broke(breakAt("b"))
 	if g.HeldFor(request) == 0 {
-		t.Error("the request may be sent again before the look at its second target")
+		t.Error("Broke returned before the probe of the second target")
 	}
 }
 
-// Only routers that read the store for others ask it what is held back, and once: 300 routers that start
-// together, or a silent store, would be asked by all of them.
-func TestFewReadTheStore(t *testing.T) {
-	for _, reads := range []bool{false, true} {
+// Only readers read the quarantined requests from the store, and only once. Otherwise 300 routers that
+// start together would all read it, and retry while it does not respond.
+func TestOnlyReadersReadStore(t *testing.T) {
+	for _, reader := range []bool{false, true} {
 		now := time.Unix(1000, 0)
-		p := newPlatform(true)
+		p := newFakePlatform(true)
 		g := newGuard(t, p, &now)
-		g.reads = reads
+		g.reader = reader
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		g.Run(ctx)
 		cancel()
-		if got := p.reads == 1; got != reads || p.reads > 1 {
-			t.Errorf("a router that reads for others: %v; the store is read %d times", reads, p.reads)
+		if got := p.reads == 1; got != reader || p.reads > 1 {
+			t.Errorf("reader: %v: store was read %d times", reader, p.reads)
 		}
 	}
 }
 
-// What a store has lost that came back from an older copy is written again: by the router that saw it, and, should
-// that be gone, by those that read the store for others.
-func TestHeldRequestsAreWrittenAgain(t *testing.T) {
+// Rows lost in a store rollback are written again by the router that observed the crashes and, in case it no
+// longer runs, by the readers.
+func TestQuarantineRewrittenAfterStoreRollback(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := newPlatform(true)
-	saw, heard := newGuard(t, p, &now), newGuard(t, p, &now)
-	saw.breaks("a", "b", "c")
-	heard.Incoming(saw.Outgoing(2))
+	p := newFakePlatform(true)
+	observer, peer := newGuard(t, p, &now), newGuard(t, p, &now)
+	observer.interrupt("a", "b", "c")
+	peer.Incoming(observer.Outgoing(2))
 	for _, step := range []struct {
-		by    *guarding
-		reads bool
-		want  int
-	}{{saw, false, 1}, {heard, false, 0}, {heard, true, 1}} {
+		by     *testGuard
+		reader bool
+		want   int
+	}{{observer, false, 1}, {peer, false, 0}, {peer, true, 1}} {
 		clear(p.rows)
-		step.by.reads = step.reads
+		step.by.reader = step.reader
 		step.by.Rewrite()
-		step.by.write(t.Context())
+		step.by.writeUnsaved(t.Context())
 		if diff := cmp.Diff(step.want, len(p.rows)); diff != "" {
 			t.Errorf("rows after %+v: %s", step, diff)
 		}
--- a/internal/edge/guard/look.go
+++ b/internal/edge/guard/look.go
@@ -5,35 +5,36 @@
 	"time"
 )
 
-// look is one look whether a target is still there.
-type look struct {
+// probe is one check whether a target is still running.
+type probe struct {
 	done chan struct{}
 	gone bool
 }
 
-// lookTime bounds a look: many round trips, and no more than connecting may take.
-const lookTime = 250 * time.Millisecond
+// probeTimeout limits a probe. It covers many round trips and does not exceed the timeout for connecting
+// to a target.
+const probeTimeout = 250 * time.Millisecond
 
-// gone looks whether a target has ended; breaks at the same moment share one look, since an engine takes
-// a dozen requests of a router along.
-func (g *Guard) gone(addr string) bool {
+// targetGone probes whether a target crashed. Concurrent calls for a target share one probe, since the
+// crash of an engine interrupts about a dozen requests of a router at once.
+func (g *Guard) targetGone(addr string) bool {
 	g.mu.Lock()
-	l, under := g.looks[addr]
-	if !under {
-		l = &look{done: make(chan struct{})}
-		g.looks[addr] = l
+	p, running := g.probes[addr]
+	if !running {
+		p = &probe{done: make(chan struct{})}
+		g.probes[addr] = p
 	}
 	g.mu.Unlock()
-	if under {
-		<-l.done
-		return l.gone
+	if running {
+		<-p.done
+		return p.gone
 	}
-	ctx, cancel := context.WithTimeout(g.ctx, lookTime)
+	ctx, cancel := context.WithTimeout(g.ctx, probeTimeout)
 	defer cancel()
-	l.gone = g.Prober.Gone(ctx, addr)
+	p.gone = g.Prober.Gone(ctx, addr)
 	g.mu.Lock()
-	delete(g.looks, addr)
+	delete(g.probes, addr)
 	g.mu.Unlock()
-	close(l.done)
-	return l.gone
+	close(p.done)
+	return p.gone
 }
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -16,64 +16,66 @@
 	"valescale/internal/rule/crash"
 )
 
-// Table holds a row for each request that is held back, for fleets whose routers all start again.
+// Table is the name of the table with a row for each quarantined request. The rows keep the quarantine in
+// force when all routers of a fleet restart.
 const Table table.Name = "held_requests"
 
-// Store is where they are kept.
+// Store is the store that contains the rows.
 type Store interface {
-	// Held returns the table's rows.
+	// Held returns all rows of the table.
 	Held(ctx context.Context) ([]table.Row, error)
-	// Commit applies a transaction.
+	// Commit applies a transaction atomically.
 	Commit(ctx context.Context, txn table.Txn) error
 }
 
-// Kind tells this package's errors apart.
+// Kind classifies errors of this package.
 type Kind string
 
-// BadRow means that a row cannot be read.
+// BadRow means that a row cannot be decoded.
 const BadRow Kind = "bad_row"
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// heldRow is the value of a row. Times are of the wall clock, on which boxes agree well enough for holds
-// of minutes.
-type heldRow struct {
-	Ends []heldEnd `json:"ends"`
+// suspectRow is the value of a row. It contains wall clock times: the clocks of the boxes are close enough
+// to each other for quarantine times of minutes.
+type suspectRow struct {
+	Ends []crashEntry `json:"ends"`
 }
 
-// heldEnd is one target's end.
-type heldEnd struct {
+// crashEntry is the crash of one target.
+type crashEntry struct {
 	Start  crash.Start `json:"start"`
 	UnixMS int64       `json:"unix_ms"`
 	RanMS  int64       `json:"ran_ms"`
 }
 
-// hexadecimal is the base of row keys.
-const hexadecimal = 16
+// keyBase is the number base of row keys.
+const keyBase = 16
 
-// encodeRow is the writing of a suspect's row.
+// encodeRow returns the write of the row of a suspect request.
 func encodeRow(s crash.Suspect) table.Put {
-	var row heldRow
+	var row suspectRow
 	for _, e := range s.Ends {
-		row.Ends = append(row.Ends, heldEnd{Start: e.Start, UnixMS: e.At.UnixMilli(), RanMS: e.Ran.Milliseconds()})
+		row.Ends = append(row.Ends, crashEntry{Start: e.Start, UnixMS: e.At.UnixMilli(), RanMS: e.Ran.Milliseconds()})
 	}
 	value, err := json.Marshal(row)
 	if err != nil {
-		// Numbers can always be encoded.
+		// The row contains only numbers, which can always be encoded.
 		panic(err)
 	}
 	return table.Put{Table: Table, Key: table.Key(s.Request.String()), Value: value}
 }
 
-// decodeRow reads a suspect's row. Ends that would be yet to come, by a clock that was ahead, are now.
+// decodeRow decodes the row of a suspect request. Crash times in the future, as written by a router whose
+// clock is ahead, are replaced by the current time.
 func decodeRow(now time.Time, row table.Row) (crash.Suspect, error) {
 	const op = "guard.decodeRow"
-	request, err := strconv.ParseUint(string(row.Key), hexadecimal, 64)
+	request, err := strconv.ParseUint(string(row.Key), keyBase, 64)
 	if err != nil {
 		return crash.Suspect{}, fault.New(op, BadRow, err)
 	}
-	var value heldRow
+	var value suspectRow
 	if err := json.Unmarshal(row.Value, &value); err != nil {
 		return crash.Suspect{}, fault.New(op, BadRow, err)
 	}
@@ -89,55 +91,58 @@
 }
 
 const (
-	// storePause is the pause between two tries to reach the store, many times what it takes to answer. It
-	// doubles with each try to read, up to longestPause: what is held back is seldom asked for.
-	storePause   = 500 * time.Millisecond
-	longestPause = 8 * time.Second
-	// storeTime bounds one call.
-	storeTime = time.Second
+	// storeRetryDelay is the delay between two attempts to reach the store, many times its usual response
+	// time. It doubles with each failed read up to maxStoreRetryDelay: quarantined requests are sent
+	// rarely, so that reading them late does little harm.
+	storeRetryDelay    = 500 * time.Millisecond
+	maxStoreRetryDelay = 8 * time.Second
+	// storeTimeout limits one call of the store.
+	storeTimeout = time.Second
 )
 
-// Run reads what the store holds, if this router is one that does, and writes what it has yet to be
-// told, until the context ends.
+// Run reads the quarantined requests from the store, if this router is a reader, and writes new ones to it
+// until ctx is done.
 func (g *Guard) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { g.read(ctx) })
-	g.writeAll(ctx)
+	wg.Go(func() { g.loadOnce(ctx) })
+	g.writeLoop(ctx)
 }
 
-// read reads the store once. The other routers hear of it from those that have: with all of them reading,
-// 300 routers that start together, or a store that is silent, are asked 300 times.
-func (g *Guard) read(ctx context.Context) {
-	for wait := storePause; ctx.Err() == nil; wait = min(2*wait, longestPause) {
+// loadOnce loads the rows once, with retries. Only readers do so, and the other routers receive the
+// suspect requests by gossip: if all routers read the store, 300 routers that start together, or retry
+// while the store does not respond, would send it 300 requests at a time.
+func (g *Guard) loadOnce(ctx context.Context) {
+	for delay := storeRetryDelay; ctx.Err() == nil; delay = min(2*delay, maxStoreRetryDelay) {
 		if g.Reads() && g.load(ctx) {
 			return
 		}
-		pause.For(ctx, wait)
+		pause.For(ctx, delay)
 	}
 }
 
-// writeAll writes what the store has yet to be told until the context ends.
-func (g *Guard) writeAll(ctx context.Context) {
+// writeLoop writes unsaved rows to the store until ctx is done.
+func (g *Guard) writeLoop(ctx context.Context) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-g.unsettled:
+		case <-g.saveRequested:
 		}
-		for ctx.Err() == nil && !g.write(ctx) {
-			pause.For(ctx, storePause)
+		for ctx.Err() == nil && !g.writeUnsaved(ctx) {
+			pause.For(ctx, storeRetryDelay)
 		}
 	}
 }
 
-// load takes in the store's rows, has those go that are too old, and reports whether the store answered.
+// load merges the rows of the store, removes those that have expired or cannot be decoded, and reports
+// whether the store responded.
 func (g *Guard) load(ctx context.Context) bool {
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	rows, err := g.Store.Held(ctx)
 	if err != nil {
-		_ = level.Warn(g.Logger).Log("msg", "requests held back cannot be read", "err", err)
+		_ = level.Warn(g.Logger).Log("msg", "could not read quarantined requests from the store", "err", err)
 		return false
 	}
 	var list []crash.Suspect
@@ -153,52 +158,53 @@
 	return true
 }
 
-// remove removes a row that is too old or cannot be read, unless it has been written anew.
+// remove deletes a row that has expired or cannot be decoded, unless it has been written again since.
 func (g *Guard) remove(ctx context.Context, row table.Row, cause error) {
 	err := g.Store.Commit(ctx, table.Txn{
 		Checks: []table.Check{{Table: Table, Key: row.Key, Version: row.Version}},
 		Puts:   []table.Put{{Table: Table, Key: row.Key, Delete: true}},
 	})
-	_ = level.Info(g.Logger).Log("msg", "row of a request held back removed", "fingerprint", row.Key, "cause", cause, "err", err)
+	_ = level.Info(g.Logger).Log("msg", "removed the row of a quarantined request", "fingerprint", row.Key, "cause", cause, "err", err)
 }
 
-// save has a request's row written; the caller holds the lock.
-func (g *Guard) save(request ident.Fingerprint) {
+// scheduleSave has the row of a request written by writeLoop; the caller holds the lock.
+func (g *Guard) scheduleSave(request ident.Fingerprint) {
 	g.unsaved[request] = true
 	select {
-	case g.unsettled <- struct{}{}:
+	case g.saveRequested <- struct{}{}:
 	default:
-		// It is asked for already.
+		// A wake-up is already pending.
 	}
 }
 
-// Rewrite has rows written again that the store may have lost: of what this router saw, and, if it reads the
-// store for others, of all that is held back, since those who saw it may be gone.
+// Rewrite schedules rows to be written again that the store may have lost in a store rollback: those of
+// requests whose crashes this router observed and, if it is a reader, those of all quarantined requests,
+// since the routers that observed the crashes may no longer run.
 func (g *Guard) Rewrite() {
 	all := g.Reads()
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	for request := range g.held {
+	for request := range g.quarantined {
 		if _, own, _ := g.record.Find(request); own || all {
-			g.save(request)
+			g.scheduleSave(request)
 		}
 	}
-	_ = level.Info(g.Logger).Log("msg", "requests held back are written again", "requests", len(g.unsaved), "all", all)
+	_ = level.Info(g.Logger).Log("msg", "writing quarantined requests to the store again", "requests", len(g.unsaved), "all", all)
 }
 
-// maxPuts bounds one transaction's rows; the store takes a hundred.
-const maxPuts = 50
+// maxRowsPerTxn limits the rows of one transaction; the store accepts up to a hundred.
+const maxRowsPerTxn = 50
 
-// write writes the rows that the store has yet to be told of, and reports whether all are written.
-func (g *Guard) write(ctx context.Context) bool {
+// writeUnsaved writes up to maxRowsPerTxn unsaved rows and reports whether no unsaved rows are left.
+func (g *Guard) writeUnsaved(ctx context.Context) bool {
 	var txn table.Txn
 	g.mu.Lock()
 	for request := range g.unsaved {
-		if s, _, known := g.record.Find(request); known {
+		if s, _, found := g.record.Find(request); found {
 			txn.Puts = append(txn.Puts, encodeRow(s))
 		}
 		delete(g.unsaved, request)
-		if len(txn.Puts) == maxPuts {
+		if len(txn.Puts) == maxRowsPerTxn {
 			break
 		}
 	}
@@ -207,22 +213,22 @@
 	if len(txn.Puts) == 0 {
 		return true
 	}
-	ctx, cancel := context.WithTimeout(ctx, storeTime)
+	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
 	if err := g.Store.Commit(ctx, txn); err != nil {
-		_ = level.Warn(g.Logger).Log("msg", "requests held back cannot be written", "requests", len(txn.Puts), "err", err)
-		g.rewrite(txn)
+		_ = level.Warn(g.Logger).Log("msg", "could not write quarantined requests to the store", "requests", len(txn.Puts), "err", err)
+		g.markUnsaved(txn)
 		return false
 	}
 	return left == 0
 }
 
-// rewrite has rows written again that were not taken.
-func (g *Guard) rewrite(txn table.Txn) {
+// markUnsaved marks the rows of a transaction that failed as unsaved again.
+func (g *Guard) markUnsaved(txn table.Txn) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for _, put := range txn.Puts {
-		if request, err := strconv.ParseUint(string(put.Key), hexadecimal, 64); err == nil {
+		if request, err := strconv.ParseUint(string(put.Key), keyBase, 64); err == nil {
 			g.unsaved[ident.Fingerprint(request)] = true
 		}
 	}
