--- a/internal/edge/front/chat.go
+++ b/internal/edge/front/chat.go
@@ -14,35 +14,35 @@
 	"valescale/internal/share/claim"
 )
 
-// lastEventHeader carries the id of the last event that a caller has.
+// lastEventHeader contains the id of the last event that the caller received.
 const lastEventHeader = "Last-Event-Id"
 
-// serveChat serves a chat completion, whole or as a stream.
+// serveChat serves a chat completion, buffered or as a stream.
 func (f *Front) serveChat(w http.ResponseWriter, r *http.Request) {
 	if r.Header.Get(lastEventHeader) != "" {
 		f.serveResume(w, r)
 		return
 	}
-	j, chat, problem := f.acceptChat(w, r)
+	j, chat, problem := f.newChatJob(w, r)
 	if problem != nil {
 		problem.write(w)
 		return
 	}
-	f.noteRequest()
+	f.countRequest()
 	if err := f.Finder.Admit(r.Context(), j.workspace); err != nil {
-		f.fail(w, j, fromRoute(err))
+		f.fail(w, j, routeProblem(err))
 		return
 	}
 	if !chat.Stream {
-		f.whole(w, r, j)
+		f.serveBuffered(w, r, j)
 		return
 	}
-	f.stream(w, r, j)
+	f.serveStream(w, r, j)
 }
 
-// acceptChat reads a chat completion request and makes the job.
-func (f *Front) acceptChat(w http.ResponseWriter, r *http.Request) (*job, chatRequest, *Problem) {
-	from, problem := f.known(r)
+// newChatJob reads a chat completion request and returns its job.
+func (f *Front) newChatJob(w http.ResponseWriter, r *http.Request) (*job, chatRequest, *Problem) {
+	from, problem := f.authenticate(r)
 	if problem != nil {
 		return nil, chatRequest{}, problem
 	}
@@ -59,50 +59,50 @@
 		return nil, chat, problem
 	}
 	tokens := int64(len(body) / bytesPerToken)
-	request := f.view(from.workspace, r)
-	request.Model = short(chat.Model)
+	request := f.policyRequest(from.workspace, r)
+	request.Model = truncate(chat.Model)
 	request.Stream = chat.Stream
 	request.Messages = int64(len(chat.Messages))
 	request.Tokens = tokens
-	j, problem := f.accept(r, from, request)
+	j, problem := f.newJob(r, from, request)
 	if problem != nil {
 		return nil, chat, problem
 	}
-	j.read(r, body)
+	j.setBody(r, body)
 	j.key = key
 	j.work = j.service.WorkOf(tokens, chat.MaxTokens)
 	return j, chat, nil
 }
 
-// stream relays the events of a chat completion.
-func (f *Front) stream(w http.ResponseWriter, r *http.Request, j *job) {
-	if f.claimed(w, r, j) || f.held(w, j) {
+// serveStream relays the events of a chat completion.
+func (f *Front) serveStream(w http.ResponseWriter, r *http.Request, j *job) {
+	if f.respondFromClaim(w, r, j) || f.rejectQuarantined(w, j) {
 		return
 	}
-	s, problem := f.attempt(r.Context(), j)
+	s, problem := f.sendWithRetries(r.Context(), j)
 	if problem != nil {
 		f.fail(w, j, problem)
 		return
 	}
 	if s.reply.Status != http.StatusOK {
-		f.relayRefusal(w, r, j, s)
+		f.relayBuffered(w, r, j, s)
 		return
 	}
 	out := newEventWriter(w, f.Keys, j.workspace.Name, f.limits.Partial)
-	f.pump(r.Context(), j, s, out, 0)
+	f.relayStream(r.Context(), j, s, out, 0)
 }
 
-// relayRefusal passes on an answer that is not a stream, such as the target's own error.
-func (f *Front) relayRefusal(w http.ResponseWriter, r *http.Request, j *job, s *sent) {
+// relayBuffered relays an answer that is not a stream, such as an error response of the target.
+func (f *Front) relayBuffered(w http.ResponseWriter, r *http.Request, j *job, s *response) {
 	body, err := s.reply.Whole()
 	s.placement.Release()
 	if err != nil {
-		f.broke(r.Context(), j, s.placement.Target, s.at, err)
-		if problem := f.after(r.Context(), j, s.placement, relay.StepOf(err), err); problem != nil {
+		f.reportInterrupted(r.Context(), j, s.placement.Target, s.sentAt, err)
+		if problem := f.handleFailure(r.Context(), j, s.placement, relay.StepOf(err), err); problem != nil {
 			f.fail(w, j, problem)
 			return
 		}
-		f.fail(w, j, fromAttempts(err, j.outcome))
+		f.fail(w, j, attemptProblem(err, j.outcome))
 		return
 	}
 	answer := claim.Answer{Status: s.reply.Status, Header: relay.CleanReply(s.reply.Header), Body: body}
@@ -113,9 +113,9 @@
 	f.finish(j, retry.Done, CodeNone)
 }
 
-// pump copies events until the stream's end. When the engine dies, it goes on at
-// another one from the prompt and the text already sent, if the policy allows.
-func (f *Front) pump(ctx context.Context, j *job, s *sent, out *eventWriter, offset uint64) {
+// relayStream copies events until the end of the stream. If the engine fails, the stream is continued on
+// another one from the prompt and the text already sent, if the policy allows that.
+func (f *Front) relayStream(ctx context.Context, j *job, s *response, out *eventWriter, offset uint64) {
 	for {
 		err := f.copyEvents(j, s, out, offset)
 		s.close()
@@ -123,16 +123,16 @@
 			f.endStream(j, out)
 			return
 		}
-		if out.broken {
+		if out.callerGone {
 			f.Finder.Cancelled(s.placement.Hash)
 			f.finish(j, retry.Unknown, CodeCallerGone)
 			return
 		}
-		f.judge(ctx, s.placement, false)
-		f.broke(ctx, j, s.placement.Target, s.at, err)
-		next, problem := f.resumeElsewhere(ctx, j, s, out, err)
+		f.recordResult(ctx, s.placement, false)
+		f.reportInterrupted(ctx, j, s.placement.Target, s.sentAt, err)
+		next, problem := f.continueOnOtherEngine(ctx, j, s, out, err)
 		if problem != nil {
-			out.fail(problem)
+			out.writeProblem(problem)
 			f.finish(j, problem.Outcome, problem.Code)
 			return
 		}
@@ -140,8 +140,8 @@
 	}
 }
 
-// copyEvents passes events on until the end mark.
-func (f *Front) copyEvents(j *job, s *sent, out *eventWriter, offset uint64) error {
+// copyEvents relays events to the caller until the end marker.
+func (f *Front) copyEvents(j *job, s *response, out *eventWriter, offset uint64) error {
 	stream := s.reply.Events()
 	token := relay.Token{
 		Target: s.placement.Target.ID, Incarnation: s.placement.Target.Incarnation, Stream: s.reply.StreamID, Offset: offset,
@@ -158,51 +158,51 @@
 		if err := out.event(token, e); err != nil {
 			return err
 		}
-		if j.first.IsZero() {
-			j.first = f.Clock()
+		if j.firstByteAt.IsZero() {
+			j.firstByteAt = f.Clock()
 		}
 	}
 }
 
 func (f *Front) endStream(j *job, out *eventWriter) {
 	out.end()
-	f.Guard.Served(j.print)
-	if j.ticket != nil && out.whole() {
-		f.Claims.Finish(j.ticket, out.answer())
+	f.Guard.Served(j.fingerprint)
+	if j.ticket != nil && out.recordingComplete() {
+		f.Claims.Finish(j.ticket, out.recordedAnswer())
 	}
 	f.finish(j, retry.Done, CodeNone)
 }
 
-// resumeElsewhere finds another engine for a stream that broke off.
-func (f *Front) resumeElsewhere(ctx context.Context, j *job, s *sent, out *eventWriter, cause error) (*sent, *Problem) {
+// continueOnOtherEngine continues an interrupted stream on another engine.
+func (f *Front) continueOnOtherEngine(ctx context.Context, j *job, s *response, out *eventWriter, cause error) (*response, *Problem) {
 	j.outcome = retry.Unknown
-	allowed := j.decision.OnLoss == policy.Continue && j.decision.Repeat != retry.Never && f.Guard.HeldFor(j.print) == 0
-	if ctx.Err() != nil || out.broken || !allowed || j.tries >= f.limits.Tries || !f.mayRetry() {
-		return nil, fromAttempts(cause, retry.Unknown)
-	}
-	if !j.first.IsZero() {
-		body, ok := continueBody(j.call.Body, out.text.String())
-		if !ok || out.overflow {
-			return nil, fromAttempts(cause, retry.Unknown)
+	allowed := j.decision.OnLoss == policy.Continue && j.decision.Repeat != retry.Never && f.Guard.HeldFor(j.fingerprint) == 0
+	if ctx.Err() != nil || out.callerGone || !allowed || j.attempts >= f.limits.Tries || !f.takeRetryToken() {
+		return nil, attemptProblem(cause, retry.Unknown)
+	}
+	if !j.firstByteAt.IsZero() {
+		body, ok := continuationBody(j.call.Body, out.text.String())
+		if !ok || out.textTruncated {
+			return nil, attemptProblem(cause, retry.Unknown)
 		}
 		j.call.Body = body
 	}
 	j.avoid = append(j.avoid, s.placement.Hash)
-	next, problem := f.attempt(ctx, j)
+	next, problem := f.sendWithRetries(ctx, j)
 	if problem != nil {
 		return nil, problem
 	}
 	if next.reply.Status != http.StatusOK {
 		next.close()
-		return nil, fromAttempts(cause, retry.Unknown)
+		return nil, attemptProblem(cause, retry.Unknown)
 	}
 	return next, nil
 }
 
-// continueBody asks for the rest of an answer of which a part is there: the
-// messages so far, the part as the assistant's own, and no new turn. A part that a
-// body from an earlier continuation ends with is replaced.
-func continueBody(body []byte, text string) ([]byte, bool) {
+// continuationBody returns the body of a request for the rest of an answer: the messages so far, followed
+// by the received text as an assistant message that the engine is to continue instead of starting a new
+// turn. The assistant message of an earlier continuation is replaced.
+func continuationBody(body []byte, text string) ([]byte, bool) {
 	var fields map[string]json.RawMessage
 	var messages []json.RawMessage
 	if json.Unmarshal(body, &fields) != nil || json.Unmarshal(fields["messages"], &messages) != nil {
@@ -229,9 +229,9 @@
 	return out, err == nil
 }
 
-// serveResume goes on with a stream from the last event that the caller has.
+// serveResume resumes a stream after the last event that the caller received.
 func (f *Front) serveResume(w http.ResponseWriter, r *http.Request) {
-	from, problem := f.known(r)
+	from, problem := f.authenticate(r)
 	if problem != nil {
 		problem.write(w)
 		return
@@ -239,7 +239,7 @@
 	ws := from.workspace
 	token, err := f.Keys.Open(ws.Name, r.Header.Get(lastEventHeader))
 	if err != nil {
-		bad(CodeBadResume, http.StatusBadRequest, "Last-Event-ID is missing or not an id that this workspace was given").write(w)
+		notRun(CodeBadResume, http.StatusBadRequest, "Last-Event-ID is missing or not an id that this workspace was given").write(w)
 		return
 	}
 	gone := &Problem{
@@ -251,15 +251,15 @@
 		return
 	}
 	if backoff := f.Finder.BackoffLeft(target); backoff > 0 {
-		// No other engine has the stream.
-		later := &Problem{
+		// Only this engine has the stream.
+		overloaded := &Problem{
 			Status: http.StatusServiceUnavailable, Code: CodeOverloaded, Outcome: retry.Unknown, RetryAfter: backoff,
 			Message: "the engine that has this stream wants no requests for a while",
 		}
-		later.write(w)
+		overloaded.write(w)
 		return
 	}
-	j := &job{id: claim.NewAttempt(), workspace: ws, arrived: f.Clock(), found: f.Clock(), tries: 1,
+	j := &job{id: claim.NewAttempt(), workspace: ws, arrivedAt: f.Clock(), foundAt: f.Clock(), attempts: 1,
 		decision: policy.Decision{Repeat: retry.Never, OnLoss: policy.Fail}}
 	reply, err := f.Sender.Send(r.Context(), relay.Call{
 		Addr: target.Addr, Method: http.MethodGet, Path: "/v1/streams/" + token.Stream,
@@ -267,10 +267,10 @@
 		Header: http.Header{"Accept": {eventStream}}, Attempt: j.id, Timeout: resumeTimeout,
 	})
 	if err != nil {
-		f.fail(w, j, fromAttempts(err, retry.Unknown))
+		f.fail(w, j, attemptProblem(err, retry.Unknown))
 		return
 	}
-	s := &sent{placement: &route.Placement{Target: target, Hash: target.ID.Hash()}, reply: reply}
+	s := &response{placement: &route.Placement{Target: target, Hash: target.ID.Hash()}, reply: reply}
 	f.observe(j, target, reply)
 	if reply.Status != http.StatusOK {
 		reply.Close()
@@ -280,10 +280,10 @@
 	if reply.StreamID == "" {
 		reply.StreamID = token.Stream
 	}
-	f.pump(r.Context(), j, s, newEventWriter(w, f.Keys, ws.Name, f.limits.Partial), token.Offset)
+	f.relayStream(r.Context(), j, s, newEventWriter(w, f.Keys, ws.Name, f.limits.Partial), token.Offset)
 }
 
-// deltaText is the text that one event of a chat completion adds.
+// deltaText returns the text that an event of a chat completion appends to the answer.
 func deltaText(data string) string {
 	var chunk struct {
 		Choices []struct {
--- a/internal/edge/front/doc.go
+++ b/internal/edge/front/doc.go
@@ -1,8 +1,6 @@
-// Package front is what callers see: it tells who they are, checks their input,
-// asks the policy what is to happen, and gives each caller the whole answer to its
-// own request, or says truly whether it ran.
+// Package front serves callers: it authenticates them, validates their input, evaluates the policy, and
+// returns the complete answer to each request, or an error that states correctly whether the request ran.
 //
-// Each answer carries the header Valescale-Outcome: done, not_run or unknown. A
-// stream carries it as a trailer, and ends with the protocol's end mark or with an
-// error event.
+// Each response has the header Valescale-Outcome with the value done, not_run or unknown. A stream has it
+// as a trailer, and ends with the end marker of the protocol or with an error event.
 package front
--- a/internal/edge/front/events.go
+++ b/internal/edge/front/events.go
@@ -15,28 +15,29 @@
 const (
 	eventStream   = "text/event-stream"
 	resumeTimeout = 10 * time.Minute
-	// writeTime bounds each write to a caller that does not read.
-	writeTime = 30 * time.Second
+	// writeTimeout limits each write to a caller that does not read.
+	writeTimeout = 30 * time.Second
 )
 
-// eventWriter writes a stream to a caller and keeps its text for a continuation.
+// eventWriter writes a stream to a caller. It keeps the text for a continuation, and a recording of the
+// stream as the stored answer of a claim; each is limited to maxBytes.
 type eventWriter struct {
 	w         http.ResponseWriter
 	control   *http.ResponseController
 	keys      relay.Keys
 	workspace ident.Workspace
 	started   bool
-	// broken is set once the caller cannot be written to.
-	broken   bool
-	limit    int
-	text     strings.Builder
-	overflow bool
-	record   bytes.Buffer
-	lost     bool
+	// callerGone is set once a write to the caller has failed.
+	callerGone         bool
+	maxBytes           int
+	text               strings.Builder
+	textTruncated      bool
+	recording          bytes.Buffer
+	recordingTruncated bool
 }
 
-func newEventWriter(w http.ResponseWriter, keys relay.Keys, workspace ident.Workspace, limit int) *eventWriter {
-	return &eventWriter{w: w, control: http.NewResponseController(w), keys: keys, workspace: workspace, limit: limit}
+func newEventWriter(w http.ResponseWriter, keys relay.Keys, workspace ident.Workspace, maxBytes int) *eventWriter {
+	return &eventWriter{w: w, control: http.NewResponseController(w), keys: keys, workspace: workspace, maxBytes: maxBytes}
 }
 
 func (e *eventWriter) start() {
@@ -51,12 +52,12 @@
 	e.w.WriteHeader(http.StatusOK)
 }
 
-// event passes one event on under an id with which the caller can resume.
+// event writes an event with an id by which the caller can resume the stream.
 func (e *eventWriter) event(token relay.Token, event relay.Event) error {
 	e.start()
-	if text := deltaText(event.Data); !e.overflow {
+	if text := deltaText(event.Data); !e.textTruncated {
 		e.text.WriteString(text)
-		e.overflow = e.text.Len() > e.limit
+		e.textTruncated = e.text.Len() > e.maxBytes
 	}
 	var out strings.Builder
 	if token.Stream != "" {
@@ -73,24 +74,24 @@
 }
 
 func (e *eventWriter) write(text string) error {
-	if e.record.Len() <= e.limit {
-		e.record.WriteString(text)
+	if e.recording.Len() <= e.maxBytes {
+		e.recording.WriteString(text)
 	} else {
-		e.lost = true
+		e.recordingTruncated = true
 	}
-	_ = e.control.SetWriteDeadline(time.Now().Add(writeTime))
+	_ = e.control.SetWriteDeadline(time.Now().Add(writeTimeout))
 	if _, err := e.w.Write([]byte(text)); err != nil {
-		e.broken = true
+		e.callerGone = true
 		return err
 	}
 	if err := e.control.Flush(); err != nil {
-		e.broken = true
+		e.callerGone = true
 		return err
 	}
 	return nil
 }
 
-// end closes a stream that is whole.
+// end completes the stream with the end marker.
 func (e *eventWriter) end() {
 	e.start()
 	_ = e.write("data: " + relay.EndMark + "\n\n")
@@ -98,9 +99,9 @@
 	_ = e.control.SetWriteDeadline(time.Time{})
 }
 
-// fail ends a stream that is not whole, in words; before the first event it is an
-// ordinary error.
-func (e *eventWriter) fail(p *Problem) {
+// writeProblem ends an incomplete stream with an error event. Before the first event it sends an ordinary
+// error response instead.
+func (e *eventWriter) writeProblem(p *Problem) {
 	if !e.started {
 		p.write(e.w)
 		return
@@ -110,12 +111,12 @@
 	_ = e.control.SetWriteDeadline(time.Time{})
 }
 
-// whole reports whether all that was written is still there to be stored.
-func (e *eventWriter) whole() bool { return !e.lost }
+// recordingComplete reports whether the recording contains the complete stream.
+func (e *eventWriter) recordingComplete() bool { return !e.recordingTruncated }
 
-// answer is the stream as it is replayed.
-func (e *eventWriter) answer() claim.Answer {
+// recordedAnswer returns the recorded stream as the answer that is stored for the claim.
+func (e *eventWriter) recordedAnswer() claim.Answer {
 	return claim.Answer{
-		Status: http.StatusOK, Header: http.Header{"Content-Type": {eventStream}}, Body: e.record.Bytes(),
+		Status: http.StatusOK, Header: http.Header{"Content-Type": {eventStream}}, Body: e.recording.Bytes(),
 	}
 }
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -18,59 +18,60 @@
 	"valescale/internal/share/config"
 )
 
-// Configs gives the configuration in force.
+// Configs returns the configuration in force.
 type Configs interface {
 	InForce() config.InForce
 }
 
-// Finder finds targets and keeps workspaces within their rates.
+// Finder finds targets for requests and enforces the rate limits of workspaces.
 type Finder interface {
 	Acquire(ctx context.Context, ask route.Ask) (*route.Placement, error)
 	Admit(ctx context.Context, w policy.Workspace) error
 	Report(target ident.TargetHash, ok bool)
 	Cancelled(target ident.TargetHash)
-	// Observe takes in what a target said of itself in an answer.
+	// Observe processes the state that a target reported in a response.
 	Observe(target route.Target, n route.Notice)
-	// BackoffLeft is for how much longer a target wants no requests from this router.
+	// BackoffLeft returns the remaining backoff of a target, during which it accepts no requests of this
+	// router.
 	BackoffLeft(target route.Target) time.Duration
 }
 
-// Sender makes attempts.
+// Sender sends requests to targets.
 type Sender interface {
 	Send(ctx context.Context, call relay.Call) (*relay.Reply, error)
 }
 
-// Claimer makes requests run at most once.
+// Claimer manages the claims by which requests run at most once.
 type Claimer interface {
 	Begin(ctx context.Context, key claim.Key, hash claim.BodyHash) (*claim.Ticket, *claim.Answer, error)
 	Finish(ticket *claim.Ticket, answer claim.Answer)
 	Release(ticket *claim.Ticket)
 }
 
-// Guard holds back requests under which targets end.
+// Guard quarantines requests under which targets crash.
 type Guard interface {
-	// HeldFor is how much longer a request is held back; zero if it is not.
+	// HeldFor returns the remaining quarantine time of a request; zero if it is not quarantined.
 	HeldFor(request ident.Fingerprint) time.Duration
-	// Broke notes an answer that broke off.
+	// Broke records an interrupted response.
 	Broke(b guard.Break)
-	// Served notes a whole answer.
+	// Served records a complete response.
 	Served(request ident.Fingerprint)
 }
 
-// Directory finds a target by its id, for resuming a stream.
+// Directory returns a target by its id, for resuming a stream.
 type Directory interface {
 	Target(id ident.Target) (route.Target, bool)
 }
 
-// Observer is told what happens to requests.
+// Observer receives the results of requests and policy decisions, for metrics.
 type Observer interface {
-	// Finished tells of one request's end.
+	// Finished reports the end of a request.
 	Finished(f Finished)
-	// Decided tells of one decision of a policy.
+	// Decided reports a policy decision.
 	Decided(w policy.Workspace, request *policy.Request, decision policy.Decision)
 }
 
-// Finished is one request's end.
+// Finished describes the end of a request.
 type Finished struct {
 	Workspace ident.Workspace
 	Service   ident.Service
@@ -78,30 +79,32 @@
 	Code      Code
 	Warm      bool
 	Tries     int
-	// Waited is until a target was found, FirstByte until the caller got the answer's first byte.
+	// Waited is the time from the arrival of the request until a target was found, FirstByte the time until
+	// the first byte was sent to the caller, and Whole the total time.
 	Waited    time.Duration
 	FirstByte time.Duration
 	Whole     time.Duration
 }
 
-// Limits bound what callers can send.
+// Limits are the limits for requests of callers.
 type Limits struct {
-	// Body is the largest request body, in bytes.
+	// Body is the maximum size of a request body, in bytes.
 	Body int64
-	// BodyTime is how long a caller may take to send it.
+	// BodyTime is the timeout for reading a request body.
 	BodyTime time.Duration
-	// Tries is how many attempts one request gets at most.
+	// Tries is the maximum number of attempts per request.
 	Tries int
-	// Partial is the most text of a stream that is kept for continuing it elsewhere, in bytes.
+	// Partial is the maximum size of the text of a stream that is kept for continuing it on another
+	// engine, in bytes.
 	Partial int
-	// ClaimTime is the least time that a claim may wait for the store.
+	// ClaimTime is the minimum timeout for a claim, which waits for the store.
 	ClaimTime time.Duration
 }
 
-// DefaultLimits suit chats.
+// DefaultLimits are suitable for chat completions.
 var DefaultLimits = Limits{Body: 4 << 20, BodyTime: 30 * time.Second, Tries: 3, Partial: 1 << 20, ClaimTime: 2 * time.Second}
 
-// Parts are what a front works with.
+// Parts are the dependencies of a Front.
 type Parts struct {
 	Configs   Configs
 	Finder    Finder
@@ -116,7 +119,7 @@
 	Clock     ident.Clock
 }
 
-// Front serves callers.
+// Front is the HTTP server for callers.
 type Front struct {
 	Parts
 	limits Limits
@@ -124,21 +127,20 @@
 	budget *retry.Budget
 }
 
-// Retries are at most this share of the requests, plus a few a second.
+// The retry budget allows retries for this ratio of the requests, plus a constant rate per second.
 const (
-	retryShare = 0.1
-	retryFloor = 1
+	retryBudgetRatio = 0.1
+	retryBudgetRate  = 1
 )
 
-// New returns a front.
 func New(parts Parts, limits Limits) *Front {
-	return &Front{Parts: parts, limits: limits, budget: retry.NewBudget(parts.Clock(), retryShare, retryFloor)}
+	return &Front{Parts: parts, limits: limits, budget: retry.NewBudget(parts.Clock(), retryBudgetRatio, retryBudgetRate)}
 }
 
-// ChatPath is the path of the chat completions interface.
+// ChatPath is the path of the chat completions API.
 const ChatPath = "/v1/chat/completions"
 
-// Handler returns what callers' connections are served by.
+// Handler returns the HTTP handler for requests of callers.
 func (f *Front) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST "+ChatPath, f.serveChat)
@@ -147,14 +149,14 @@
 	return mux
 }
 
-// mayRetry uses up one token of the retry budget.
-func (f *Front) mayRetry() bool {
+// takeRetryToken takes one token of the retry budget and reports whether there was one.
+func (f *Front) takeRetryToken() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.budget.Retry(f.Clock())
 }
 
-func (f *Front) noteRequest() {
+func (f *Front) countRequest() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	f.budget.Request()
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -19,68 +19,69 @@
 	"valescale/internal/share/config"
 )
 
-// keyHeader carries a caller's name for a request that may not be repeated.
+// keyHeader contains the key by which the caller identifies a request that may run at most once.
 const keyHeader = "Idempotency-Key"
 
-// job is one caller's request on its way.
+// job is the state of a request while it is served.
 type job struct {
 	id ident.Attempt
-	// print tells the request from others of its workspace, and knows it again when it comes anew.
-	print ident.Fingerprint
-	// attempt is the latest sending.
-	attempt   ident.Attempt
-	workspace policy.Workspace
-	service   policy.Service
-	decision  policy.Decision
-	call      relay.Call
-	key       ident.ChatKey
-	work      ident.Work
-	ticket    *claim.Ticket
-	arrived   time.Time
-	found     time.Time
-	first     time.Time
-	outcome   retry.Outcome
-	tries     int
-	warm      bool
-	avoid     []ident.TargetHash
-	done      bool
+	// fingerprint identifies the request by its content, so that it is recognized when it is sent again.
+	fingerprint ident.Fingerprint
+	// attemptID is the id of the latest attempt.
+	attemptID   ident.Attempt
+	workspace   policy.Workspace
+	service     policy.Service
+	decision    policy.Decision
+	call        relay.Call
+	key         ident.ChatKey
+	work        ident.Work
+	ticket      *claim.Ticket
+	arrivedAt   time.Time
+	foundAt     time.Time
+	firstByteAt time.Time
+	outcome     retry.Outcome
+	attempts    int
+	warm        bool
+	avoid       []ident.TargetHash
+	finished    bool
 }
 
-// sent is an attempt whose answer has begun.
-type sent struct {
+// response is the response of a target to an attempt, of which the header has been received.
+type response struct {
 	placement *route.Placement
 	reply     *relay.Reply
-	// at is when it was sent.
-	at time.Time
+	// sentAt is the time at which the attempt was sent.
+	sentAt time.Time
 }
 
-// close gives back the target and drops what is unread.
-func (s *sent) close() {
+// close discards the unread part of the response and releases the placement.
+func (s *response) close() {
 	s.reply.Close()
 	s.placement.Release()
 }
 
-// caller is who sent a request, under the configuration that it is served by.
+// caller is the sender of a request and the configuration by which the request is served.
 type caller struct {
-	force     config.InForce
+	inForce   config.InForce
 	workspace policy.Workspace
 }
 
-// known tells who sent a request, before anything of its body is read.
-func (f *Front) known(r *http.Request) (caller, *Problem) {
-	force := f.Configs.InForce()
-	w, problem := identify(force, r)
-	return caller{force: force, workspace: w}, problem
+// authenticate identifies the caller of a request. It does not read the body, so that an unknown caller
+// can cause no load by it.
+func (f *Front) authenticate(r *http.Request) (caller, *Problem) {
+	inForce := f.Configs.InForce()
+	w, problem := identify(inForce, r)
+	return caller{inForce: inForce, workspace: w}, problem
 }
 
-// accept runs the policy on what it can see of a request and makes the job.
-func (f *Front) accept(r *http.Request, from caller, request *policy.Request) (*job, *Problem) {
-	force, w := from.force, from.workspace
-	decision := force.Set.Decide(w, request)
+// newJob evaluates the policy for a request and returns its job.
+func (f *Front) newJob(r *http.Request, from caller, request *policy.Request) (*job, *Problem) {
+	inForce, w := from.inForce, from.workspace
+	decision := inForce.Set.Decide(w, request)
 	f.Observer.Decided(w, request, decision)
-	service, ok := force.Set.Services[decision.Service]
+	service, ok := inForce.Set.Services[decision.Service]
 	if !ok {
-		return nil, bad(CodeNoService, http.StatusNotFound, "the policy names no service for this request")
+		return nil, notRun(CodeNoService, http.StatusNotFound, "the policy names no service for this request")
 	}
 	return &job{
 		id:        claim.NewAttempt(),
@@ -88,7 +89,7 @@
 		service:   service,
 		decision:  decision,
 		work:      ident.OneRequest,
-		arrived:   f.Clock(),
+		arrivedAt: f.Clock(),
 		call: relay.Call{
 			Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Header: r.Header, Timeout: service.Timeout,
 			HTTP2: service.Protocol == policy.HTTP2, Echoes: service.Echo,
@@ -96,15 +97,15 @@
 	}, nil
 }
 
-// claim takes the claim of a request that may not be repeated. A stored answer
-// means that it has run before.
+// claim begins the claim of a request that may run at most once. It returns a stored answer if the
+// request has run before.
 func (f *Front) claim(ctx context.Context, j *job, key string) (*claim.Answer, *Problem) {
 	if j.decision.Repeat != retry.Never {
 		return nil, nil
 	}
-	if key == "" || len(key) > maxKey {
-		return nil, bad(CodeKeyNeeded, http.StatusBadRequest,
-			"this request may not be repeated and needs the header "+keyHeader+" of at most "+strconv.Itoa(maxKey)+" bytes")
+	if key == "" || len(key) > maxKeyBytes {
+		return nil, notRun(CodeKeyNeeded, http.StatusBadRequest,
+			"this request may not be repeated and needs the header "+keyHeader+" of at most "+strconv.Itoa(maxKeyBytes)+" bytes")
 	}
 	ctx, cancel := context.WithTimeout(ctx, max(j.decision.Wait, f.limits.ClaimTime))
 	defer cancel()
@@ -112,7 +113,7 @@
 	hash := claim.HashBody(j.call.Method, j.call.Path+"?"+j.call.Query, j.call.Body)
 	ticket, answer, err := f.Claims.Begin(ctx, name, hash)
 	if err != nil {
-		return nil, fromClaim(err)
+		return nil, claimProblem(err)
 	}
 	j.ticket = ticket
 	j.call.Once = true
@@ -122,42 +123,43 @@
 	return answer, nil
 }
 
-// read gives a job the request's body. Callers may name any router as the host: it tells nothing of the
-// request.
-func (j *job) read(r *http.Request, body []byte) {
+// setBody sets the body and the fingerprint of the request. The fingerprint excludes the host: callers can
+// send the same request to any router.
+func (j *job) setBody(r *http.Request, body []byte) {
 	j.call.Body = body
-	j.print = ident.NewFingerprint(j.workspace.Name, "", ident.HashRequest(r.Method, r.URL.RequestURI(), body))
+	j.fingerprint = ident.NewFingerprint(j.workspace.Name, "", ident.HashRequest(r.Method, r.URL.RequestURI(), body))
 }
 
-// held refuses a request under which targets end, and reports whether it has. Sent on, it would take a
-// target along and all that runs there, and still not be answered. It comes after the claim: what was sent
-// before under the caller's key may have run, and its answer may be there.
-func (f *Front) held(w http.ResponseWriter, j *job) bool {
-	wait := f.Guard.HeldFor(j.print)
+// rejectQuarantined rejects a quarantined request and reports whether it did so. If sent, the request would
+// crash a target with all requests that run there, and still get no answer. It has to be called after the
+// claim has begun: an earlier request with the same key may have run, and its answer may be stored.
+func (f *Front) rejectQuarantined(w http.ResponseWriter, j *job) bool {
+	wait := f.Guard.HeldFor(j.fingerprint)
 	if wait == 0 {
 		return false
 	}
-	f.fail(w, j, endsTargets(wait))
+	f.fail(w, j, quarantineProblem(wait))
 	return true
 }
 
-// broke tells of an attempt whose answer broke off.
-func (f *Front) broke(ctx context.Context, j *job, target route.Target, sentAt time.Time, err error) {
+// reportInterrupted reports an interrupted response to the guard. Errors of other kinds are ignored, and so
+// are those after the caller disconnected and those at a step before the target can have run the request.
+func (f *Front) reportInterrupted(ctx context.Context, j *job, target route.Target, sentAt time.Time, err error) {
 	switch fault.KindOf[relay.Kind](err) {
 	case relay.Broken, relay.Framing:
 	default:
 		return
 	}
-	// Going on with a stream runs nothing, so that it has no fingerprint.
-	if j.print == 0 || ctx.Err() != nil || retry.Free(relay.StepOf(err)) {
+	// A resumed stream has no fingerprint, since it does not run the request again.
+	if j.fingerprint == 0 || ctx.Err() != nil || retry.Free(relay.StepOf(err)) {
 		return
 	}
-	f.Guard.Broke(guard.Break{Request: string(j.id), Fingerprint: j.print, Target: target, Ran: f.Clock().Sub(sentAt)})
+	f.Guard.Broke(guard.Break{Request: string(j.id), Fingerprint: j.fingerprint, Target: target, Ran: f.Clock().Sub(sentAt)})
 }
 
-// claimed takes the claim that a request may need and reports whether the caller
-// has been answered by that: with the stored answer, or because there is no claim to be had.
-func (f *Front) claimed(w http.ResponseWriter, r *http.Request, j *job) bool {
+// respondFromClaim begins the claim of a request, if it needs one, and reports whether that completed the
+// response to the caller: with the stored answer, or with an error because the claim failed.
+func (f *Front) respondFromClaim(w http.ResponseWriter, r *http.Request, j *job) bool {
 	stored, problem := f.claim(r.Context(), j, r.Header.Get(keyHeader))
 	switch {
 	case problem != nil:
@@ -171,35 +173,35 @@
 	return true
 }
 
-// attempt sends the request until an answer begins, as often as the policy, the
-// retry budget and the truth allow.
-func (f *Front) attempt(ctx context.Context, j *job) (*sent, *Problem) {
+// sendWithRetries sends the request until a target responds, as often as the policy, the retry budget and
+// the outcome of earlier attempts allow.
+func (f *Front) sendWithRetries(ctx context.Context, j *job) (*response, *Problem) {
 	for {
-		placement, err := f.Finder.Acquire(ctx, j.ask())
+		placement, err := f.Finder.Acquire(ctx, j.placementRequest())
 		if err != nil {
-			return nil, f.joined(j, fromRoute(err))
+			return nil, f.mergeOutcome(j, routeProblem(err))
 		}
-		if wait := f.Guard.HeldFor(j.print); wait > 0 {
+		if wait := f.Guard.HeldFor(j.fingerprint); wait > 0 {
 			placement.Release()
-			return nil, f.joined(j, endsTargets(wait))
+			return nil, f.mergeOutcome(j, quarantineProblem(wait))
 		}
-		if j.found.IsZero() {
-			j.found = f.Clock()
+		if j.foundAt.IsZero() {
+			j.foundAt = f.Clock()
 			j.warm = placement.Warm
 		}
-		j.tries++
+		j.attempts++
 		s, step, err := f.sendOnce(ctx, j, placement)
 		if s != nil {
 			return s, nil
 		}
-		if problem := f.after(ctx, j, placement, step, err); problem != nil {
+		if problem := f.handleFailure(ctx, j, placement, step, err); problem != nil {
 			return nil, problem
 		}
 	}
 }
 
-// ask is what the job needs of the finder now.
-func (j *job) ask() route.Ask {
+// placementRequest returns the request to the finder for the next attempt.
+func (j *job) placementRequest() route.Ask {
 	return route.Ask{
 		Service:   j.service.Name,
 		Workspace: j.workspace.Name,
@@ -207,46 +209,46 @@
 		Priority:  j.decision.Priority,
 		Key:       j.key,
 		Work:      j.work,
-		Deadline:  j.arrived.Add(j.decision.Wait),
+		Deadline:  j.arrivedAt.Add(j.decision.Wait),
 		Avoid:     j.avoid,
 	}
 }
 
-// sendOnce makes one attempt; without an answer it says at which step it ended.
-func (f *Front) sendOnce(ctx context.Context, j *job, placement *route.Placement) (*sent, retry.Step, error) {
+// sendOnce makes one attempt. If it fails, sendOnce returns the step at which it failed and the error.
+func (f *Front) sendOnce(ctx context.Context, j *job, placement *route.Placement) (*response, retry.Step, error) {
 	call := j.call
 	call.Addr = placement.Target.Addr
 	call.Attempt = claim.NewAttempt()
 	call.Key = j.key
-	j.attempt = call.Attempt
-	at := f.Clock()
+	j.attemptID = call.Attempt
+	sentAt := f.Clock()
 	reply, err := f.Sender.Send(ctx, call)
 	if err != nil {
 		placement.Release()
 		if relay.Blameless(err) {
 			f.Finder.Cancelled(placement.Hash)
 		} else {
-			f.judge(ctx, placement, false)
+			f.recordResult(ctx, placement, false)
 		}
-		f.broke(ctx, j, placement.Target, at, err)
+		f.reportInterrupted(ctx, j, placement.Target, sentAt, err)
 		return nil, relay.StepOf(err), err
 	}
 	f.observe(j, placement.Target, reply)
 	if j.service.MeansNotRun(reply.Status) {
 		reply.Close()
 		placement.Release()
-		return nil, retry.Refused, errRefused
+		return nil, retry.Refused, errRejected
 	}
-	f.judge(ctx, placement, reply.Status < http.StatusInternalServerError)
-	if j.decision.Repeat == retry.Safe && gatewayStatus(reply.Status) && j.tries < f.limits.Tries {
+	f.recordResult(ctx, placement, reply.Status < http.StatusInternalServerError)
+	if j.decision.Repeat == retry.Safe && isGatewayError(reply.Status) && j.attempts < f.limits.Tries {
 		reply.Close()
 		placement.Release()
 		return nil, retry.Answering, errGateway
 	}
-	return &sent{placement: placement, reply: reply, at: at}, 0, nil
+	return &response{placement: placement, reply: reply, sentAt: sentAt}, 0, nil
 }
 
-// observe tells the finder what a target says of itself in an answer.
+// observe reports the state that a target indicated in a response to the finder.
 func (f *Front) observe(j *job, target route.Target, reply *relay.Reply) {
 	f.Finder.Observe(target, route.Notice{
 		Request: string(j.id), Status: reply.Status, Leaving: reply.Leaving,
@@ -255,17 +257,18 @@
 }
 
 var (
-	errRefused = fault.Newf("front.send", relay.Broken, "the target refused")
-	errGateway = fault.Newf("front.send", relay.Broken, "the target says that it cannot serve now")
+	errRejected = fault.Newf("front.send", relay.Broken, "target rejected the request with its not-run status")
+	errGateway  = fault.Newf("front.send", relay.Broken, "target responded with status 502, 503 or 504")
 )
 
-// gatewayStatus tells the answers that say "try elsewhere".
-func gatewayStatus(status int) bool {
+// isGatewayError reports whether a status indicates that another target may be able to serve the request.
+func isGatewayError(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// judge tells the target's breaker how it did; a caller that went away says nothing of it.
-func (f *Front) judge(ctx context.Context, placement *route.Placement, ok bool) {
+// recordResult records the result of an attempt in the target's circuit breaker. A failure after the caller
+// disconnected is not counted against the target.
+func (f *Front) recordResult(ctx context.Context, placement *route.Placement, ok bool) {
 	if !ok && ctx.Err() != nil {
 		f.Finder.Cancelled(placement.Hash)
 		return
@@ -273,17 +276,18 @@
 	f.Finder.Report(placement.Hash, ok)
 }
 
-// after decides whether a failed attempt is followed by another; a problem ends the request.
-func (f *Front) after(ctx context.Context, j *job, placement *route.Placement, step retry.Step, err error) *Problem {
+// handleFailure decides whether a failed attempt is retried. It returns nil for a retry, or else the problem
+// with which the request ends.
+func (f *Front) handleFailure(ctx context.Context, j *job, placement *route.Placement, step retry.Step, err error) *Problem {
 	j.outcome = retry.Worse(j.outcome, retry.OutcomeOf(step))
 	j.avoid = append(j.avoid, placement.Hash)
-	_ = level.Info(f.Logger).Log("msg", "attempt failed", "request", j.id, "attempt", j.attempt, "target", placement.Target.ID, "step", int(step), "err", err)
+	_ = level.Info(f.Logger).Log("msg", "attempt failed", "request", j.id, "attempt", j.attemptID, "target", placement.Target.ID, "step", int(step), "err", err)
 	switch {
 	case ctx.Err() != nil:
 		return &Problem{Status: statusCallerGone, Code: CodeCallerGone, Message: "the caller has gone", Outcome: j.outcome}
-	case f.Guard.HeldFor(j.print) > 0:
-		return fromAttempts(err, j.outcome)
-	case retry.MaySend(j.decision.Repeat, step, !j.first.IsZero()) && j.tries < f.limits.Tries && (retry.Free(step) || f.mayRetry()):
+	case f.Guard.HeldFor(j.fingerprint) > 0:
+		return attemptProblem(err, j.outcome)
+	case retry.MaySend(j.decision.Repeat, step, !j.firstByteAt.IsZero()) && j.attempts < f.limits.Tries && (retry.Free(step) || f.takeRetryToken()):
 		return nil
 	case step == retry.Refused && j.outcome == retry.NotRun:
 		return &Problem{
@@ -291,19 +295,20 @@
 			RetryAfter: time.Second, Message: "the target refused the request",
 		}
 	default:
-		return fromAttempts(err, j.outcome)
+		return attemptProblem(err, j.outcome)
 	}
 }
 
-// joined corrects a later problem by what earlier attempts may have done.
-func (f *Front) joined(j *job, p *Problem) *Problem {
+// mergeOutcome replaces the problem's outcome by that of earlier attempts if theirs is worse, since they may
+// have run the request.
+func (f *Front) mergeOutcome(j *job, p *Problem) *Problem {
 	if j.outcome != "" {
 		p.Outcome = retry.Worse(j.outcome, p.Outcome)
 	}
 	return p
 }
 
-// fail ends a job with a problem: the claim is given back only if nothing ran.
+// fail ends a job with a problem. It releases the claim only if the request did not run.
 func (f *Front) fail(w http.ResponseWriter, j *job, p *Problem) {
 	if j.ticket != nil && p.Outcome == retry.NotRun {
 		f.Claims.Release(j.ticket)
@@ -312,24 +317,24 @@
 	f.finish(j, p.Outcome, p.Code)
 }
 
-// finish tells the observer and the log of a job's end, once.
+// finish reports the end of a job to the observer and the log; only the first call has an effect.
 func (f *Front) finish(j *job, outcome retry.Outcome, code Code) {
-	if j.done {
+	if j.finished {
 		return
 	}
-	j.done = true
+	j.finished = true
 	now := f.Clock()
 	end := Finished{
-		Workspace: j.workspace.Name, Service: j.service.Name, Outcome: outcome, Code: code, Warm: j.warm, Tries: j.tries,
-		Whole: now.Sub(j.arrived),
+		Workspace: j.workspace.Name, Service: j.service.Name, Outcome: outcome, Code: code, Warm: j.warm, Tries: j.attempts,
+		Whole: now.Sub(j.arrivedAt),
 	}
-	if !j.found.IsZero() {
-		end.Waited = j.found.Sub(j.arrived)
+	if !j.foundAt.IsZero() {
+		end.Waited = j.foundAt.Sub(j.arrivedAt)
 	}
-	if !j.first.IsZero() {
-		end.FirstByte = j.first.Sub(j.arrived)
+	if !j.firstByteAt.IsZero() {
+		end.FirstByte = j.firstByteAt.Sub(j.arrivedAt)
 	}
 	f.Observer.Finished(end)
-	_ = level.Info(f.Logger).Log("msg", "request", "request", j.id, "attempt", j.attempt, "workspace", j.workspace.Name, "service", j.service.Name,
-		"chat", strconv.FormatUint(uint64(j.key), 16), "outcome", outcome, "code", code, "tries", j.tries, "ms", end.Whole.Milliseconds())
+	_ = level.Info(f.Logger).Log("msg", "request", "request", j.id, "attempt", j.attemptID, "workspace", j.workspace.Name, "service", j.service.Name,
+		"chat", strconv.FormatUint(uint64(j.key), 16), "outcome", outcome, "code", code, "tries", j.attempts, "ms", end.Whole.Milliseconds())
 }
--- a/internal/edge/front/plain.go
+++ b/internal/edge/front/plain.go
@@ -12,19 +12,19 @@
 
 // servePlain serves a request to a plain service.
 func (f *Front) servePlain(w http.ResponseWriter, r *http.Request) {
-	from, problem := f.known(r)
+	from, problem := f.authenticate(r)
 	if problem != nil {
 		problem.write(w)
 		return
 	}
-	j, problem := f.accept(r, from, f.view(from.workspace, r))
+	j, problem := f.newJob(r, from, f.policyRequest(from.workspace, r))
 	if problem != nil {
 		problem.write(w)
 		return
 	}
-	f.noteRequest()
+	f.countRequest()
 	if err := f.Finder.Admit(r.Context(), j.workspace); err != nil {
-		f.fail(w, j, fromRoute(err))
+		f.fail(w, j, routeProblem(err))
 		return
 	}
 	body, problem := f.readBody(w, r)
@@ -32,12 +32,13 @@
 		f.fail(w, j, problem)
 		return
 	}
-	j.read(r, body)
+	j.setBody(r, body)
 	j.key = plainKey(j.workspace, j.id, r)
-	f.whole(w, r, j)
+	f.serveBuffered(w, r, j)
 }
 
-// plainKey keeps requests of one chat together if the caller names it.
+// plainKey returns the chat key by which requests of one chat are routed to the same target. Without a
+// chat id from the caller, each request has a key of its own.
 func plainKey(w policy.Workspace, id ident.Attempt, r *http.Request) ident.ChatKey {
 	if chat := r.Header.Get(ChatHeader); chat != "" {
 		return ident.NewChatKey(w.Name, "id:"+chat)
@@ -45,13 +46,13 @@
 	return ident.NewChatKey(w.Name, string(id))
 }
 
-// whole gives the caller an answer only once it is there to its end.
-func (f *Front) whole(w http.ResponseWriter, r *http.Request, j *job) {
-	if f.claimed(w, r, j) || f.held(w, j) {
+// serveBuffered sends the request and responds to the caller once the answer is complete.
+func (f *Front) serveBuffered(w http.ResponseWriter, r *http.Request, j *job) {
+	if f.respondFromClaim(w, r, j) || f.rejectQuarantined(w, j) {
 		return
 	}
 	for {
-		s, problem := f.attempt(r.Context(), j)
+		s, problem := f.sendWithRetries(r.Context(), j)
 		if problem != nil {
 			f.fail(w, j, problem)
 			return
@@ -59,8 +60,8 @@
 		body, err := s.reply.Whole()
 		s.placement.Release()
 		if err != nil {
-			f.broke(r.Context(), j, s.placement.Target, s.at, err)
-			if problem := f.after(r.Context(), j, s.placement, relay.StepOf(err), err); problem != nil {
+			f.reportInterrupted(r.Context(), j, s.placement.Target, s.sentAt, err)
+			if problem := f.handleFailure(r.Context(), j, s.placement, relay.StepOf(err), err); problem != nil {
 				f.fail(w, j, problem)
 				return
 			}
@@ -70,15 +71,15 @@
 		if j.ticket != nil {
 			f.Claims.Finish(j.ticket, answer)
 		}
-		j.first = f.Clock()
-		f.Guard.Served(j.print)
+		j.firstByteAt = f.Clock()
+		f.Guard.Served(j.fingerprint)
 		writeAnswer(w, answer)
 		f.finish(j, retry.Done, CodeNone)
 		return
 	}
 }
 
-// writeAnswer gives a caller a target's whole answer.
+// writeAnswer sends a complete answer of a target to the caller.
 func writeAnswer(w http.ResponseWriter, a claim.Answer) {
 	h := w.Header()
 	for name, values := range a.Header {
--- a/internal/edge/front/problem.go
+++ b/internal/edge/front/problem.go
@@ -16,10 +16,10 @@
 	"valescale/internal/share/claim"
 )
 
-// Code names what went wrong, for callers' programs.
+// Code is a machine-readable error code for callers.
 type Code string
 
-// The codes that callers can get.
+// Error codes in responses to callers.
 const (
 	CodeNone          Code = ""
 	CodeUnauthorized  Code = "unauthorized"
@@ -42,10 +42,10 @@
 	CodeCallerGone    Code = "caller_gone"
 )
 
-// OutcomeHeader tells a caller what became of its request.
+// OutcomeHeader contains the outcome of a request: whether it ran.
 const OutcomeHeader = "Valescale-Outcome"
 
-// Problem is an error as a caller sees it.
+// Problem is an error that is returned to a caller.
 type Problem struct {
 	Status     int
 	Code       Code
@@ -54,7 +54,7 @@
 	RetryAfter time.Duration
 }
 
-// Error returns code and message.
+// Error returns the code and the message.
 func (p *Problem) Error() string { return string(p.Code) + ": " + p.Message }
 
 type problemBody struct {
@@ -73,13 +73,13 @@
 		Code: p.Code, Message: p.Message, Outcome: p.Outcome, RetryAfterMS: p.RetryAfter.Milliseconds(),
 	}})
 	if err != nil {
-		// The fields are strings and a number.
+		// The fields are strings and a number, which can always be encoded.
 		panic(err)
 	}
 	return data
 }
 
-// write answers a caller with the problem.
+// write sends the problem as the response to a caller.
 func (p *Problem) write(w http.ResponseWriter) {
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
@@ -91,24 +91,25 @@
 	_, _ = w.Write(p.body())
 }
 
-func bad(code Code, status int, message string) *Problem {
+func notRun(code Code, status int, message string) *Problem {
 	return &Problem{Status: status, Code: code, Message: message, Outcome: retry.NotRun}
 }
 
-// endsTargets refuses a request that is held back for some time.
-func endsTargets(wait time.Duration) *Problem {
+// quarantineProblem returns the problem for a quarantined request with the remaining quarantine time as its
+// Retry-After delay.
+func quarantineProblem(wait time.Duration) *Problem {
 	return &Problem{
 		Status: http.StatusServiceUnavailable, Code: CodeEndsTargets, Outcome: retry.NotRun, RetryAfter: wait,
 		Message: "targets have ended under this request; it is held back",
 	}
 }
 
-// fromRoute turns a failure to find a target into a problem.
-func fromRoute(err error) *Problem {
+// routeProblem converts an error of the finder to a problem.
+func routeProblem(err error) *Problem {
 	p := &Problem{Status: http.StatusServiceUnavailable, Outcome: retry.NotRun, Message: err.Error()}
-	var later route.RetryAfter
-	if errors.As(err, &later) {
-		p.RetryAfter = later.Wait
+	var delay route.RetryAfter
+	if errors.As(err, &delay) {
+		p.RetryAfter = delay.Wait
 	}
 	switch fault.KindOf[route.Kind](err) {
 	case route.NoTarget:
@@ -128,11 +129,12 @@
 	return p
 }
 
-// statusCallerGone is for logs: nobody is there to read it.
+// statusCallerGone is the status for requests whose caller disconnected, as in nginx. It is not received by
+// anyone.
 const statusCallerGone = 499
 
-// fromClaim turns a claim that could not be made into a problem.
-func fromClaim(err error) *Problem {
+// claimProblem converts an error of a claim to a problem.
+func claimProblem(err error) *Problem {
 	switch fault.KindOf[claim.Kind](err) {
 	case claim.Restored:
 		return &Problem{
@@ -145,7 +147,7 @@
 			Message: "a request with this key was sent before; it runs, has run, or was lost",
 		}
 	case claim.Mismatch:
-		return bad(CodeKeyMismatch, http.StatusUnprocessableEntity, "the key was used before with another request")
+		return notRun(CodeKeyMismatch, http.StatusUnprocessableEntity, "the key was used before with another request")
 	case claim.Damaged:
 		return &Problem{
 			Status: http.StatusInternalServerError, Code: CodeAlreadySent, Outcome: retry.Unknown,
@@ -159,8 +161,8 @@
 	}
 }
 
-// fromAttempts turns the end of a request's last attempt into a problem.
-func fromAttempts(err error, outcome retry.Outcome) *Problem {
+// attemptProblem converts the error of the last attempt of a request to a problem.
+func attemptProblem(err error, outcome retry.Outcome) *Problem {
 	p := &Problem{Status: http.StatusBadGateway, Code: CodeTargetFailed, Outcome: outcome, Message: "the target's answer was lost"}
 	switch {
 	case fault.KindOf[relay.Kind](err) == relay.TooLarge:
