--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -98,10 +98,10 @@
 
 // checkCrash probes the target and, if it crashed, attributes the crash to the request.
 func (g *Guard) checkCrash(b Break) {
-	gone := g.targetGone(b.Target.Addr)
+	targetGone := g.targetGone(b.Target.Addr)
 	_ = level.Info(g.Logger).Log("msg", "response interrupted", "request", b.Request, "fingerprint", b.Fingerprint,
-		"target", b.Target.ID, "addr", b.Target.Addr, "ran_ms", b.Ran.Milliseconds(), "target_gone", gone)
-	if !gone {
+		"target", b.Target.ID, "addr", b.Target.Addr, "ran_ms", b.Ran.Milliseconds(), "target_gone", targetGone)
+	if !targetGone {
 		return
 	}
 	start := crash.NewStart(b.Target.ID.Hash(), b.Target.Incarnation)
@@ -148,8 +148,8 @@
 	}
 	left := g.record.HeldFor(g.Clock(), request)
 	s, own, _ := g.record.Find(request)
-	if held := left > 0; held != g.quarantined[request] || held && own {
-		_ = level.Info(g.Logger).Log("msg", "request quarantine updated", "fingerprint", request, "held", held,
+	if quarantined := left > 0; quarantined != g.quarantined[request] || quarantined && own {
+		_ = level.Info(g.Logger).Log("msg", "request quarantine updated", "fingerprint", request, "held", quarantined,
 			"targets_gone", len(s.Ends), "for_ms", left.Milliseconds(), "seen_here", own)
 	}
 	delete(g.quarantined, request)
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -15,8 +15,8 @@
 	"valescale/internal/plat/table"
 )
 
-// fakePlatform is a fake of the targets, which all run or have all crashed, and of the store.
-type fakePlatform struct {
+// fakeDeps fakes the targets, which all run or have all crashed, and the store.
+type fakeDeps struct {
 	mu     sync.Mutex
 	gone   bool
 	probes int
@@ -27,7 +27,7 @@
 	failures int
 }
 
-func (p *fakePlatform) Gone(context.Context, string) bool {
+func (p *fakeDeps) Gone(context.Context, string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probes++
@@ -35,7 +35,7 @@
 }
 
 // nextError returns the error of the next call to the store; the caller holds the lock.
-func (p *fakePlatform) nextError() error {
+func (p *fakeDeps) nextError() error {
 	if p.failures == 0 {
 		return nil
 	}
@@ -43,7 +43,7 @@
 	return errors.New("store unavailable")
 }
 
-func (p *fakePlatform) Held(context.Context) ([]table.Row, error) {
+func (p *fakeDeps) Held(context.Context) ([]table.Row, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
@@ -57,7 +57,7 @@
 	return out, nil
 }
 
-func (p *fakePlatform) Commit(_ context.Context, txn table.Txn) error {
+func (p *fakeDeps) Commit(_ context.Context, txn table.Txn) error {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if err := p.nextError(); err != nil {
@@ -76,15 +76,15 @@
 type testGuard struct {
 	*Guard
 	spreads int
-	reader  bool
+	reads   bool
 }
 
-func newGuard(t *testing.T, p *fakePlatform, now *time.Time) *testGuard {
+func newGuard(t *testing.T, p *fakeDeps, now *time.Time) *testGuard {
 	t.Helper()
 	out := &testGuard{}
 	g, closeGuard := New(Parts{
 		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, Spread: func() { out.spreads++ },
-		Reads: func() bool { return out.reader },
+		Reads: func() bool { return out.reads },
 	})
 	t.Cleanup(closeGuard)
 	out.Guard = g
@@ -100,15 +100,13 @@
 	}
 }
 
-func newFakePlatform(gone bool) *fakePlatform {
-	return &fakePlatform{gone: gone, rows: map[table.Key]table.Row{}}
-}
+func newFakeDeps(gone bool) *fakeDeps { return &fakeDeps{gone: gone, rows: map[table.Key]table.Row{}} }
 
 // Interrupted responses of targets that still run do not quarantine a request, however many there are;
 // after crashes a complete response ends the quarantine.
 func TestNoQuarantineWithoutCrash(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := newFakePlatform(false)
+	p := newFakeDeps(false)
 	g := newGuard(t, p, &now)
 	g.interrupt("a", "b", "c", "d")
 	if g.HeldFor(request) != 0 || g.spreads != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
@@ -129,7 +127,7 @@
 // cannot be decoded or have expired are removed from the store.
 func TestQuarantineSurvivesRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := newFakePlatform(true)
+	p := newFakeDeps(true)
 	first := newGuard(t, p, &now)
 	first.interrupt("a", "b", "c")
 	p.failures = 1
@@ -162,7 +160,7 @@
 // A row that was written by a router whose clock is ahead does not extend the quarantine.
 func TestRowFromRouterWithClockAhead(t *testing.T) {
 	ahead, now := time.Unix(5000, 0), time.Unix(1000, 0)
-	p := newFakePlatform(true)
+	p := newFakeDeps(true)
 	first := newGuard(t, p, &ahead)
 	first.interrupt("a", "b")
 	first.writeUnsaved(t.Context())
@@ -207,16 +205,16 @@
 // Only readers read the quarantined requests from the store, and only once. Otherwise 300 routers that
 // start together would all read it, and retry while it does not respond.
 func TestOnlyReadersReadStore(t *testing.T) {
-	for _, reader := range []bool{false, true} {
+	for _, reads := range []bool{false, true} {
 		now := time.Unix(1000, 0)
-		p := newFakePlatform(true)
+		p := newFakeDeps(true)
 		g := newGuard(t, p, &now)
-		g.reader = reader
+		g.reads = reads
 		ctx, cancel := context.WithTimeout(t.Context(), 50*time.Millisecond)
 		g.Run(ctx)
 		cancel()
-		if got := p.reads == 1; got != reader || p.reads > 1 {
-			t.Errorf("reader: %v: store was read %d times", reader, p.reads)
+		if got := p.reads == 1; got != reads || p.reads > 1 {
+			t.Errorf("reader: %v: store was read %d times", reads, p.reads)
 		}
 	}
 }
@@ -225,17 +223,17 @@
 // longer runs, by the readers.
 func TestQuarantineRewrittenAfterStoreRollback(t *testing.T) {
 	now := time.Unix(1000, 0)
-	p := newFakePlatform(true)
+	p := newFakeDeps(true)
 	observer, peer := newGuard(t, p, &now), newGuard(t, p, &now)
 	observer.interrupt("a", "b", "c")
 	peer.Incoming(observer.Outgoing(2))
 	for _, step := range []struct {
-		by     *testGuard
-		reader bool
-		want   int
+		by    *testGuard
+		reads bool
+		want  int
 	}{{observer, false, 1}, {peer, false, 0}, {peer, true, 1}} {
 		clear(p.rows)
-		step.by.reader = step.reader
+		step.by.reads = step.reads
 		step.by.Rewrite()
 		step.by.writeUnsaved(t.Context())
 		if diff := cmp.Diff(step.want, len(p.rows)); diff != "" {
--- a/internal/edge/guard/probe.go
+++ b/internal/edge/guard/probe.go
@@ -7,8 +7,8 @@
 
 // probe is one check whether a target is still running.
 type probe struct {
-	done chan struct{}
-	gone bool
+	done       chan struct{}
+	targetGone bool
 }
 
 // probeTimeout limits a probe. It covers many round trips and does not exceed the timeout for connecting
@@ -27,14 +27,14 @@
 	g.mu.Unlock()
 	if running {
 		<-p.done
-		return p.gone
+		return p.targetGone
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, probeTimeout)
 	defer cancel()
-	p.gone = g.Prober.Gone(ctx, addr)
+	p.targetGone = g.Prober.Gone(ctx, addr)
 	g.mu.Lock()
 	delete(g.probes, addr)
 	g.mu.Unlock()
 	close(p.done)
-	return p.gone
+	return p.targetGone
 }
--- a/internal/plat/object/client.go
+++ b/internal/plat/object/client.go
@@ -32,9 +32,9 @@
 	maxBytes int64
 }
 
-// New returns a client that reads objects of at most limit bytes; timeout limits each call.
-func New(base string, transport http.RoundTripper, timeout time.Duration, limit int64) *Client {
-	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, maxBytes: limit}
+// New returns a client that reads objects of at most maxBytes bytes; timeout limits each call.
+func New(base string, transport http.RoundTripper, timeout time.Duration, maxBytes int64) *Client {
+	return &Client{base: base, http: &http.Client{Transport: transport}, timeout: timeout, maxBytes: maxBytes}
 }
 
 // Put stores an object. It is idempotent.
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -15,18 +15,18 @@
 	latest Era
 	// onChange are called with each new era and the previous one, which is zero for the first era.
 	onChange []func(era, was Era)
-	// lastInvalid is the latest era header that was invalid; valid is set if a valid one followed it.
+	// lastInvalid is the latest era header that was invalid; reported is set if a valid era was reported after it.
 	lastInvalid string
-	valid       bool
+	reported    bool
 }
 
 // NewEras returns a tracker that has seen no era yet.
-func NewEras(logger log.Logger) *Eras { return &Eras{logger: logger, valid: true} }
+func NewEras(logger log.Logger) *Eras { return &Eras{logger: logger, reported: true} }
 
 // OnChange registers a callback for the first era and for each later one. It is called before the response
 // with the new era is used, with the lock held, so that it must not block or call methods of Eras. It must
 // be registered before the first call of the client.
-func (e *Eras) OnChange(callback func(era, was Era)) { e.onChange = append(e.onChange, callback) }
+func (e *Eras) OnChange(onChange func(era, was Era)) { e.onChange = append(e.onChange, onChange) }
 
 // Now returns the latest era seen, zero before the first.
 func (e *Eras) Now() Era {
@@ -44,19 +44,19 @@
 	}
 }
 
-// Of returns the era of a response, given its era header and the era in which the call started. The
+// Of returns the era of a response, given the era reported in its header and the era in which the call started. The
 // latest era is used for a header that is missing or invalid, and for one with an era before that in
 // which the call started: only a response in flight while the era changed can have an earlier era.
-func (e *Eras) Of(header string, startEra Era) Era {
+func (e *Eras) Of(reported string, startEra Era) Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	number, err := strconv.ParseUint(header, 10, 64)
+	number, err := strconv.ParseUint(reported, 10, 64)
 	era := Era(number)
 	if err != nil || era < startEra {
-		e.logInvalid(header)
+		e.logInvalid(reported)
 		return e.latest
 	}
-	e.valid = true
+	e.reported = true
 	if era > e.latest {
 		e.advance(era)
 	}
@@ -72,17 +72,17 @@
 	} else {
 		_ = level.Warn(e.logger).Log("msg", "store restored from an older snapshot", "era", era, "was", was)
 	}
-	for _, callback := range e.onChange {
-		callback(era, was)
+	for _, onChange := range e.onChange {
+		onChange(era, was)
 	}
 }
 
 // logInvalid logs an invalid era header, unless the response before had the same one; the caller holds
 // the lock.
-func (e *Eras) logInvalid(header string) {
-	if !e.valid && e.lastInvalid == header {
+func (e *Eras) logInvalid(reported string) {
+	if !e.reported && e.lastInvalid == reported {
 		return
 	}
-	e.valid, e.lastInvalid = false, header
-	_ = level.Warn(e.logger).Log("msg", "store response without a valid era", "told", header, "era", e.latest)
+	e.reported, e.lastInvalid = false, reported
+	_ = level.Warn(e.logger).Log("msg", "store response without a valid era", "told", reported, "era", e.latest)
 }
