--- a/internal/edge/front/chat.go
+++ b/internal/edge/front/chat.go
@@ -88,7 +88,7 @@
 		f.relayBuffered(w, r, j, s)
 		return
 	}
-	out := newEventWriter(w, f.Keys, j.workspace.Name, f.limits.Partial)
+	out := newEventWriter(w, f.Keys, j.workspace.Name, f.limits.MaxPartialBytes)
 	f.relayStream(r.Context(), j, s, out, 0)
 }
 
@@ -280,7 +280,7 @@
 	if reply.StreamID == "" {
 		reply.StreamID = token.Stream
 	}
-	f.relayStream(r.Context(), j, s, newEventWriter(w, f.Keys, ws.Name, f.limits.Partial), token.Offset)
+	f.relayStream(r.Context(), j, s, newEventWriter(w, f.Keys, ws.Name, f.limits.MaxPartialBytes), token.Offset)
 }
 
 // deltaText returns the text that an event of a chat completion appends to the answer.
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -94,15 +94,15 @@
 	BodyTime time.Duration
 	// Tries is the maximum number of attempts per request.
 	Tries int
-	// Partial is the maximum size of the text of a stream that is kept for continuing it on another
+	// MaxPartialBytes is the maximum size of the text of a stream that is kept for continuing it on another
 	// engine, in bytes.
-	Partial int
-	// ClaimTime is the minimum timeout for a claim, which waits for the store.
-	ClaimTime time.Duration
+	MaxPartialBytes int
+	// MinClaimTimeout is the minimum timeout for a claim, which waits for the store.
+	MinClaimTimeout time.Duration
 }
 
 // DefaultLimits are suitable for chat completions.
-var DefaultLimits = Limits{Body: 4 << 20, BodyTime: 30 * time.Second, Tries: 3, Partial: 1 << 20, ClaimTime: 2 * time.Second}
+var DefaultLimits = Limits{Body: 4 << 20, BodyTime: 30 * time.Second, Tries: 3, MaxPartialBytes: 1 << 20, MinClaimTimeout: 2 * time.Second}
 
 // Parts are the dependencies of a Front.
 type Parts struct {
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -107,7 +107,7 @@
 		return nil, notRun(CodeKeyNeeded, http.StatusBadRequest,
 			"this request may not be repeated and needs the header "+keyHeader+" of at most "+strconv.Itoa(maxKeyBytes)+" bytes")
 	}
-	ctx, cancel := context.WithTimeout(ctx, max(j.decision.Wait, f.limits.ClaimTime))
+	ctx, cancel := context.WithTimeout(ctx, max(j.decision.Wait, f.limits.MinClaimTimeout))
 	defer cancel()
 	name := claim.Key{Workspace: j.workspace.Name, Name: key}
 	hash := claim.HashBody(j.call.Method, j.call.Path+"?"+j.call.Query, j.call.Body)
--- a/internal/edge/front/problem.go
+++ b/internal/edge/front/problem.go
@@ -32,7 +32,7 @@
 	CodeWaitedTooLong Code = "waited_too_long"
 	CodeTargetFailed  Code = "target_failed"
 	CodeTargetRefused Code = "target_refused"
-	CodeEndsTargets   Code = "ends_targets"
+	CodeQuarantined   Code = "ends_targets"
 	CodeKeyNeeded     Code = "idempotency_key_needed"
 	CodeKeyMismatch   Code = "idempotency_key_mismatch"
 	CodeAlreadySent   Code = "already_sent"
@@ -99,7 +99,7 @@
 // Retry-After delay.
 func quarantineProblem(wait time.Duration) *Problem {
 	return &Problem{
-		Status: http.StatusServiceUnavailable, Code: CodeEndsTargets, Outcome: retry.NotRun, RetryAfter: wait,
+		Status: http.StatusServiceUnavailable, Code: CodeQuarantined, Outcome: retry.NotRun, RetryAfter: wait,
 		Message: "targets have ended under this request; it is held back",
 	}
 }
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Of returns the era of a response, given the era reported in its header and the era in which the call started. The
-// latest era is used for a header that is missing or invalid, and for one with an era before that in
+// Of returns the era of a response, given the era reported in its header and the era in which the call
+// started. The latest era is used if the header is missing or invalid, or if its era is before that in
 // which the call started: only a response in flight while the era changed can have an earlier era.
 func (e *Eras) Of(reported string, startEra Era) Era {
 	e.mu.Lock()
