--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -133,6 +133,7 @@
 	retryBudgetRate  = 1
 )
 
+// New returns a Front; limits apply to each request.
 func New(parts Parts, limits Limits) *Front {
 	return &Front{Parts: parts, limits: limits, budget: retry.NewBudget(parts.Clock(), retryBudgetRatio, retryBudgetRate)}
 }
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -140,8 +140,9 @@
 	}
 }
 
-// updateQuarantine logs the start and the end of a request's quarantine. It has the request's row written
-// if this router observed one of the crashes itself. The caller holds the lock.
+// updateQuarantine logs the start and the end of a request's quarantine. If this router observed one of the
+// crashes itself, it also logs changes during the quarantine and has the request's row written. The caller
+// holds the lock.
 func (g *Guard) updateQuarantine(request ident.Fingerprint, change crash.News) {
 	if change == crash.Nothing {
 		return
