--- a/internal/edge/entry/accept.go
+++ b/internal/edge/entry/accept.go
@@ -17,55 +17,55 @@
 		arrived: h.Clock(), call: h.Dialect.Read(r.Header),
 		method: r.Method, path: r.RequestURI, host: r.Host, header: r.Header,
 	}
-	waited := h.waitedUnread(r.Context())
-	j.arrived = j.arrived.Add(-waited)
+	delay := h.acceptDelay(r.Context())
+	j.arrived = j.arrived.Add(-delay)
 	table := h.table(r.Context(), j)
 	if table == nil {
-		return j, refusal(NoConfig, 0)
+		return j, rejection(NoConfiguration, 0)
 	}
 	j.revision = table.Revision
-	if most := table.Limits.HeaderBytes; most > 0 && headerBytes(r) > most {
+	if limit := table.Limits.HeaderBytes; limit > 0 && headerBytes(r) > limit {
 		return j, &problem{status: http.StatusRequestHeaderFieldsTooLarge, reason: HeaderTooLarge}
 	}
-	if p := h.find(table, j); p != nil {
+	if p := h.resolve(table, j); p != nil {
 		return j, p
 	}
 	j.bodyLimit = table.Limits.BodyBytes
-	j.limit = j.arrived.Add(j.route.Timeout)
+	j.deadline = j.arrived.Add(j.route.Timeout)
 	if wait := j.call.Wait; wait > 0 && wait < j.route.Timeout {
-		j.limit = j.arrived.Add(wait)
+		j.deadline = j.arrived.Add(wait)
 	}
-	if waited > 0 && !j.arrived.Add(j.wait(h.expected.of(j.route.Name))).After(h.Clock()) {
+	if delay > 0 && !j.arrived.Add(j.wait(h.latency.firstByteTime(j.route.Name))).After(h.Clock()) {
 		// It would be late in any case, and make those late that come after it.
-		return j, refusal(Overloaded, waited)
+		return j, rejection(Overloaded, delay)
 	}
-	j.key = j.placeKey()
-	j.service = j.route.ServiceOf(j.key)
-	j.copies = table.Service(j.service).Copies
+	j.placementKey = j.newPlacementKey()
+	j.service = j.route.ServiceOf(j.placementKey)
+	j.copiesCache = table.Service(j.service).Copies
 	return j, nil
 }
 
 // waitedUnread is how long a request has waited to be read while this router reads its callers late,
 // else zero.
-func (h *Handler) waitedUnread(ctx context.Context) time.Duration {
-	waited := unread(ctx)
-	if h.Gate == nil || !h.Gate.read(waited) {
+func (h *Handler) acceptDelay(ctx context.Context) time.Duration {
+	delay := unreadTime(ctx)
+	if h.Gate == nil || !h.Gate.recordRead(delay) {
 		return 0
 	}
-	return waited
+	return delay
 }
 
 // find finds the request's route by host and path, and its workspace by key.
-func (h *Handler) find(table *match.Table, j *job) *problem {
+func (h *Handler) resolve(table *match.Table, j *job) *problem {
 	path, _, _ := strings.Cut(j.path, "?")
-	found, err := table.Route(j.host, path)
+	matched, err := table.Route(j.host, path)
 	if err != nil {
-		return h.unknown(http.StatusNotFound, NoRoute)
+		return h.notFound(http.StatusNotFound, NoRoute)
 	}
-	j.route = found
-	workspace, err := table.Workspace(found, j.call.Key)
+	j.route = matched
+	workspace, err := table.Workspace(matched, j.call.Key)
 	if err != nil {
-		return h.unknown(http.StatusUnauthorized, BadKey)
+		return h.notFound(http.StatusUnauthorized, UnknownKey)
 	}
 	j.workspace = workspace
 	return nil
@@ -77,35 +77,35 @@
 	// link of 10 Mbit/s. With 250 ms, 123 of 2,000 tries in the two seconds after 65 boxes came back
 	// together were refused, with a second 23 to 48, and as many were served in time. A router that
 	// knows none by then may not for seconds, and refuses at once: its callers reach others meanwhile.
-	startWait = time.Second
+	startupConfigTimeout = time.Second
 	// startShare is the part of its own time for which a request is held then: the rest does for an
 	// answer here, or for another try elsewhere.
-	startShare = 0.25
+	startupWaitRatio = 0.25
 	// startLook is the pause between two looks for the configuration: a fiftieth of the
 	// wait, so that looking adds next to nothing to it.
-	startLook = 5 * time.Millisecond
+	startupPollInterval = 5 * time.Millisecond
 )
 
 // table returns the configuration, waiting a little for it while the router starts.
 func (h *Handler) table(ctx context.Context, j *job) *match.Table {
-	until := h.started.Add(startWait)
-	if own := j.arrived.Add(time.Duration(startShare * float64(j.call.Wait))); j.call.Wait > 0 && own.Before(until) {
-		until = own
+	until := h.startedAt.Add(startupConfigTimeout)
+	if callerLimit := j.arrived.Add(time.Duration(startupWaitRatio * float64(j.call.Wait))); j.call.Wait > 0 && callerLimit.Before(until) {
+		until = callerLimit
 	}
 	for {
 		table := h.Rules.Table()
 		if table != nil || ctx.Err() != nil || !h.Clock().Before(until) {
 			return table
 		}
-		pause.For(ctx, startLook)
+		pause.For(ctx, startupPollInterval)
 	}
 }
 
 // unknown is the answer to a request that the configuration does not know: final if
 // the configuration is fresh, else to be tried again.
-func (h *Handler) unknown(status int, reason Reason) *problem {
+func (h *Handler) notFound(status int, reason Reason) *problem {
 	if !h.Rules.Fresh() {
-		return refusal(reason, 0)
+		return rejection(reason, 0)
 	}
 	return &problem{status: status, reason: reason}
 }
--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -29,64 +29,64 @@
 	err  error
 	took time.Duration
 	// broke is set when the target's connection broke before the answer was whole.
-	broke bool
+	connBroken bool
 	// whole is set when the target's answer was seen to come to its end.
-	whole bool
+	complete bool
 	// paid is set when the budget for another attempt is used already.
-	paid bool
+	budgetUsed bool
 }
 
 const (
 	// freshOnce is how long a connection may have been idle for a request that must not
 	// be sent twice: a target that forgets idle connections does so after seconds.
-	freshOnce = 500 * time.Millisecond
+	maxIdleUnrepeatable = 500 * time.Millisecond
 	// freshSafe is that time for requests that may be sent again.
-	freshSafe = 3 * time.Second
+	maxIdleRepeatable = 3 * time.Second
 	// answerMargin is kept of a target's time for passing its answer on: a round trip is
 	// a few milliseconds.
-	answerMargin = 20 * time.Millisecond
+	targetDeadlineMargin = 20 * time.Millisecond
 	// wholeAnswer is the largest body that is read to its end before the caller gets
 	// any of it, in bytes, so that its loss can still be mended elsewhere. A longer one is
 	// passed on as it comes, which bounds memory.
-	wholeAnswer = 256 << 10
+	maxBufferedAnswer = 256 << 10
 )
 
 // attempt sends the request to one target and passes the answer on.
 func (h *Handler) attempt(ctx context.Context, w http.ResponseWriter, j *job, placement *route.Placement) result {
 	began := h.Clock()
-	ctx, patience := newPatience(ctx, h.Clock, j.patience(), j.silence(), func(since time.Time) { h.silent(j, placement, since) })
-	defer patience.stop()
-	answer, err := h.Sender.Send(ctx, h.exchange(j, placement))
+	ctx, idleTimeout := newIdleTimeout(ctx, h.Clock, j.idleTimeout(), j.suspectAfter(), func(since time.Time) { h.reportSilence(j, placement, since) })
+	defer idleTimeout.stop()
+	answer, err := h.Sender.Send(ctx, h.newExchange(j, placement))
 	if err != nil {
-		return h.failed(ctx, j, placement, began, err)
+		return h.sendFailed(ctx, j, placement, began, err)
 	}
 	defer answer.Close()
 	h.Finder.Heard(placement.Hash)
-	patience.heard(j.patience())
+	idleTimeout.reset(j.idleTimeout())
 	j.sends++
 	reply := h.Dialect.Reply(answer.Status, answer.Header)
-	h.observe(j, placement, answer, reply)
+	h.reportNotice(j, placement, answer, reply)
 	if reply.NotRun {
 		if reply.Elsewhere {
 			h.Finder.Unreachable(placement.Hash)
 		}
 		return result{step: retry.Refused, reason: Refused, status: answer.Status, took: h.Clock().Sub(began)}
 	}
-	j.ran++
-	if h.dropsFailure(j, answer.Status) {
+	j.runs++
+	if h.discardsFailure(j, answer.Status) {
 		h.Finder.Report(placement.Hash, false)
-		return result{step: retry.Answering, reason: Failed, status: answer.Status, took: h.Clock().Sub(began), paid: true}
+		return result{step: retry.Answering, reason: Failed, status: answer.Status, took: h.Clock().Sub(began), budgetUsed: true}
 	}
-	got := h.pass(w, j, answer, patience)
-	got.took = h.Clock().Sub(began)
-	got.broke = got.brokeOff() && ctx.Err() == nil
-	got.whole = got.reason == Served && answer.Framed
-	h.judge(ctx, placement, got.good())
-	return got
+	end := h.forward(w, j, answer, idleTimeout)
+	end.took = h.Clock().Sub(began)
+	end.connBroken = end.cutOff() && ctx.Err() == nil
+	end.complete = end.reason == Served && answer.Framed
+	h.reportResult(ctx, placement, end.succeeded())
+	return end
 }
 
 // observe tells the finder what a target says of itself in an answer.
-func (h *Handler) observe(j *job, placement *route.Placement, answer *relay.Answer, reply Reply) {
+func (h *Handler) reportNotice(j *job, placement *route.Placement, answer *relay.Answer, reply Reply) {
 	if reply.Elsewhere {
 		// Another target has the address now, and speaks of itself.
 		return
@@ -99,40 +99,40 @@
 
 // dropsFailure reports whether an answer that tells of the target's failure is dropped:
 // only for another try, of which it then uses the budget.
-func (h *Handler) dropsFailure(j *job, status int) bool {
+func (h *Handler) discardsFailure(j *job, status int) bool {
 	return status >= http.StatusInternalServerError && j.mayRepeat() && h.Budget.Retry(j.service, h.Clock())
 }
 
 // good reports whether the target answered as it should.
-func (r result) good() bool {
+func (r result) succeeded() bool {
 	return r.ended && r.reason != CutOff && r.status < http.StatusInternalServerError
 }
 
 // brokeOff reports whether an answer that had begun did not come to its end.
-func (r result) brokeOff() bool { return r.err != nil && (r.reason == Lost || r.reason == CutOff) }
+func (r result) cutOff() bool { return r.err != nil && (r.reason == Lost || r.reason == CutOff) }
 
 // silent notes that a target has sent nothing for too long. A router that was held up
 // itself blames nobody.
-func (h *Handler) silent(j *job, placement *route.Placement, since time.Time) {
-	if h.Clock().Sub(since)-j.silence() > relay.HeldUpAfter {
+func (h *Handler) reportSilence(j *job, placement *route.Placement, since time.Time) {
+	if h.Clock().Sub(since)-j.suspectAfter() > relay.HeldUpAfter {
 		return
 	}
 	if h.Finder.Silent(placement.Hash, since) {
 		_ = level.Info(h.Logger).Log("msg", "target is silent", "request", j.call.ID,
-			"target", placement.Target.ID, "silence_ms", j.silence().Milliseconds())
+			"target", placement.Target.ID, "silence_ms", j.suspectAfter().Milliseconds())
 	}
 }
 
 // mayRepeat reports whether another attempt at the request is allowed by its route.
 func (j *job) mayRepeat() bool {
-	return j.route.Repeat == retry.Safe && j.ran < j.route.Attempts
+	return j.route.Repeat == retry.Safe && j.runs < j.route.Attempts
 }
 
 // judge tells the finder how a target did; a caller that left, or a router that was held up
 // itself, says nothing of it.
-func (h *Handler) judge(ctx context.Context, placement *route.Placement, ok bool) {
+func (h *Handler) reportResult(ctx context.Context, placement *route.Placement, ok bool) {
 	cause := context.Cause(ctx)
-	if !ok && (errors.Is(cause, context.Canceled) || errors.Is(cause, errHeldUp)) {
+	if !ok && (errors.Is(cause, context.Canceled) || errors.Is(cause, errRouterDelayed)) {
 		h.Finder.Cancelled(placement.Hash)
 		return
 	}
@@ -140,12 +140,12 @@
 }
 
 // failed is the end of an attempt without an answer's head.
-func (h *Handler) failed(ctx context.Context, j *job, placement *route.Placement, began time.Time, err error) result {
+func (h *Handler) sendFailed(ctx context.Context, j *job, placement *route.Placement, began time.Time, err error) result {
 	step := relay.StepOf(err)
 	reason := Unreachable
 	if !retry.Free(step) {
 		j.sends++
-		j.ran++
+		j.runs++
 		reason = Lost
 	}
 	switch {
@@ -156,32 +156,32 @@
 	case retry.Free(step) && ctx.Err() == nil:
 		h.Finder.Unreachable(placement.Hash)
 	default:
-		h.judge(ctx, placement, false)
+		h.reportResult(ctx, placement, false)
 	}
 	if fault.KindOf[relay.Kind](err) == relay.Exhausted {
 		reason = Exhausted
 	}
-	broke := step == retry.Sending && ctx.Err() == nil && fault.KindOf[relay.Kind](err) == relay.Broken
-	return result{step: step, reason: reason, err: err, took: h.Clock().Sub(began), broke: broke}
+	connBroken := step == retry.Sending && ctx.Err() == nil && fault.KindOf[relay.Kind](err) == relay.Broken
+	return result{step: step, reason: reason, err: err, took: h.Clock().Sub(began), connBroken: connBroken}
 }
 
 // exchange is what the target gets.
-func (h *Handler) exchange(j *job, placement *route.Placement) relay.Exchange {
+func (h *Handler) newExchange(j *job, placement *route.Placement) relay.Exchange {
 	header := relay.EndToEnd(j.header)
 	holder := ""
-	if placement.Holder != nil && j.copies {
+	if placement.Holder != nil && j.copiesCache {
 		holder = placement.Holder.Addr
 	}
 	h.Dialect.Write(header, j.call, Order{
 		Holder:    holder,
-		Left:      j.limit.Sub(h.Clock()) - answerMargin,
+		Left:      j.deadline.Sub(h.Clock()) - targetDeadlineMargin,
 		Target:    placement.Target.ID,
 		Workspace: j.workspace.Name,
-		After:     j.last,
+		After:     j.lastEvent,
 	})
-	fresh := freshOnce
+	fresh := maxIdleUnrepeatable
 	if j.route.Repeat == retry.Safe {
-		fresh = freshSafe
+		fresh = maxIdleRepeatable
 	}
 	return relay.Exchange{
 		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, Fresh: fresh,
@@ -192,23 +192,23 @@
 
 // pass gives an answer to the caller: events as they come, and anything else that is
 // short only once it is whole.
-func (h *Handler) pass(w http.ResponseWriter, j *job, answer *relay.Answer, patience *patience) result {
+func (h *Handler) forward(w http.ResponseWriter, j *job, answer *relay.Answer, idleTimeout *idleTimeout) result {
 	if j.route.Stream && answer.Status < http.StatusMultipleChoices {
-		return h.passEvents(w, j, answer, patience)
+		return h.forwardEvents(w, j, answer, idleTimeout)
 	}
-	if j.started {
+	if j.headSent {
 		// The caller has a part of a stream; this answer cannot continue it.
 		return result{step: retry.Answering, reason: Lost, status: answer.Status}
 	}
-	body, err := io.ReadAll(io.LimitReader(answer, wholeAnswer))
+	body, err := io.ReadAll(io.LimitReader(answer, maxBufferedAnswer))
 	if err != nil {
 		return result{step: retry.Answering, reason: Lost, status: answer.Status, err: err}
 	}
-	if len(body) == wholeAnswer {
-		return h.passLong(w, j, answer, body)
+	if len(body) == maxBufferedAnswer {
+		return h.forwardUnbuffered(w, j, answer, body)
 	}
 	j.first = h.Clock().Sub(j.arrived)
-	header := h.head(w, answer)
+	header := h.copyHeader(w, answer)
 	length := int64(len(body))
 	if j.method == http.MethodHead && answer.Length > 0 {
 		length = answer.Length
@@ -216,21 +216,21 @@
 	header.Set("Content-Length", strconv.FormatInt(length, 10))
 	w.WriteHeader(answer.Status)
 	// A caller that has gone needs no answer.
-	_ = writeWhole(w, body)
+	_ = writeAll(w, body)
 	return result{ended: true, reason: Served, status: answer.Status}
 }
 
 // passLong passes on an answer that is too long to be kept whole.
-func (h *Handler) passLong(w http.ResponseWriter, j *job, answer *relay.Answer, begun []byte) result {
-	header := h.head(w, answer)
+func (h *Handler) forwardUnbuffered(w http.ResponseWriter, j *job, answer *relay.Answer, firstPart []byte) result {
+	header := h.copyHeader(w, answer)
 	if answer.Length >= 0 {
 		header.Set("Content-Length", strconv.FormatInt(answer.Length, 10))
 	}
-	j.started = true
+	j.headSent = true
 	j.first = h.Clock().Sub(j.arrived)
 	w.WriteHeader(answer.Status)
-	caller := &noting{to: w}
-	_, err := io.Copy(caller, io.MultiReader(bytes.NewReader(begun), answer))
+	caller := &callerWriter{to: w}
+	_, err := io.Copy(caller, io.MultiReader(bytes.NewReader(firstPart), answer))
 	switch {
 	case caller.failed:
 		return result{ended: true, reason: CallerGone, status: answer.Status, err: err}
@@ -242,14 +242,14 @@
 
 // noting notes whether writing failed, which tells a caller that has gone from a target
 // that breaks off.
-type noting struct {
+type callerWriter struct {
 	to     http.ResponseWriter
 	failed bool
 }
 
 // Write implements io.Writer.
-func (n *noting) Write(p []byte) (int, error) {
-	err := writeWhole(n.to, p)
+func (n *callerWriter) Write(p []byte) (int, error) {
+	err := writeAll(n.to, p)
 	if err != nil {
 		n.failed = true
 		return 0, err
@@ -258,7 +258,7 @@
 }
 
 // head copies an answer's headers to the caller, without its length.
-func (h *Handler) head(w http.ResponseWriter, answer *relay.Answer) http.Header {
+func (h *Handler) copyHeader(w http.ResponseWriter, answer *relay.Answer) http.Header {
 	header := w.Header()
 	for name, values := range relay.EndToEnd(answer.Header) {
 		header[name] = values
--- a/internal/edge/entry/body.go
+++ b/internal/edge/entry/body.go
@@ -18,7 +18,7 @@
 	}
 	control := http.NewResponseController(w)
 	// Neither call fails on a connection of this server.
-	_ = control.SetReadDeadline(j.limit)
+	_ = control.SetReadDeadline(j.deadline)
 	body, err := readAll(http.MaxBytesReader(w, r.Body, j.bodyLimit), r.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var large *http.MaxBytesError
@@ -28,7 +28,7 @@
 		return nil
 	case errors.As(err, &large):
 		return &problem{status: http.StatusRequestEntityTooLarge, reason: TooLarge}
-	case r.Context().Err() != nil || !h.Clock().Before(j.limit):
+	case r.Context().Err() != nil || !h.Clock().Before(j.deadline):
 		return &problem{status: http.StatusRequestTimeout, reason: SlowCaller}
 	default:
 		return &problem{status: http.StatusBadRequest, reason: BadRequest}
--- a/internal/edge/entry/caller_test.go
+++ b/internal/edge/entry/caller_test.go
@@ -10,15 +10,15 @@
 
 // Requests of callers that left before they were read reach no target: a router that was
 // frozen, or is short of time, finds them in its connections.
-func TestCallersThatLeftBeforeTheyWereRead(t *testing.T) {
-	to := newTarget(t, answer(200, "", "ok"))
-	s := newSetup(t, aRoute(nil), to)
+func TestDisconnectedCallersReachNoTarget(t *testing.T) {
+	target := newFakeTarget(t, answer(200, "", "ok"))
+	s := newSetup(t, newRoute(nil), target)
 	// A connection to the target is there, so that nothing but the caller's leaving is in
 	// the way.
 	if got, _ := s.call(t, "GET", "/", ""); got.Status != 200 {
 		t.Fatalf("got %+v", got)
 	}
-	before := to.count()
+	before := target.count()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,9 +36,9 @@
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
 	ended := func() int {
-		s.ends.mu.Lock()
-		defer s.ends.mu.Unlock()
-		return len(s.ends.list)
+		s.recorder.mu.Lock()
+		defer s.recorder.mu.Unlock()
+		return len(s.recorder.reasons)
 	}
 	deadline := time.After(5 * time.Second)
 	for ended() < callers+1 {
@@ -48,7 +48,7 @@
 		case <-time.After(time.Millisecond):
 		}
 	}
-	if got := to.count() - before; got != 0 {
+	if got := target.count() - before; got != 0 {
 		t.Errorf("%d requests of callers that had left reached the target", got)
 	}
 }
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -18,30 +18,30 @@
 	"valescale/internal/rule/retry"
 )
 
-func TestPassedThroughUnchanged(t *testing.T) {
-	to := newTarget(t, answer(201, "Signed: yes\r\nConnection: x-hop\r\nX-Hop: 1\r\n", "whole"))
-	s := newSetup(t, aRoute(nil), to)
+func TestForwardedUnchanged(t *testing.T) {
+	target := newFakeTarget(t, answer(201, "Signed: yes\r\nConnection: x-hop\r\nX-Hop: 1\r\n", "whole"))
+	s := newSetup(t, newRoute(nil), target)
 	answer, header := s.call(t, "PATCH", "/a%2Fb/c?q=%20&q", "body")
-	if diff := cmp.Diff(got{Status: 201, Body: "whole"}, answer); diff != "" {
+	if diff := cmp.Diff(response{Status: 201, Body: "whole"}, answer); diff != "" {
 		t.Error(diff)
 	}
 	if header.Get("Signed") != "yes" || header.Get("X-Hop") != "" {
 		t.Errorf("the answer's headers are %v", header)
 	}
-	if diff := cmp.Diff([]string{"PATCH /a%2Fb/c?q=%20&q"}, to.lines); diff != "" {
+	if diff := cmp.Diff([]string{"PATCH /a%2Fb/c?q=%20&q"}, target.requestLines); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff([]string{"body"}, to.bodies); diff != "" {
+	if diff := cmp.Diff([]string{"body"}, target.bodies); diff != "" {
 		t.Error(diff)
 	}
-	run := to.runs[0]
-	if run.Get("Key") != "" || run.Get("Target") != "t0" || run.Get("Workspace") != "w" || run.Get("Id") != "caller-1" {
-		t.Errorf("the target's headers are %v", run)
+	targetHeader := target.headers[0]
+	if targetHeader.Get("Key") != "" || targetHeader.Get("Target") != "t0" || targetHeader.Get("Workspace") != "w" || targetHeader.Get("Id") != "caller-1" {
+		t.Errorf("the target's headers are %v", targetHeader)
 	}
 }
 
-func TestOwnAnswers(t *testing.T) {
-	table, err := match.Compile(match.Config{Routes: []match.Route{aRoute(func(r *match.Route) { r.Prefix = "/a/" })}, Keyed: true})
+func TestRouterAnswers(t *testing.T) {
+	table, err := match.Compile(match.Config{Routes: []match.Route{newRoute(func(r *match.Route) { r.Prefix = "/a/" })}, Keyed: true})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -70,35 +70,35 @@
 	}
 }
 
-func TestWhatMayFollowAFailure(t *testing.T) {
+func TestRetryAfterFailure(t *testing.T) {
 	safe := func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 }
-	refuse := answer(503, "Not-Run: 1\r\n", "")
+	reject := answer(503, "Not-Run: 1\r\n", "")
 	fail := answer(500, "", "failed")
-	fine := answer(200, "", "fine")
+	ok := answer(200, "", "fine")
 	for _, c := range []struct {
 		name   string
 		route  func(*match.Route)
 		budget int
-		serve  []serving
-		want   got
+		serve  []responder
+		want   response
 		runs   []int
 	}{
-		{"mutating, refused, is sent elsewhere", nil, 9, []serving{refuse, fine}, got{Status: 200, Body: "fine"}, []int{1, 1}},
-		{"mutating, answer lost, runs once", nil, 9, []serving{reset, fine}, got{Status: 502}, []int{1, 0}},
-		{"mutating, failed, is not repeated", nil, 9, []serving{fail, fine}, got{Status: 500, Body: "failed"}, []int{1, 0}},
-		{"safe, answer lost, is repeated", safe, 9, []serving{reset, fine}, got{Status: 200, Body: "fine"}, []int{1, 1}},
-		{"safe, failed, is repeated", safe, 9, []serving{fail, fine}, got{Status: 200, Body: "fine"}, []int{1, 1}},
-		{"safe, failed twice, keeps to its attempts", safe, 9, []serving{fail, fail, fine}, got{Status: 500, Body: "failed"}, []int{1, 1, 0}},
-		{"safe, failed, without budget", safe, 0, []serving{fail, fine}, got{Status: 500, Body: "failed"}, []int{1, 0}},
-		{"refused by all", nil, 9, []serving{refuse, refuse}, got{Status: 503}, []int{1, 1}},
-		{"safe, refused after a run, promises nothing", safe, 9, []serving{reset, refuse}, got{Status: 502}, []int{1, 1}},
+		{"mutating, refused, is sent elsewhere", nil, 9, []responder{reject, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
+		{"mutating, answer lost, runs once", nil, 9, []responder{closeUnanswered, ok}, response{Status: 502}, []int{1, 0}},
+		{"mutating, failed, is not repeated", nil, 9, []responder{fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 0}},
+		{"safe, answer lost, is repeated", safe, 9, []responder{closeUnanswered, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
+		{"safe, failed, is repeated", safe, 9, []responder{fail, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
+		{"safe, failed twice, keeps to its attempts", safe, 9, []responder{fail, fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 1, 0}},
+		{"safe, failed, without budget", safe, 0, []responder{fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 0}},
+		{"refused by all", nil, 9, []responder{reject, reject}, response{Status: 503}, []int{1, 1}},
+		{"safe, refused after a run, promises nothing", safe, 9, []responder{closeUnanswered, reject}, response{Status: 502}, []int{1, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var targets []*target
+			var targets []*fakeTarget
 			for _, serve := range c.serve {
-				targets = append(targets, newTarget(t, serve))
+				targets = append(targets, newFakeTarget(t, serve))
 			}
-			s := newSetup(t, aRoute(c.route), targets...)
+			s := newSetup(t, newRoute(c.route), targets...)
 			s.budget.left = c.budget
 			answer, _ := s.call(t, "POST", "/", "x")
 			if c.want.Body == "" {
@@ -108,8 +108,8 @@
 				t.Error(diff)
 			}
 			var runs []int
-			for _, to := range targets {
-				runs = append(runs, to.count())
+			for _, target := range targets {
+				runs = append(runs, target.count())
 			}
 			if diff := cmp.Diff(c.runs, runs); diff != "" {
 				t.Errorf("runs: %s", diff)
@@ -121,10 +121,10 @@
 // A target that cannot be reached has run nothing: even a request that must not be
 // repeated goes elsewhere.
 func TestUnreachableTarget(t *testing.T) {
-	fine := newTarget(t, answer(200, "", "fine"))
-	s := newSetup(t, aRoute(nil), &target{addr: "127.0.0.1:1"}, fine)
+	reachable := newFakeTarget(t, answer(200, "", "fine"))
+	s := newSetup(t, newRoute(nil), &fakeTarget{addr: "127.0.0.1:1"}, reachable)
 	answer, _ := s.call(t, "POST", "/", "x")
-	if diff := cmp.Diff(got{Status: 200, Body: "fine"}, answer); diff != "" {
+	if diff := cmp.Diff(response{Status: 200, Body: "fine"}, answer); diff != "" {
 		t.Error(diff)
 	}
 	if diff := cmp.Diff([]string{"unreachable", "ok true"}, s.finder.reports); diff != "" {
@@ -138,24 +138,24 @@
 	for _, c := range []struct {
 		name  string
 		route func(*match.Route)
-		serve []serving
-		want  got
+		serve []responder
+		want  response
 		after string
 	}{
-		{"whole", stream, []serving{events(1, 5, 5)}, got{Status: 200, Body: pieces(1, 5)}, ""},
-		{"broken", stream, []serving{events(1, 3, 5), events(1, 5, 5)}, got{Status: 200, Body: pieces(1, 3), Cut: true}, ""},
-		{"broken before its first event", stream, []serving{events(1, 0, 5), events(1, 5, 5)}, got{Status: 502}, ""},
-		{"resumed", resumable, []serving{events(1, 3, 5), events(4, 5, 5)}, got{Status: 200, Body: pieces(1, 5)}, "3"},
-		{"resumed too early", resumable, []serving{events(1, 3, 5), events(2, 5, 5)}, got{Status: 200, Body: pieces(1, 5)}, "3"},
-		{"resumed at a target that fails", resumable, []serving{events(1, 3, 5), answer(500, "", "no")}, got{Status: 200, Body: pieces(1, 3), Cut: true}, "3"},
-		{"started anew", resumable, []serving{reset, events(1, 5, 5)}, got{Status: 200, Body: pieces(1, 5)}, ""},
+		{"whole", stream, []responder{streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, ""},
+		{"broken", stream, []responder{streamEvents(1, 3, 5), streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 3), Truncated: true}, ""},
+		{"broken before its first event", stream, []responder{streamEvents(1, 0, 5), streamEvents(1, 5, 5)}, response{Status: 502}, ""},
+		{"resumed", resumable, []responder{streamEvents(1, 3, 5), streamEvents(4, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, "3"},
+		{"resumed too early", resumable, []responder{streamEvents(1, 3, 5), streamEvents(2, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, "3"},
+		{"resumed at a target that fails", resumable, []responder{streamEvents(1, 3, 5), answer(500, "", "no")}, response{Status: 200, Body: eventText(1, 3), Truncated: true}, "3"},
+		{"started anew", resumable, []responder{closeUnanswered, streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			var targets []*target
+			var targets []*fakeTarget
 			for _, serve := range c.serve {
-				targets = append(targets, newTarget(t, serve))
+				targets = append(targets, newFakeTarget(t, serve))
 			}
-			s := newSetup(t, aRoute(c.route), targets...)
+			s := newSetup(t, newRoute(c.route), targets...)
 			answer, _ := s.call(t, "POST", "/", "x")
 			if c.want.Body == "" {
 				answer.Body = ""
@@ -165,7 +165,7 @@
 			}
 			last := targets[len(targets)-1]
 			if last.count() > 0 {
-				if diff := cmp.Diff(c.after, last.runs[0].Get("After")); diff != "" {
+				if diff := cmp.Diff(c.after, last.headers[0].Get("After")); diff != "" {
 					t.Errorf("resumed after: %s", diff)
 				}
 			}
@@ -177,14 +177,14 @@
 func TestSilentTarget(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	hangs := newTarget(t, func(*bufio.Writer, *http.Request) bool {
+	hangs := newFakeTarget(t, func(*bufio.Writer, *http.Request) bool {
 		<-release
 		return false
 	})
-	fine := newTarget(t, answer(200, "", "fine"))
-	s := newSetup(t, aRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 }), hangs, fine)
+	healthy := newFakeTarget(t, answer(200, "", "fine"))
+	s := newSetup(t, newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 }), hangs, healthy)
 	answer, _ := s.call(t, "GET", "/", "")
-	if diff := cmp.Diff(got{Status: 200, Body: "fine"}, answer); diff != "" {
+	if diff := cmp.Diff(response{Status: 200, Body: "fine"}, answer); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -193,11 +193,11 @@
 func TestTimeLimit(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	hangs := newTarget(t, func(*bufio.Writer, *http.Request) bool {
+	hangs := newFakeTarget(t, func(*bufio.Writer, *http.Request) bool {
 		<-release
 		return false
 	})
-	s := newSetup(t, aRoute(func(r *match.Route) { r.Timeout = 80 * time.Millisecond }), hangs)
+	s := newSetup(t, newRoute(func(r *match.Route) { r.Timeout = 80 * time.Millisecond }), hangs)
 	answer, _ := s.call(t, "POST", "/", "x")
 	if answer.Status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, want 504: the request may have run", answer.Status)
@@ -205,25 +205,25 @@
 }
 
 // Answers that belong to no request, or to an earlier one, reach no caller.
-func TestForeignAnswers(t *testing.T) {
+func TestMismatchedAnswers(t *testing.T) {
 	var once sync.Once
-	surplus := newTarget(t, func(w *bufio.Writer, r *http.Request) bool {
-		once.Do(func() { writeAnswer(w, "somebody-else", 200, "", "foreign") })
-		writeAnswer(w, r.Header.Get("Id"), 200, "", "own")
+	surplus := newFakeTarget(t, func(w *bufio.Writer, r *http.Request) bool {
+		once.Do(func() { writeResponse(w, "somebody-else", 200, "", "foreign") })
+		writeResponse(w, r.Header.Get("Id"), 200, "", "own")
 		return true
 	})
-	s := newSetup(t, aRoute(nil), surplus)
+	s := newSetup(t, newRoute(nil), surplus)
 	for range 2 {
 		answer, _ := s.call(t, "POST", "/", "x")
-		if diff := cmp.Diff(got{Status: 200, Body: "own"}, answer); diff != "" {
+		if diff := cmp.Diff(response{Status: 200, Body: "own"}, answer); diff != "" {
 			t.Error(diff)
 		}
 	}
-	garbage := newTarget(t, func(w *bufio.Writer, _ *http.Request) bool {
+	garbage := newFakeTarget(t, func(w *bufio.Writer, _ *http.Request) bool {
 		_, _ = w.WriteString("\x16\x03\x01 this is no answer\r\n\r\n")
 		return false
 	})
-	s = newSetup(t, aRoute(nil), garbage)
+	s = newSetup(t, newRoute(nil), garbage)
 	if answer, _ := s.call(t, "POST", "/", "x"); answer.Status != http.StatusBadGateway {
 		t.Errorf("status %d for bytes that are no answer, want 502", answer.Status)
 	}
@@ -231,13 +231,13 @@
 
 // An answer without a length ends with its connection, which is not used again.
 func TestAnswerWithoutLength(t *testing.T) {
-	to := newTarget(t, func(w *bufio.Writer, r *http.Request) bool {
+	target := newFakeTarget(t, func(w *bufio.Writer, r *http.Request) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nall of it", r.Header.Get("Id"))
 		return false
 	})
-	s := newSetup(t, aRoute(nil), to)
+	s := newSetup(t, newRoute(nil), target)
 	answer, header := s.call(t, "POST", "/", "x")
-	if diff := cmp.Diff(got{Status: 200, Body: "all of it"}, answer); diff != "" {
+	if diff := cmp.Diff(response{Status: 200, Body: "all of it"}, answer); diff != "" {
 		t.Error(diff)
 	}
 	if header.Get("Content-Length") != "9" {
@@ -246,7 +246,7 @@
 }
 
 // A caller that leaves ends the work at its target.
-func TestCallerLeaves(t *testing.T) {
+func TestCallerDisconnects(t *testing.T) {
 	started := make(chan struct{})
 	hold := make(chan struct{})
 	defer close(hold)
@@ -272,7 +272,7 @@
 		_, err = reader.ReadByte()
 		gone <- err
 	}()
-	s := newSetup(t, aRoute(nil), &target{addr: l.Addr().String()})
+	s := newSetup(t, newRoute(nil), &fakeTarget{addr: l.Addr().String()})
 	ctx, cancel := context.WithCancel(t.Context())
 	r, err := http.NewRequestWithContext(ctx, "GET", s.url+"/", nil)
 	if err != nil {
@@ -300,29 +300,29 @@
 }
 
 // A stream whose route names no pause between events is not taken for silent.
-func TestStreamWithoutAGapObjective(t *testing.T) {
-	one, two := newTarget(t, events(1, 5, 5)), newTarget(t, events(1, 5, 5))
-	s := newSetup(t, aRoute(func(r *match.Route) {
+func TestStreamWithoutGapObjective(t *testing.T) {
+	first, second := newFakeTarget(t, streamEvents(1, 5, 5)), newFakeTarget(t, streamEvents(1, 5, 5))
+	s := newSetup(t, newRoute(func(r *match.Route) {
 		r.Stream, r.Resumable, r.Repeat, r.Attempts, r.GapObjective = true, true, retry.Safe, 2, 0
-	}), one, two)
+	}), first, second)
 	answer, _ := s.call(t, "POST", "/", "x")
-	if diff := cmp.Diff(got{Status: 200, Body: pieces(1, 5)}, answer); diff != "" {
+	if diff := cmp.Diff(response{Status: 200, Body: eventText(1, 5)}, answer); diff != "" {
 		t.Error(diff)
 	}
-	if two.count() != 0 {
+	if second.count() != 0 {
 		t.Error("a second target worked on a stream that was fine")
 	}
 }
 
 // The answer to HEAD has the length that the target names, and no body.
 func TestHead(t *testing.T) {
-	to := newTarget(t, func(w *bufio.Writer, r *http.Request) bool {
+	target := newFakeTarget(t, func(w *bufio.Writer, r *http.Request) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 42\r\n\r\n", r.Header.Get("Id"))
 		return true
 	})
-	s := newSetup(t, aRoute(nil), to)
+	s := newSetup(t, newRoute(nil), target)
 	answer, header := s.call(t, "HEAD", "/", "")
-	if diff := cmp.Diff(got{Status: 200}, answer); diff != "" {
+	if diff := cmp.Diff(response{Status: 200}, answer); diff != "" {
 		t.Error(diff)
 	}
 	if header.Get("Content-Length") != "42" {
@@ -331,17 +331,17 @@
 }
 
 // Only engines that can copy cached prompts are told from where.
-func TestHolderNeedsEnginesThatCopy(t *testing.T) {
+func TestHolderSentOnlyToCopyingEngines(t *testing.T) {
 	for _, copies := range []bool{true, false} {
-		to := newTarget(t, answer(200, "", "fine"))
+		target := newFakeTarget(t, answer(200, "", "fine"))
 		table, err := match.Compile(match.Config{
-			Routes: []match.Route{aRoute(nil)}, Limits: match.Limits{BodyBytes: 1 << 20},
+			Routes: []match.Route{newRoute(nil)}, Limits: match.Limits{BodyBytes: 1 << 20},
 			Services: []match.Service{{Name: "s", Copies: copies}},
 		})
 		if err != nil {
 			t.Fatal(err)
 		}
-		s := newSetupWith(t, rules{table: table, fresh: true}, to)
+		s := newSetupWith(t, rules{table: table, fresh: true}, target)
 		s.finder.holder = &route.Target{ID: "other", Addr: "10.0.0.9:8"}
 		if answer, _ := s.call(t, "POST", "/", "x"); answer.Status != http.StatusOK {
 			t.Fatalf("status %d", answer.Status)
@@ -350,7 +350,7 @@
 		if copies {
 			want = "10.0.0.9:8"
 		}
-		if diff := cmp.Diff(want, to.runs[0].Get("Holder")); diff != "" {
+		if diff := cmp.Diff(want, target.headers[0].Get("Holder")); diff != "" {
 			t.Errorf("engines that copy: %v: %s", copies, diff)
 		}
 	}
@@ -358,34 +358,34 @@
 
 // A request whose header exceeds the configured limit reaches no target.
 func TestHeaderLimit(t *testing.T) {
-	to := newTarget(t, answer(200, "", "fine"))
+	target := newFakeTarget(t, answer(200, "", "fine"))
 	const limit = 600
 	table, err := match.Compile(match.Config{
-		Routes: []match.Route{aRoute(nil)}, Limits: match.Limits{BodyBytes: 1 << 20, HeaderBytes: limit},
+		Routes: []match.Route{newRoute(nil)}, Limits: match.Limits{BodyBytes: 1 << 20, HeaderBytes: limit},
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := newSetupWith(t, rules{table: table, fresh: true}, to)
+	s := newSetupWith(t, rules{table: table, fresh: true}, target)
 	if answer, _ := s.call(t, "POST", "/", "x"); answer.Status != http.StatusOK {
 		t.Errorf("a short header: status %d", answer.Status)
 	}
 	if answer, _ := s.call(t, "POST", "/?"+strings.Repeat("q", limit), "x"); answer.Status != http.StatusRequestHeaderFieldsTooLarge {
 		t.Errorf("a long header: status %d", answer.Status)
 	}
-	if diff := cmp.Diff(1, len(to.runs)); diff != "" {
+	if diff := cmp.Diff(1, len(target.headers)); diff != "" {
 		t.Errorf("runs: %s", diff)
 	}
 }
 
 // A router that has known no configuration since its start a while ago refuses at once:
 // it cannot say when it will know one.
-func TestNoConfigurationIsRefusedAtOnce(t *testing.T) {
+func TestNoConfigurationRejectsImmediately(t *testing.T) {
 	s := newSetupWith(t, rules{})
-	s.handler.started = time.Now().Add(-startWait)
+	s.handler.startedAt = time.Now().Add(-startupConfigTimeout)
 	began := time.Now()
 	got, header := s.call(t, "GET", "/", "")
-	if took := time.Since(began); took > startWait/2 {
+	if took := time.Since(began); took > startupConfigTimeout/2 {
 		t.Errorf("refused after %v", took)
 	}
 	if got.Status != 503 || header.Get("Retry-After") == "" {
@@ -394,13 +394,13 @@
 }
 
 // lateRules are a configuration that is learnt some time after the start.
-type lateRules struct {
+type delayedRules struct {
 	rules
-	from time.Time
+	availableAt time.Time
 }
 
-func (r lateRules) Table() *match.Table {
-	if time.Now().Before(r.from) {
+func (r delayedRules) Table() *match.Table {
+	if time.Now().Before(r.availableAt) {
 		return nil
 	}
 	return r.table
@@ -409,22 +409,22 @@
 // A router that starts holds requests for a part of their own time rather than refuse what it could
 // serve a moment later. The pattern: all boxes come back at once and callers connect before the
 // routers have a configuration, which takes half a second over a link of 10 Mbit/s.
-func TestRequestsWaitForTheFirstConfiguration(t *testing.T) {
-	to := newTarget(t, answer(200, "", "body"))
+func TestRequestsWaitForFirstConfiguration(t *testing.T) {
+	target := newFakeTarget(t, answer(200, "", "body"))
 	for _, c := range []struct {
 		name   string
 		after  time.Duration
-		wait   string
+		waitMs string
 		status int
 	}{
 		{"learnt within a part of the request's time", 100 * time.Millisecond, "1000", 200},
 		{"learnt later than that", 400 * time.Millisecond, "1000", 503},
 		{"a request with more time", 400 * time.Millisecond, "4000", 200},
 	} {
-		s := newSetup(t, aRoute(nil), to)
-		s.handler.started = time.Now()
-		s.handler.Rules = lateRules{rules{table: s.handler.Rules.Table(), fresh: true}, time.Now().Add(c.after)}
-		s.handler.Dialect = waiting{wait: c.wait}
+		s := newSetup(t, newRoute(nil), target)
+		s.handler.startedAt = time.Now()
+		s.handler.Rules = delayedRules{rules{table: s.handler.Rules.Table(), fresh: true}, time.Now().Add(c.after)}
+		s.handler.Dialect = deadlineDialect{waitMs: c.waitMs}
 		if got, _ := s.call(t, "GET", "/", ""); got.Status != c.status {
 			t.Errorf("%s: status %d, want %d", c.name, got.Status, c.status)
 		}
@@ -432,13 +432,13 @@
 }
 
 // waiting is a dialect whose callers wait for some milliseconds.
-type waiting struct {
-	plain
-	wait string
+type deadlineDialect struct {
+	testDialect
+	waitMs string
 }
 
-func (d waiting) Read(h http.Header) Call {
-	call := d.plain.Read(h)
-	call.Wait, _ = time.ParseDuration(d.wait + "ms")
+func (d deadlineDialect) Read(h http.Header) Call {
+	call := d.testDialect.Read(h)
+	call.Wait, _ = time.ParseDuration(d.waitMs + "ms")
 	return call
 }
--- a/internal/edge/entry/exhausted_test.go
+++ b/internal/edge/entry/exhausted_test.go
@@ -11,8 +11,8 @@
 )
 
 // answerOnce answers a request and closes the connection.
-func answerOnce(w *bufio.Writer, r *http.Request) bool {
-	writeAnswer(w, r.Header.Get("Id"), http.StatusOK, "Connection: close\r\n", "ok")
+func respondAndClose(w *bufio.Writer, r *http.Request) bool {
+	writeResponse(w, r.Header.Get("Id"), http.StatusOK, "Connection: close\r\n", "ok")
 	return false
 }
 
@@ -20,8 +20,8 @@
 // engines, far above the bound. How: they could not open a socket, request after request.
 // Cause: each was taken for a target that cannot be reached, which then got no new work.
 // Proof: 419 attempts in a second ended with "too many open files", at all targets alike.
-func TestOwnLackOfDescriptorsBlamesNoTarget(t *testing.T) {
-	s := newSetup(t, aRoute(nil), newTarget(t, answerOnce), newTarget(t, answerOnce))
+func TestDescriptorExhaustionIsNotTargetFailure(t *testing.T) {
+	s := newSetup(t, newRoute(nil), newFakeTarget(t, respondAndClose), newFakeTarget(t, respondAndClose))
 	if answer, _ := s.call(t, "GET", "/", ""); answer.Status != http.StatusOK {
 		t.Fatalf("status %d with descriptors", answer.Status)
 	}
--- a/internal/edge/entry/expect_test.go
+++ b/internal/edge/entry/expect_test.go
@@ -12,28 +12,28 @@
 // ends. Times to the first byte then lie between 60 and 340 ms, as seen at engines with 12 of 12 slots
 // taken; of the requests that wait to the end half were late when as much was left as an answer takes
 // on average.
-func TestMostWhoWaitedToTheEndAreInTime(t *testing.T) {
+func TestMaximumWaitLeavesTimeForAnswer(t *testing.T) {
 	const objective = 400 * time.Millisecond
 	for seed := range uint64(3) {
 		rng := rand.New(rand.NewPCG(seed, seed))
-		first := func() time.Duration {
+		sample := func() time.Duration {
 			return 60*time.Millisecond + time.Duration(rng.Int64N(int64(280*time.Millisecond)))
 		}
-		e := newExpectations()
-		j := &job{route: &match.Route{Objective: objective}, arrived: time.Unix(1000, 0), limit: time.Unix(1010, 0)}
-		late, asked := 0, 0
+		e := newLatencyEstimates()
+		j := &job{route: &match.Route{Objective: objective}, arrived: time.Unix(1000, 0), deadline: time.Unix(1010, 0)}
+		late, total := 0, 0
 		for n := range 2000 {
-			took := first()
+			took := sample()
 			if n > 50 {
-				asked++
-				if j.wait(e.of("r"))+took > objective {
+				total++
+				if j.wait(e.firstByteTime("r"))+took > objective {
 					late++
 				}
 			}
-			e.note("r", took)
+			e.add("r", took)
 		}
-		if share := float64(late) / float64(asked); share > 0.3 {
-			t.Errorf("seed %d: %.2f of the requests that wait to the end are late, want 0.3 at most", seed, share)
+		if ratio := float64(late) / float64(total); ratio > 0.3 {
+			t.Errorf("seed %d: %.2f of the requests that wait to the end are late, want 0.3 at most", seed, ratio)
 		}
 	}
 }
--- a/internal/edge/entry/gate.go
+++ b/internal/edge/entry/gate.go
@@ -22,23 +22,23 @@
 const (
 	// pressedWait is how long requests must wait between the accepting of their connections and their
 	// being read for new callers to be refused unread: most interactive requests are late by then.
-	pressedWait = 250 * time.Millisecond
+	overloadDelay = 250 * time.Millisecond
 	// pressedInRow is how many requests in a row must have waited that long. A caller may open a connection
 	// long before it sends something; several in a row do not while others come.
-	pressedInRow = 8
+	overloadMinRequests = 8
 	// pressedFor is how long new callers are refused after the latest such request.
-	pressedFor = 50 * time.Millisecond
+	overloadHold = 50 * time.Millisecond
 	// unreadWait is how long a request that is to be refused is waited for. At a pressed router it is
 	// there before its connection is accepted.
-	unreadWait = time.Millisecond
+	unreadReadTimeout = time.Millisecond
 	// unreadMost is how much of such a request is read, in bytes: a connection closed with bytes that
 	// nobody has read is reset, and the answer lost with it.
-	unreadMost = 64 << 10
+	maxUnreadBytes = 64 << 10
 	// carriedHalfLife is after how long a request that was read counts half in what the router carries: of the
 	// thousands a second that a pressed router reads, enough; short enough to follow one that turns slow.
-	carriedHalfLife = 500 * time.Millisecond
+	readRateHalfLife = 500 * time.Millisecond
 	// gateLogEvery is the least time between two log lines about refused callers.
-	gateLogEvery = time.Second
+	gateLogInterval = time.Second
 )
 
 // Gate is a listener that refuses new callers at once, unread, while those before them wait long to
@@ -55,17 +55,17 @@
 
 	mu sync.Mutex
 	// inRow counts the requests in a row that waited too long, until is until when callers are refused.
-	inRow int
-	until time.Time
+	consecutiveLate int
+	rejectUntil     time.Time
 	// carried counts the requests that were read lately, as of carriedAt.
-	carried   float64
-	carriedAt time.Time
+	reads   float64
+	readsAt time.Time
 	// returns are the times that refused callers are told to come back at: at eight times the traffic of one
 	// zone thousands a second are refused, and all were told the same quarter of a second.
-	returns quota.Returns
+	retryTimes quota.Returns
 	// refused counts the callers since told.
-	refused int
-	told    time.Time
+	rejected int
+	loggedAt time.Time
 }
 
 // NewGate returns a gate in front of a listener.
@@ -77,15 +77,15 @@
 	}
 	head := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\nContent-Type: application/json\r\nContent-Length: %d\r\nConnection: close\r\nRetry-After: ",
 		http.StatusServiceUnavailable, http.StatusText(http.StatusServiceUnavailable), len(body))
-	return &Gate{Listener: l, logger: logger, clock: clock, head: head, body: body, buffer: make([]byte, unreadMost)}
+	return &Gate{Listener: l, logger: logger, clock: clock, head: head, body: body, buffer: make([]byte, maxUnreadBytes)}
 }
 
 // answer is the whole answer to a caller whose request is not looked at.
-func (g *Gate) answer(again time.Duration) []byte {
+func (g *Gate) response(retryAfter time.Duration) []byte {
 	const textSize = 64
 	out := make([]byte, 0, len(g.head)+textSize+len(g.body))
 	out = append(out, g.head...)
-	out = strconv.AppendFloat(out, again.Seconds(), 'f', 3, 64)
+	out = strconv.AppendFloat(out, retryAfter.Seconds(), 'f', 3, 64)
 	out = append(out, "\r\n\r\n"...)
 	return append(out, g.body...)
 }
@@ -94,72 +94,72 @@
 func (g *Gate) Accept() (net.Conn, error) {
 	for {
 		c, err := g.Listener.Accept()
-		if err != nil || !g.pressed() || !g.refuse(c) {
+		if err != nil || !g.overloaded() || !g.reject(c) {
 			return c, err
 		}
 	}
 }
 
 // pressed reports whether callers wait too long.
-func (g *Gate) pressed() bool {
+func (g *Gate) overloaded() bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.clock().Before(g.until)
+	return g.clock().Before(g.rejectUntil)
 }
 
 // read notes how long the first request of a connection has waited to be read, and reports whether
 // callers wait too long.
-func (g *Gate) read(waited time.Duration) bool {
+func (g *Gate) recordRead(delay time.Duration) bool {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	g.carried = g.carried*decay.Kept(now.Sub(g.carriedAt), carriedHalfLife) + 1
-	g.carriedAt = now
-	if waited < pressedWait {
-		g.inRow = 0
+	g.reads = g.reads*decay.Kept(now.Sub(g.readsAt), readRateHalfLife) + 1
+	g.readsAt = now
+	if delay < overloadDelay {
+		g.consecutiveLate = 0
 		return false
 	}
-	g.inRow++
-	if g.inRow < pressedInRow {
+	g.consecutiveLate++
+	if g.consecutiveLate < overloadMinRequests {
 		return false
 	}
-	g.until = now.Add(pressedFor)
+	g.rejectUntil = now.Add(overloadHold)
 	return true
 }
 
 // comeBack is how long a refused caller is asked to stay away, by what this router was seen to read.
-func (g *Gate) comeBack() time.Duration {
+func (g *Gate) retryAfter() time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	carried := g.carried * decay.Kept(now.Sub(g.carriedAt), carriedHalfLife)
-	return g.returns.Tell(now, carried*math.Ln2/carriedHalfLife.Seconds(), pressedWait)
+	reads := g.reads * decay.Kept(now.Sub(g.readsAt), readRateHalfLife)
+	return g.retryTimes.Tell(now, reads*math.Ln2/readRateHalfLife.Seconds(), overloadDelay)
 }
 
 // refuse answers a caller whose request has come, and reports whether it had.
-func (g *Gate) refuse(c net.Conn) bool {
+func (g *Gate) reject(c net.Conn) bool {
 	// None of these calls fails on an open connection, and one that has ended needs no answer.
-	_ = c.SetReadDeadline(g.clock().Add(unreadWait))
+	_ = c.SetReadDeadline(g.clock().Add(unreadReadTimeout))
 	n, _ := c.Read(g.buffer)
 	if n == 0 {
 		_ = c.SetReadDeadline(time.Time{})
 		return false
 	}
-	_, _ = c.Write(g.answer(g.comeBack()))
+	_, _ = c.Write(g.response(g.retryAfter()))
 	_ = c.Close()
-	g.note()
+	g.logRejected()
 	return true
 }
 
 // note counts a refused caller and tells the log now and then.
-func (g *Gate) note() {
+func (g *Gate) logRejected() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	g.refused++
+	g.rejected++
 	now := g.clock()
-	if now.Sub(g.told) < gateLogEvery {
+	if now.Sub(g.loggedAt) < gateLogInterval {
 		return
 	}
-	_ = level.Warn(g.logger).Log("msg", "callers refused unread", "callers", g.refused, "waited_ms", pressedWait.Milliseconds())
-	g.refused, g.told = 0, now
+	_ = level.Warn(g.logger).Log("msg", "callers refused unread", "callers", g.rejected, "waited_ms", overloadDelay.Milliseconds())
+	g.rejected, g.loggedAt = 0, now
 }
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -123,10 +123,10 @@
 type Handler struct {
 	Parts
 	// started is when the handler was made.
-	started  time.Time
-	expected *expectations
+	startedAt time.Time
+	latency   *latencyEstimates
 	// unread is what waits for callers that read slowly, in bytes.
-	unread atomic.Int64
+	unreadBytes atomic.Int64
 }
 
 // New returns a handler.
@@ -134,7 +134,7 @@
 	if parts.Trials == nil {
 		parts.Trials = noTrials{}
 	}
-	return &Handler{Parts: parts, started: parts.Clock(), expected: newExpectations()}
+	return &Handler{Parts: parts, startedAt: parts.Clock(), latency: newLatencyEstimates()}
 }
 
 // ServeHTTP serves one request.
@@ -144,26 +144,26 @@
 		p = h.readBody(w, r, j)
 	}
 	if p != nil {
-		h.answer(w, j, p)
+		h.writeProblem(w, j, p)
 		return
 	}
-	ctx, cancel := context.WithDeadline(r.Context(), j.limit)
+	ctx, cancel := context.WithDeadline(r.Context(), j.deadline)
 	defer cancel()
 	h.Budget.Request(j.service, j.arrived)
-	if p := h.held(j); p != nil {
-		h.answer(w, j, p)
+	if p := h.quarantineProblem(j); p != nil {
+		h.writeProblem(w, j, p)
 		return
 	}
 	defer func() {
-		if j.outbox != nil {
-			j.outbox.close()
+		if j.streamWriter != nil {
+			j.streamWriter.close()
 		}
 	}()
 	h.serve(ctx, w, j)
 }
 
 // answer ends a request with an answer of the router's own.
-func (h *Handler) answer(w http.ResponseWriter, j *job, p *problem) {
+func (h *Handler) writeProblem(w http.ResponseWriter, j *job, p *problem) {
 	p.write(w)
 	h.ended(j, p.reason, p.status)
 }
@@ -171,42 +171,42 @@
 // serve makes attempts until one brings an answer or none may follow.
 func (h *Handler) serve(ctx context.Context, w http.ResponseWriter, j *job) {
 	for {
-		if h.left(ctx, j) {
+		if h.endIfDisconnected(ctx, j) {
 			return
 		}
 		placement, err := h.acquire(ctx, j)
 		if err != nil {
-			h.notPlaced(ctx, w, j, err)
+			h.endUnplaced(ctx, w, j, err)
 			return
 		}
 		if j.found == 0 {
 			j.found = h.Clock().Sub(j.arrived)
 		}
-		j.placed = placement
-		if h.left(ctx, j) {
+		j.lastPlacement = placement
+		if h.endIfDisconnected(ctx, j) {
 			placement.Release()
 			return
 		}
-		if p := h.held(j); p != nil {
+		if p := h.quarantineProblem(j); p != nil {
 			placement.Release()
-			h.finish(w, j, p)
+			h.endWithProblem(w, j, p)
 			return
 		}
 		began := h.Clock()
 		result := h.attempt(ctx, w, j, placement)
 		placement.Release()
-		h.tellGuard(j, placement, result)
-		h.tellTrials(j, result)
-		if result.good() && j.sends == 1 {
-			h.expected.note(j.route.Name, j.arrived.Add(j.first).Sub(began))
+		h.reportToGuard(j, placement, result)
+		h.reportCanary(j, result)
+		if result.succeeded() && j.sends == 1 {
+			h.latency.add(j.route.Name, j.arrived.Add(j.first).Sub(began))
 		}
 		if result.ended {
 			h.ended(j, result.reason, result.status)
-			abortCutOff(result.reason)
+			abortConnection(result.reason)
 			return
 		}
-		if !h.again(ctx, j, placement, result) {
-			h.giveUp(ctx, w, j, result)
+		if !h.shouldRetry(ctx, j, placement, result) {
+			h.endFailed(ctx, w, j, result)
 			return
 		}
 	}
@@ -214,60 +214,60 @@
 
 // acquire finds a target. A first attempt may try a version on trial, if a target of it has room.
 func (h *Handler) acquire(ctx context.Context, j *job) (*route.Placement, error) {
-	ask := j.ask(h.expected.of(j.route.Name))
-	j.as = j.service
-	if j.sends+j.free == 0 {
-		j.as = h.Trials.Choose(j.service)
+	placementRequest := j.placementRequest(h.latency.firstByteTime(j.route.Name))
+	j.lookupName = j.service
+	if j.sends+j.unreached == 0 {
+		j.lookupName = h.Trials.Choose(j.service)
 	}
-	ask.Service = j.as
-	placement, err := h.Finder.Acquire(ctx, ask)
-	if err != nil && j.as != j.service {
-		j.as, ask.Service = j.service, j.service
-		placement, err = h.Finder.Acquire(ctx, ask)
+	placementRequest.Service = j.lookupName
+	placement, err := h.Finder.Acquire(ctx, placementRequest)
+	if err != nil && j.lookupName != j.service {
+		j.lookupName, placementRequest.Service = j.service, j.service
+		placement, err = h.Finder.Acquire(ctx, placementRequest)
 	}
 	if err == nil {
-		h.Trials.Sent(j.service, j.as)
+		h.Trials.Sent(j.service, j.lookupName)
 	}
 	return placement, err
 }
 
 // tellTrials tells how a target answered. Of a caller that left, or was not read from, nothing can be said.
-func (h *Handler) tellTrials(j *job, got result) {
-	if got.reason == CallerGone || got.reason == Unread || got.step == retry.Refused && !got.ended {
+func (h *Handler) reportCanary(j *job, attempt result) {
+	if attempt.reason == CallerGone || attempt.reason == Unread || attempt.step == retry.Refused && !attempt.ended {
 		return
 	}
-	h.Trials.Answered(j.service, j.as, j.route.Name, got.good(), got.took)
+	h.Trials.Answered(j.service, j.lookupName, j.route.Name, attempt.succeeded(), attempt.took)
 }
 
 // held is the answer to a request under which targets end. Sent on, it would take one along and all that
 // runs there, and still not be answered.
-func (h *Handler) held(j *job) *problem {
+func (h *Handler) quarantineProblem(j *job) *problem {
 	wait := h.Guard.HeldFor(j.fingerprint())
 	switch {
 	case wait == 0:
 		return nil
 	case j.outcome == retry.Unknown:
-		return unanswered(j.outcome, EndsTargets, false)
+		return noAnswer(j.outcome, Quarantined, false)
 	default:
-		return refusal(EndsTargets, wait)
+		return rejection(Quarantined, wait)
 	}
 }
 
 // tellGuard tells of an attempt what shows whether targets end under the request.
-func (h *Handler) tellGuard(j *job, placement *route.Placement, got result) {
+func (h *Handler) reportToGuard(j *job, placement *route.Placement, attempt result) {
 	switch {
-	case got.broke:
+	case attempt.connBroken:
 		h.Guard.Broke(guard.Break{
-			Request: string(j.call.ID), Fingerprint: j.fingerprint(), Target: placement.Target, Ran: got.took,
+			Request: string(j.call.ID), Fingerprint: j.fingerprint(), Target: placement.Target, Ran: attempt.took,
 		})
-	case got.whole:
+	case attempt.complete:
 		h.Guard.Served(j.fingerprint())
 	}
 }
 
 // left ends a request whose caller has left, and reports whether it has.
-func (h *Handler) left(ctx context.Context, j *job) bool {
-	if !callerLeft(ctx) {
+func (h *Handler) endIfDisconnected(ctx context.Context, j *job) bool {
+	if !callerDisconnected(ctx) {
 		return false
 	}
 	h.ended(j, CallerGone, 0)
@@ -275,42 +275,42 @@
 }
 
 // notPlaced ends a request for which there is no target.
-func (h *Handler) notPlaced(ctx context.Context, w http.ResponseWriter, j *job, err error) {
+func (h *Handler) endUnplaced(ctx context.Context, w http.ResponseWriter, j *job, err error) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		h.ended(j, CallerGone, 0)
 		return
 	}
-	p := fromFinder(err)
-	j.refused = err
+	p := placementProblem(err)
+	j.placementErr = err
 	if j.outcome == retry.Unknown {
-		p = unanswered(j.outcome, p.reason, false)
+		p = noAnswer(j.outcome, p.reason, false)
 	}
-	h.finish(w, j, p)
+	h.endWithProblem(w, j, p)
 }
 
 // giveUp ends a request whose last attempt brought no answer.
-func (h *Handler) giveUp(ctx context.Context, w http.ResponseWriter, j *job, last result) {
+func (h *Handler) endFailed(ctx context.Context, w http.ResponseWriter, j *job, attempt result) {
 	if errors.Is(ctx.Err(), context.Canceled) {
 		h.ended(j, CallerGone, 0)
 		return
 	}
-	h.finish(w, j, unanswered(j.outcome, last.reason, ctx.Err() != nil))
+	h.endWithProblem(w, j, noAnswer(j.outcome, attempt.reason, ctx.Err() != nil))
 }
 
 // finish gives a final answer of the router's own, unless a part of a target's answer
 // has gone out: then only the connection's end can tell the caller.
-func (h *Handler) finish(w http.ResponseWriter, j *job, p *problem) {
-	if j.started {
+func (h *Handler) endWithProblem(w http.ResponseWriter, j *job, p *problem) {
+	if j.headSent {
 		h.ended(j, CutOff, 0)
-		abortCutOff(CutOff)
+		abortConnection(CutOff)
 		return
 	}
-	h.answer(w, j, p)
+	h.writeProblem(w, j, p)
 }
 
 // abortCutOff closes the caller's connection under an answer that was cut off, or that it does not read. It comes
 // last: it does not return, and by then the place at the target must be given back.
-func abortCutOff(reason Reason) {
+func abortConnection(reason Reason) {
 	if reason == CutOff || reason == Unread {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/edge/entry/held_test.go
+++ b/internal/edge/entry/held_test.go
@@ -20,19 +20,19 @@
 
 // A request that becomes held back while it waits for a target is not sent to the one it then gets: under
 // load many tries of it wait at all routers, and each would end a target.
-func TestHeldWhileWaiting(t *testing.T) {
-	to := newTarget(t, answer(200, "", "body"))
-	s := newSetup(t, aRoute(nil), to)
-	held := ident.NewFingerprint("w", "h", ident.HashRequest("POST", "/x", []byte("body")))
+func TestQuarantinedWhileWaiting(t *testing.T) {
+	upstream := newFakeTarget(t, answer(200, "", "body"))
+	s := newSetup(t, newRoute(nil), upstream)
+	suspect := ident.NewFingerprint("w", "h", ident.HashRequest("POST", "/x", []byte("body")))
 	s.finder.acquire = func(context.Context, route.Ask) (*route.Placement, error) {
-		s.handler.Guard.(*guard.Guard).Incoming([]crash.Suspect{{Request: held, Ends: []crash.End{
+		s.handler.Guard.(*guard.Guard).Incoming([]crash.Suspect{{Request: suspect, Ends: []crash.End{
 			{Start: 1, At: time.Now()}, {Start: 2, At: time.Now()},
 		}}})
 		target := s.finder.targets[0]
 		return &route.Placement{Target: target, Hash: target.ID.Hash()}, nil
 	}
 	got, header := s.call(t, "POST", "/x", "body")
-	if diff := cmp.Diff([]any{503, 0}, []any{got.Status, to.count()}); diff != "" {
+	if diff := cmp.Diff([]any{503, 0}, []any{got.Status, upstream.count()}); diff != "" {
 		t.Errorf("status and requests at the target: %s", diff)
 	}
 	if header.Get("Retry-After") == "" {
@@ -44,71 +44,71 @@
 }
 
 // notes is a guard that holds what it is told to, and notes what it is told.
-type notes struct {
-	held   time.Duration
-	broke  int
-	served int
+type fakeGuard struct {
+	quarantine time.Duration
+	broke      int
+	served     int
 	// holdAfter is how many breaks have it hold; zero is none.
-	holdAfter int
+	quarantineAfter int
 }
 
-func (n *notes) HeldFor(ident.Fingerprint) time.Duration { return n.held }
-func (n *notes) Served(ident.Fingerprint)                { n.served++ }
-func (n *notes) Broke(guard.Break) {
-	if n.broke++; n.broke == n.holdAfter {
-		n.held = time.Minute
+func (n *fakeGuard) HeldFor(ident.Fingerprint) time.Duration { return n.quarantine }
+func (n *fakeGuard) Served(ident.Fingerprint)                { n.served++ }
+func (n *fakeGuard) Broke(guard.Break) {
+	if n.broke++; n.broke == n.quarantineAfter {
+		n.quarantine = time.Minute
 	}
 }
 
 // counting counts how often a setup's finder is asked.
-func counting(s *setup) *int {
-	asked := 0
+func countAcquires(s *setup) *int {
+	count := 0
 	s.finder.acquire = func(ctx context.Context, ask route.Ask) (*route.Placement, error) {
-		asked++
+		count++
 		return (&finder{targets: s.finder.targets}).Acquire(ctx, ask)
 	}
-	return &asked
+	return &count
 }
 
 // A request that is held back waits for no target: it is refused at once, with when to come back.
-func TestHeldRequestsAreRefusedAtOnce(t *testing.T) {
-	s := newSetup(t, aRoute(nil), newTarget(t, answer(200, "", "body")))
-	s.handler.Guard = &notes{held: time.Minute}
-	asked := counting(s)
+func TestQuarantinedRequestsAreRejected(t *testing.T) {
+	s := newSetup(t, newRoute(nil), newFakeTarget(t, answer(200, "", "body")))
+	s.handler.Guard = &fakeGuard{quarantine: time.Minute}
+	acquires := countAcquires(s)
 	got, header := s.call(t, "POST", "/x", "body")
-	if diff := cmp.Diff([]any{503, "60.000", 0}, []any{got.Status, header.Get("Retry-After"), *asked}); diff != "" {
+	if diff := cmp.Diff([]any{503, "60.000", 0}, []any{got.Status, header.Get("Retry-After"), *acquires}); diff != "" {
 		t.Errorf("status, Retry-After and looks for a target: %s", diff)
 	}
 }
 
 // Once targets are known to end under a request no further attempt is made, and no target looked for; that
 // it may have run stays true.
-func TestNoFurtherAttemptOnceHeld(t *testing.T) {
-	targets := []*target{newTarget(t, reset), newTarget(t, reset), newTarget(t, reset)}
-	s := newSetup(t, aRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 3 }), targets...)
-	s.handler.Guard = &notes{holdAfter: 2}
-	asked := counting(s)
+func TestNoRetryOnceQuarantined(t *testing.T) {
+	targets := []*fakeTarget{newFakeTarget(t, closeUnanswered), newFakeTarget(t, closeUnanswered), newFakeTarget(t, closeUnanswered)}
+	s := newSetup(t, newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 3 }), targets...)
+	s.handler.Guard = &fakeGuard{quarantineAfter: 2}
+	acquires := countAcquires(s)
 	got, _ := s.call(t, "POST", "/x", "body")
-	if diff := cmp.Diff([]any{502, 2, 0}, []any{got.Status, *asked, targets[2].count()}); diff != "" {
+	if diff := cmp.Diff([]any{502, 2, 0}, []any{got.Status, *acquires, targets[2].count()}); diff != "" {
 		t.Errorf("status, looks for a target, and requests at the third: %s", diff)
 	}
 }
 
 // Only an answer whose end can be told from a cut clears a request.
-func TestUnframedAnswersClearNothing(t *testing.T) {
+func TestUnframedAnswersAreNotComplete(t *testing.T) {
 	unframed := func(w *bufio.Writer, r *http.Request) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nbody", r.Header.Get("Id"))
 		return false
 	}
 	for name, c := range map[string]struct {
-		serve  serving
+		serve  responder
 		served int
 	}{"whole": {answer(200, "", "body"), 1}, "without a length": {unframed, 0}} {
-		s := newSetup(t, aRoute(nil), newTarget(t, c.serve))
-		n := &notes{}
-		s.handler.Guard = n
+		s := newSetup(t, newRoute(nil), newFakeTarget(t, c.serve))
+		guard := &fakeGuard{}
+		s.handler.Guard = guard
 		got, _ := s.call(t, "POST", "/x", "body")
-		if diff := cmp.Diff([]any{200, c.served, 0}, []any{got.Status, n.served, n.broke}); diff != "" {
+		if diff := cmp.Diff([]any{200, c.served, 0}, []any{got.Status, guard.served, guard.broke}); diff != "" {
 			t.Errorf("%s: status, answers that clear and breaks: %s", name, diff)
 		}
 	}
--- a/internal/edge/entry/job.go
+++ b/internal/edge/entry/job.go
@@ -28,34 +28,34 @@
 	workspace *match.Workspace
 	service   ident.Service
 	// as is the name under which the latest target was sought: the service's, or that of its version on trial.
-	as ident.Service
+	lookupName ident.Service
 	// copies says that the service's engines can take cached prompts from each other.
-	copies  bool
-	key     ident.ChatKey
-	arrived time.Time
+	copiesCache  bool
+	placementKey ident.ChatKey
+	arrived      time.Time
 	// limit is when the final answer is due.
-	limit time.Time
+	deadline time.Time
 	// avoid are the targets of earlier attempts.
 	avoid []ident.TargetHash
 	// sends counts the attempts that reached a target, ran those that it may have
 	// worked on, free those that reached none.
-	sends int
-	ran   int
-	free  int
+	sends     int
+	runs      int
+	unreached int
 	// outcome is what is known of the attempts so far taken together.
 	outcome retry.Outcome
 	// refused is why no target was found.
-	refused error
+	placementErr error
 	// started is set once a part of an answer has gone to the caller.
-	started bool
+	headSent bool
 	// outbox passes a stream on to the caller; nil before there is one.
-	outbox *outbox
+	streamWriter *streamWriter
 	// placed is the latest placement, nil before the first.
-	placed *route.Placement
+	lastPlacement *route.Placement
 	// last is the id of the last event that the caller has got.
-	last EventID
+	lastEvent EventID
 	// print is the fingerprint, zero until it is asked for.
-	print ident.Fingerprint
+	cachedFingerprint ident.Fingerprint
 	// found and first are the times until a target was found and until the answer's
 	// first byte, zero before that.
 	found time.Duration
@@ -63,13 +63,13 @@
 }
 
 // shares reports whether the request has something in common with others.
-func (j *job) shares() bool { return j.route.Sticky && len(j.call.Parts) > 0 }
+func (j *job) sharesPrefix() bool { return j.route.Sticky && len(j.call.Parts) > 0 }
 
 // placeKey is what requests that should meet at one target have in common: the last
 // part of the prompt that is shared with others.
-func (j *job) placeKey() ident.ChatKey {
+func (j *job) newPlacementKey() ident.ChatKey {
 	parts := j.call.Parts
-	if !j.shares() {
+	if !j.sharesPrefix() {
 		return ident.NewChatKey(j.workspace.Name, string(j.call.ID))
 	}
 	shared := parts[max(len(parts)-2, 0)]
@@ -78,46 +78,46 @@
 
 // ranks is the number of ranks that priorities tell apart for routes, and for workspaces;
 // lower urgency than that counts as the last.
-const ranks = 16
+const rankLevels = 16
 
 // fingerprint tells the request from others of its workspace, and knows it again when it comes anew.
 func (j *job) fingerprint() ident.Fingerprint {
-	if j.print == 0 {
-		j.print = ident.NewFingerprint(j.workspace.Name, j.host, ident.HashRequest(j.method, j.path, j.body))
+	if j.cachedFingerprint == 0 {
+		j.cachedFingerprint = ident.NewFingerprint(j.workspace.Name, j.host, ident.HashRequest(j.method, j.path, j.body))
 	}
-	return j.print
+	return j.cachedFingerprint
 }
 
 // priority joins the ranks of workspace and route into one number, higher first.
 func (j *job) priority() int {
-	level := func(rank int) int { return ranks - 1 - min(max(rank, 0), ranks-1) }
-	return level(j.workspace.Rank)*ranks + level(j.route.Rank)
+	level := func(rank int) int { return rankLevels - 1 - min(max(rank, 0), rankLevels-1) }
+	return level(j.workspace.Rank)*rankLevels + level(j.route.Rank)
 }
 
 // waitShare is the part of its time that a request without an objective may wait for a
 // target: what is left must do for the answer.
-const waitShare = 0.5
+const defaultWaitRatio = 0.5
 
 // wait is how long after its arrival the request may wait for a target: as long as an answer
 // can still come within its objective if the target takes to the first byte what is expected
 // of it. Whoever waits longer is late in any case, and makes those late that come after.
 func (j *job) wait(expected time.Duration) time.Duration {
 	if j.route.Objective <= 0 {
-		return time.Duration(float64(j.limit.Sub(j.arrived)) * waitShare)
+		return time.Duration(float64(j.deadline.Sub(j.arrived)) * defaultWaitRatio)
 	}
-	return max(min(j.route.Objective, j.limit.Sub(j.arrived))-expected, 0)
+	return max(min(j.route.Objective, j.deadline.Sub(j.arrived))-expected, 0)
 }
 
 // ask is what the job needs of the finder; expected is how long the target will take to
 // the answer's first byte.
-func (j *job) ask(expected time.Duration) route.Ask {
+func (j *job) placementRequest(expected time.Duration) route.Ask {
 	return route.Ask{
 		Service:   j.service,
 		Workspace: j.workspace.Name,
 		Weight:    1,
 		Priority:  j.priority(),
-		Key:       j.key,
-		Once:      !j.shares(),
+		Key:       j.placementKey,
+		Once:      !j.sharesPrefix(),
 		Work:      ident.OneRequest,
 		Deadline:  j.arrived.Add(j.wait(expected)),
 		Avoid:     j.avoid,
@@ -126,14 +126,14 @@
 
 // ended tells the observer and the log of a request's end.
 func (h *Handler) ended(j *job, reason Reason, status int) {
-	e := j.end(h.Clock())
+	e := j.newEnd(h.Clock())
 	e.Reason, e.Status = reason, status
 	h.Observer.Ended(e)
 	h.logEnd(j, e)
 }
 
 // end is the job's end at some time, without reason and status.
-func (j *job) end(now time.Time) End {
+func (j *job) newEnd(now time.Time) End {
 	e := End{Service: j.service, Sends: j.sends, Found: j.found, First: j.first, Whole: now.Sub(j.arrived)}
 	if j.route != nil {
 		e.Route = j.route.Name
@@ -150,24 +150,24 @@
 	var home ident.Router
 	var basis place.Basis
 	warm := false
-	if j.placed != nil {
-		basis = j.placed.Basis
-		target, warm, home = j.placed.Target.ID, j.placed.Warm, j.placed.Home
-		if j.placed.Holder != nil {
-			holder = j.placed.Holder.ID
+	if j.lastPlacement != nil {
+		basis = j.lastPlacement.Basis
+		target, warm, home = j.lastPlacement.Target.ID, j.lastPlacement.Warm, j.lastPlacement.Home
+		if j.lastPlacement.Holder != nil {
+			holder = j.lastPlacement.Holder.ID
 		}
 	}
 	_ = level.Info(h.Logger).Log("msg", "request", "request", j.call.ID, "route", e.Route, "workspace", e.Workspace,
 		"service", e.Service, "revision", j.revision, "reason", e.Reason, "status", e.Status, "sends", e.Sends, "outcome", j.outcome,
-		"target", target, "key", strconv.FormatUint(uint64(j.key), 16), "warm", warm, "holder", holder, "home", home,
+		"target", target, "key", strconv.FormatUint(uint64(j.placementKey), 16), "warm", warm, "holder", holder, "home", home,
 		"rule", basis.Rule, "load", basis.Load.Requests(), "mean", basis.Mean.Requests(),
 		"found_ms", e.Found.Milliseconds(), "first_ms", e.First.Milliseconds(), "whole_ms", e.Whole.Milliseconds(),
-		"err", j.refused)
+		"err", j.placementErr)
 }
 
 // logAttempt tells the log of an attempt that brought no answer and what follows.
-func (h *Handler) logAttempt(j *job, placement *route.Placement, last result, next follow) {
+func (h *Handler) logAttempt(j *job, placement *route.Placement, attempt result, decision retryDecision) {
 	_ = level.Info(h.Logger).Log("msg", "attempt failed", "request", j.call.ID, "fingerprint", j.fingerprint(), "service", j.service, "target", placement.Target.ID,
-		"addr", placement.Target.Addr, "step", last.step, "status", last.status, "reason", last.reason, "err", last.err,
-		"took_ms", last.took.Milliseconds(), "sends", j.sends, "next", next)
+		"addr", placement.Target.Addr, "step", attempt.step, "status", attempt.status, "reason", attempt.reason, "err", attempt.err,
+		"took_ms", attempt.took.Milliseconds(), "sends", j.sends, "next", decision)
 }
--- a/internal/edge/entry/observe_test.go
+++ b/internal/edge/entry/observe_test.go
@@ -14,7 +14,7 @@
 )
 
 // observed are the target's words that reached the finder.
-func (f *finder) observed() []string {
+func (f *finder) notices() []string {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	var out []string
@@ -28,33 +28,33 @@
 
 // A target's words of itself count with any answer of its own, passed on or not, and with no other: not with one
 // that belongs to another request, nor with that of another target that has its address now.
-func TestWhichAnswersSpeakOfTheirTarget(t *testing.T) {
-	const leaves, backoffs = "Leaving: 1\r\n", "Not-Run: full\r\nRetry-After: 3\r\n"
+func TestNoticesFromAnswers(t *testing.T) {
+	const leavingHeader, backoffHeader = "Leaving: 1\r\n", "Not-Run: full\r\nRetry-After: 3\r\n"
 	backoff := "backoff t0 3s"
 	cases := map[string]struct {
-		first serving
+		first responder
 		want  []string
 	}{
-		"served":               {answer(200, leaves, "x"), []string{"leaving t0"}},
-		"failed":               {answer(500, leaves, "x"), []string{"leaving t0"}},
-		"refused":              {answer(503, leaves+backoffs, ""), []string{"leaving t0", backoff}},
-		"refused for good":     {answer(429, backoffs, ""), nil},
+		"served":               {answer(200, leavingHeader, "x"), []string{"leaving t0"}},
+		"failed":               {answer(500, leavingHeader, "x"), []string{"leaving t0"}},
+		"refused":              {answer(503, leavingHeader+backoffHeader, ""), []string{"leaving t0", backoff}},
+		"refused for good":     {answer(429, backoffHeader, ""), nil},
 		"served with a time":   {answer(200, "Retry-After: 3\r\n", "x"), nil},
 		"failed with a time":   {answer(503, "Retry-After: 3\r\n", "x"), []string{backoff}},
-		"by who has its place": {answer(421, leaves+"Not-Run: 1\r\n", ""), nil},
+		"by who has its place": {answer(421, leavingHeader+"Not-Run: 1\r\n", ""), nil},
 		"of another request": {func(w *bufio.Writer, r *http.Request) bool {
-			writeAnswer(w, "other", 503, leaves+backoffs, "")
-			writeAnswer(w, r.Header.Get("Id"), 200, "", "x")
+			writeResponse(w, "other", 503, leavingHeader+backoffHeader, "")
+			writeResponse(w, r.Header.Get("Id"), 200, "", "x")
 			return true
 		}, nil},
 	}
 	for name, c := range cases {
-		repeat := aRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 })
-		s := newSetup(t, repeat, newTarget(t, c.first), newTarget(t, answer(200, "", "x")))
+		route := newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 })
+		s := newSetup(t, route, newFakeTarget(t, c.first), newFakeTarget(t, answer(200, "", "x")))
 		if got, _ := s.call(t, "GET", "/", ""); got.Status != 200 {
 			t.Errorf("%s: the caller got %+v, want the second target's answer", name, got)
 		}
-		if diff := cmp.Diff(c.want, s.finder.observed(), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(c.want, s.finder.notices(), cmpopts.EquateEmpty()); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
--- a/internal/edge/entry/patience.go
+++ b/internal/edge/entry/patience.go
@@ -15,103 +15,103 @@
 // errSilent ends an attempt at a target that has been silent for too long, errHeldUp one at which
 // this router was held up itself and cannot tell.
 var (
-	errSilent = errors.New("the target is silent")
-	errHeldUp = errors.New("this router was held up")
+	errTargetSilent  = errors.New("the target is silent")
+	errRouterDelayed = errors.New("this router was held up")
 )
 
 // patience ends an attempt when its target is silent for too long while another
 // target could still do the work, and tells of the silence when none could.
-type patience struct {
+type idleTimeout struct {
 	cancel context.CancelCauseFunc
 	// timer ends the attempt; nil waits for ever.
-	timer *time.Timer
+	timeout *time.Timer
 	// watch tells of a silence, silence is how long that is, since when it began.
-	watch   *time.Timer
-	silence time.Duration
-	wait    atomic.Pointer[wait]
-	clock   ident.Clock
+	reporter     *time.Timer
+	suspectAfter time.Duration
+	idle         atomic.Pointer[idle]
+	clock        ident.Clock
 }
 
 // wait is since when nothing has come, and how long that may last.
-type wait struct {
+type idle struct {
 	since time.Time
 	limit time.Duration
 }
 
 // newPatience returns a context that ends after a limit without a byte; zero waits for
 // ever. After a silence, tell is called with its beginning.
-func newPatience(ctx context.Context, clock ident.Clock, limit, silence time.Duration, tell func(since time.Time)) (context.Context, *patience) {
+func newIdleTimeout(ctx context.Context, clock ident.Clock, limit, suspectAfter time.Duration, report func(since time.Time)) (context.Context, *idleTimeout) {
 	ctx, cancel := context.WithCancelCause(ctx)
-	p := &patience{cancel: cancel, clock: clock, silence: silence}
-	p.begin(limit)
+	t := &idleTimeout{cancel: cancel, clock: clock, suspectAfter: suspectAfter}
+	t.set(limit)
 	if limit > 0 {
-		p.timer = time.AfterFunc(limit, func() { cancel(p.ended()) })
+		t.timeout = time.AfterFunc(limit, func() { cancel(t.cause()) })
 	}
-	if silence > 0 {
-		p.watch = time.AfterFunc(silence, func() { tell(p.wait.Load().since) })
+	if suspectAfter > 0 {
+		t.reporter = time.AfterFunc(suspectAfter, func() { report(t.idle.Load().since) })
 	}
-	return ctx, p
+	return ctx, t
 }
 
 // begin notes the beginning of a silence and its limit.
-func (p *patience) begin(limit time.Duration) { p.wait.Store(&wait{since: p.clock(), limit: limit}) }
+func (t *idleTimeout) set(limit time.Duration) { t.idle.Store(&idle{since: t.clock(), limit: limit}) }
 
 // ended is why an attempt ends at its limit. A router short of processor time that notices it late
 // may have the answer waiting unread.
-func (p *patience) ended() error {
-	w := p.wait.Load()
-	if p.clock().Sub(w.since)-w.limit > relay.HeldUpAfter {
-		return errHeldUp
+func (t *idleTimeout) cause() error {
+	period := t.idle.Load()
+	if t.clock().Sub(period.since)-period.limit > relay.HeldUpAfter {
+		return errRouterDelayed
 	}
-	return errSilent
+	return errTargetSilent
 }
 
 // heard starts the silence anew, with a limit if there was one; zero lifts it.
-func (p *patience) heard(limit time.Duration) {
-	p.begin(limit)
+func (t *idleTimeout) reset(limit time.Duration) {
+	t.set(limit)
 	switch {
-	case p.timer == nil:
+	case t.timeout == nil:
 	case limit > 0:
-		p.timer.Reset(limit)
+		t.timeout.Reset(limit)
 	default:
-		p.timer.Stop()
+		t.timeout.Stop()
 	}
-	if p.watch != nil {
-		p.watch.Reset(p.silence)
+	if t.reporter != nil {
+		t.reporter.Reset(t.suspectAfter)
 	}
 }
 
 // stop frees the timers and the context.
-func (p *patience) stop() {
-	if p.timer != nil {
-		p.timer.Stop()
+func (t *idleTimeout) stop() {
+	if t.timeout != nil {
+		t.timeout.Stop()
 	}
-	if p.watch != nil {
-		p.watch.Stop()
+	if t.reporter != nil {
+		t.reporter.Stop()
 	}
-	p.cancel(nil)
+	t.cancel(nil)
 }
 
 const (
 	// firstPatience is how many times its objective an answer's first byte may take
 	// before another target is tried. Later than that it earns little even if it comes.
-	firstPatience = 1.5
+	idleTimeoutRatio = 1.5
 	// gapPatience is that factor for the pause between events of a stream. Callers give
 	// a stream up after eight times the pause.
-	gapPatience = 3
+	eventTimeoutRatio = 3
 )
 
 // silence is after how long without a byte a target is suspected: within its objective
 // a sound one has answered somebody.
-func (j *job) silence() time.Duration { return j.route.Objective }
+func (j *job) suspectAfter() time.Duration { return j.route.Objective }
 
 // patience is how long the next attempt may be silent before another is made.
-func (j *job) patience() time.Duration {
-	if j.route.Repeat != retry.Safe || j.ran+1 >= j.route.Attempts {
+func (j *job) idleTimeout() time.Duration {
+	if j.route.Repeat != retry.Safe || j.runs+1 >= j.route.Attempts {
 		return 0
 	}
-	return time.Duration(firstPatience * float64(j.route.Objective))
+	return time.Duration(idleTimeoutRatio * float64(j.route.Objective))
 }
 
 // gap is how long a stream may pause before it goes on at another target.
-func (j *job) gap() time.Duration { return gapPatience * j.route.GapObjective }
+func (j *job) eventTimeout() time.Duration { return eventTimeoutRatio * j.route.GapObjective }
--- a/internal/edge/entry/patience_test.go
+++ b/internal/edge/entry/patience_test.go
@@ -8,25 +8,25 @@
 )
 
 // A router that notices the end of its patience late was held up itself, and blames no target.
-func TestPatienceOfARouterThatIsHeldUp(t *testing.T) {
+func TestSilenceTimerOnDelayedRouter(t *testing.T) {
 	for _, test := range []struct {
 		late time.Duration
 		want error
-	}{{late: 0, want: errSilent}, {late: time.Second, want: errHeldUp}} {
+	}{{late: 0, want: errTargetSilent}, {late: time.Second, want: errRouterDelayed}} {
 		const limit = 10 * time.Millisecond
-		begun := time.Now()
+		start := time.Now()
 		calls := 0
 		clock := func() time.Time {
 			if calls++; calls == 1 {
-				return begun
+				return start
 			}
-			return begun.Add(limit + test.late)
+			return start.Add(limit + test.late)
 		}
-		ctx, p := newPatience(t.Context(), clock, limit, 0, nil)
+		ctx, timer := newIdleTimeout(t.Context(), clock, limit, 0, nil)
 		<-ctx.Done()
 		if got := context.Cause(ctx); !errors.Is(got, test.want) {
 			t.Errorf("noticed %v late: %v, want %v", test.late, got, test.want)
 		}
-		p.stop()
+		timer.stop()
 	}
 }
--- a/internal/edge/entry/place_test.go
+++ b/internal/edge/entry/place_test.go
@@ -19,33 +19,33 @@
 )
 
 // cutLong breaks off an answer that is too long to be kept whole.
-func cutLong(w *bufio.Writer, r *http.Request) bool {
-	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Id"), 2*wholeAnswer)
-	_, _ = w.WriteString(strings.Repeat("x", wholeAnswer+1))
+func truncateLong(w *bufio.Writer, r *http.Request) bool {
+	_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: %d\r\n\r\n", r.Header.Get("Id"), 2*maxBufferedAnswer)
+	_, _ = w.WriteString(strings.Repeat("x", maxBufferedAnswer+1))
 	return false
 }
 
 // placing has a router give the placements of a setup with one target, and returns the
 // homes that count them, and what runs put-off work.
-func placing(t *testing.T, s *setup) (*home.Homes, func()) {
+func useRouter(t *testing.T, s *setup) (*home.Homes, func()) {
 	t.Helper()
 	const pool, self = "s@co", "edge"
-	to := s.finder.targets[0]
+	target := s.finder.targets[0]
 	roster := place.NewRoster(1, []place.Engine{{
-		ID: to.ID, Hash: to.ID.Hash(), Addr: to.Addr, Zone: to.Zone, Incarnation: max(to.Incarnation, 1),
+		ID: target.ID, Hash: target.ID.Hash(), Addr: target.Addr, Zone: target.Zone, Incarnation: max(target.Incarnation, 1),
 	}})
 	homes := home.New(self, home.DefaultLimits, time.Now, func(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false })
 	homes.SetPool(pool, place.DefaultBound, roster)
 	remote, closeLinks := home.NewRemote(home.Edge{ID: self}, homes, nil, time.Second)
 	t.Cleanup(closeLinks)
 	var mu sync.Mutex
-	var later []func()
-	putOff := func(_ time.Duration, run func()) {
+	var delayed []func()
+	delay := func(_ time.Duration, run func()) {
 		mu.Lock()
 		defer mu.Unlock()
-		later = append(later, run)
+		delayed = append(delayed, run)
 	}
-	router := route.New(route.Self{ID: self, Region: "co", AfterFunc: putOff}, remote, time.Now)
+	router := route.New(route.Self{ID: self, Region: "co", AfterFunc: delay}, remote, time.Now)
 	router.Set([]route.Pool{{
 		Name: pool, Region: "co", Roster: roster,
 		Service: policy.Service{Name: "s", Balance: policy.Exact, Shards: 1, Bound: 1.25}, Bound: place.BoundOf(1.25),
@@ -54,7 +54,7 @@
 	return homes, func() {
 		mu.Lock()
 		defer mu.Unlock()
-		for _, run := range later {
+		for _, run := range delayed {
 			run()
 		}
 	}
@@ -62,14 +62,14 @@
 
 // An answer that is cut off ends its request like any other: the place at the target is
 // given back, and the target's failure is noted.
-func TestLongAnswerCutOffGivesItsPlaceBack(t *testing.T) {
-	s := newSetup(t, aRoute(nil), newTarget(t, cutLong))
-	homes, run := placing(t, s)
+func TestTruncatedLongAnswerReleasesPlacement(t *testing.T) {
+	s := newSetup(t, newRoute(nil), newFakeTarget(t, truncateLong))
+	homes, runDelayed := useRouter(t, s)
 	answer, _ := s.call(t, "GET", "/", "")
-	if !answer.Cut || answer.Status != 200 {
-		t.Errorf("status %d, cut off: %v", answer.Status, answer.Cut)
+	if !answer.Truncated || answer.Status != 200 {
+		t.Errorf("status %d, cut off: %v", answer.Status, answer.Truncated)
 	}
-	run()
+	runDelayed()
 	if permits, _ := homes.InFlight(); permits != 0 {
 		t.Errorf("%d permits are still held", permits)
 	}
@@ -78,9 +78,9 @@
 	if diff := cmp.Diff([]string{"ok false"}, s.finder.reports); diff != "" {
 		t.Error(diff)
 	}
-	s.ends.mu.Lock()
-	defer s.ends.mu.Unlock()
-	if diff := cmp.Diff([]Reason{CutOff}, s.ends.list); diff != "" {
+	s.recorder.mu.Lock()
+	defer s.recorder.mu.Unlock()
+	if diff := cmp.Diff([]Reason{CutOff}, s.recorder.reasons); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/edge/entry/pressed_test.go
+++ b/internal/edge/entry/pressed_test.go
@@ -17,8 +17,8 @@
 // connection and keeps the one before idle, as long as the configuration lets it, 15 s at the users'
 // deployments; a router of 4,100 descriptors had 3,600 such connections after five seconds of four
 // times the traffic, and accepted nobody from then on. Refusals must leave no connection behind.
-func TestRefusedCallersLeaveNoConnections(t *testing.T) {
-	s := newSetup(t, aRoute(nil))
+func TestRejectedCallersLeaveNoConnections(t *testing.T) {
+	s := newSetup(t, newRoute(nil))
 	s.finder.acquire = func(context.Context, route.Ask) (*route.Placement, error) {
 		return nil, fault.New("route.Acquire", route.TimedOut, route.RetryAfter{})
 	}
--- a/internal/edge/entry/problem.go
+++ b/internal/edge/entry/problem.go
@@ -18,11 +18,11 @@
 
 const (
 	// NoConfig means that this router does not know a configuration yet.
-	NoConfig Reason = "no_configuration"
+	NoConfiguration Reason = "no_configuration"
 	// NoRoute means that no route has the request's host and path.
 	NoRoute Reason = "no_route"
 	// BadKey means that no workspace has the request's API key.
-	BadKey Reason = "unknown_key"
+	UnknownKey Reason = "unknown_key"
 	// BadRequest means that the request's body could not be read.
 	BadRequest Reason = "bad_request"
 	// HeaderTooLarge means that the request's header exceeds the configured limit.
@@ -40,7 +40,7 @@
 	// Overloaded means that no target took the request in time.
 	Overloaded Reason = "overloaded"
 	// EndsTargets means that targets have ended under the request, which is held back for a while.
-	EndsTargets Reason = "ends_targets"
+	Quarantined Reason = "ends_targets"
 	// Refused means that a target said that it did not run the request.
 	Refused Reason = "target_refused"
 	// Unreachable means that no byte of the request reached a target.
@@ -64,7 +64,7 @@
 	status int
 	reason Reason
 	// again is when the caller may come back; zero says nothing.
-	again time.Duration
+	retryAfter time.Duration
 }
 
 // problemBody is what the caller's program reads of a problem.
@@ -93,8 +93,8 @@
 	h := w.Header()
 	h.Set("Content-Type", "application/json")
 	h.Set("Content-Length", strconv.Itoa(len(body)))
-	if p.again > 0 {
-		h.Set("Retry-After", strconv.FormatFloat(p.again.Seconds(), 'f', 3, 64))
+	if p.retryAfter > 0 {
+		h.Set("Retry-After", strconv.FormatFloat(p.retryAfter.Seconds(), 'f', 3, 64))
 	}
 	if p.status == http.StatusServiceUnavailable {
 		// Callers come back over a new connection and would leave this one idle for seconds. At four
@@ -104,35 +104,35 @@
 	}
 	w.WriteHeader(p.status)
 	// A caller that has gone needs no answer.
-	_ = writeWhole(w, body)
+	_ = writeAll(w, body)
 }
 
 // comeBack is when a caller may try again after a refusal that says nothing better:
 // long enough for the routers to notice a lost target, a small part of any deadline.
-const comeBack = 200 * time.Millisecond
+const defaultRetryAfter = 200 * time.Millisecond
 
 // refusal says that the request did not run and when to come back.
-func refusal(reason Reason, again time.Duration) *problem {
-	return &problem{status: http.StatusServiceUnavailable, reason: reason, again: max(again, comeBack)}
+func rejection(reason Reason, retryAfter time.Duration) *problem {
+	return &problem{status: http.StatusServiceUnavailable, reason: reason, retryAfter: max(retryAfter, defaultRetryAfter)}
 }
 
 // fromFinder turns a failure to find a target into a refusal.
-func fromFinder(err error) *problem {
-	var later route.RetryAfter
+func placementProblem(err error) *problem {
+	var retryAfter route.RetryAfter
 	// Without a time in the error, the refusal's own counts.
-	_ = errors.As(err, &later)
+	_ = errors.As(err, &retryAfter)
 	if fault.KindOf[route.Kind](err) == route.NoTarget {
-		return refusal(NoTarget, later.Wait)
+		return rejection(NoTarget, retryAfter.Wait)
 	}
-	return refusal(Overloaded, later.Wait)
+	return rejection(Overloaded, retryAfter.Wait)
 }
 
 // unanswered is the end of a request whose attempts brought no answer.
-func unanswered(outcome retry.Outcome, reason Reason, late bool) *problem {
+func noAnswer(outcome retry.Outcome, reason Reason, deadlineExceeded bool) *problem {
 	switch {
 	case outcome == retry.NotRun || outcome == "":
-		return refusal(reason, 0)
-	case late:
+		return rejection(reason, 0)
+	case deadlineExceeded:
 		return &problem{status: http.StatusGatewayTimeout, reason: TimedOut}
 	default:
 		return &problem{status: http.StatusBadGateway, reason: reason}
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -26,13 +26,13 @@
 )
 
 // plain is a dialect with short header names.
-type plain struct{}
+type testDialect struct{}
 
-func (plain) Read(h http.Header) Call {
+func (testDialect) Read(h http.Header) Call {
 	return Call{ID: RequestID(h.Get("Id")), Key: h.Get("Key")}
 }
 
-func (plain) Write(h http.Header, _ Call, o Order) {
+func (testDialect) Write(h http.Header, _ Call, o Order) {
 	h.Del("Key")
 	h.Set("Target", string(o.Target))
 	h.Set("Workspace", string(o.Workspace))
@@ -42,9 +42,9 @@
 	}
 }
 
-func (plain) Owns(h http.Header, call Call) bool { return h.Get("Id") == string(call.ID) }
+func (testDialect) Owns(h http.Header, call Call) bool { return h.Get("Id") == string(call.ID) }
 
-func (plain) Reply(status int, h http.Header) Reply {
+func (testDialect) Reply(status int, h http.Header) Reply {
 	return Reply{
 		NotRun: h.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest, Leaving: h.Get("Leaving") != "",
 	}
@@ -88,24 +88,24 @@
 	return nil, fault.New("test", route.NoTarget, nil)
 }
 
-func (f *finder) note(what string) {
+func (f *finder) record(report string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.reports = append(f.reports, what)
+	f.reports = append(f.reports, report)
 }
 
-func (f *finder) Report(_ ident.TargetHash, ok bool)      { f.note(fmt.Sprint("ok ", ok)) }
-func (f *finder) Cancelled(ident.TargetHash)              { f.note("cancelled") }
+func (f *finder) Report(_ ident.TargetHash, ok bool)      { f.record(fmt.Sprint("ok ", ok)) }
+func (f *finder) Cancelled(ident.TargetHash)              { f.record("cancelled") }
 func (f *finder) Heard(ident.TargetHash)                  {}
 func (f *finder) Silent(ident.TargetHash, time.Time) bool { return false }
-func (f *finder) Unreachable(ident.TargetHash)            { f.note("unreachable") }
+func (f *finder) Unreachable(ident.TargetHash)            { f.record("unreachable") }
 
 func (f *finder) Observe(target route.Target, n route.Notice) {
 	if n.Leaving {
-		f.note(fmt.Sprint("leaving ", target.ID))
+		f.record(fmt.Sprint("leaving ", target.ID))
 	}
 	if n.Backoff > 0 {
-		f.note(fmt.Sprint("backoff ", target.ID, " ", n.Backoff))
+		f.record(fmt.Sprint("backoff ", target.ID, " ", n.Backoff))
 	}
 }
 
@@ -119,43 +119,43 @@
 }
 
 // ends keeps how requests ended.
-type ends struct {
-	mu   sync.Mutex
-	list []Reason
+type recorder struct {
+	mu      sync.Mutex
+	reasons []Reason
 }
 
-func (e *ends) Ended(end End) {
+func (e *recorder) Ended(end End) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.list = append(e.list, end.Reason)
+	e.reasons = append(e.reasons, end.Reason)
 }
 
 // serving answers one request on a target's connection and reports whether the
 // connection stays open.
-type serving func(w *bufio.Writer, r *http.Request) bool
+type responder func(w *bufio.Writer, r *http.Request) bool
 
 // target is a server that is scripted byte by byte.
-type target struct {
+type fakeTarget struct {
 	addr string
 	mu   sync.Mutex
 	// runs are the headers of the requests that it read, bodies their bodies.
-	runs   []http.Header
-	lines  []string
-	bodies []string
-	closed chan struct{}
+	headers      []http.Header
+	requestLines []string
+	bodies       []string
+	closed       chan struct{}
 }
 
-func newTarget(t *testing.T, serve serving) *target {
+func newFakeTarget(t *testing.T, serve responder) *fakeTarget {
 	t.Helper()
-	out := &target{closed: make(chan struct{}, 16)}
+	out := &fakeTarget{closed: make(chan struct{}, 16)}
 	out.addr = listen.Conns(t, func(c net.Conn) { out.serve(c, serve) })
 	return out
 }
 
-func (s *target) serve(c net.Conn, serve serving) {
+func (t *fakeTarget) serve(c net.Conn, serve responder) {
 	defer func() {
 		_ = c.Close()
-		s.closed <- struct{}{}
+		t.closed <- struct{}{}
 	}()
 	reader, writer := bufio.NewReader(c), bufio.NewWriter(c)
 	for {
@@ -167,11 +167,11 @@
 		if err != nil {
 			return
 		}
-		s.mu.Lock()
-		s.runs = append(s.runs, r.Header)
-		s.lines = append(s.lines, r.Method+" "+r.RequestURI)
-		s.bodies = append(s.bodies, string(body))
-		s.mu.Unlock()
+		t.mu.Lock()
+		t.headers = append(t.headers, r.Header)
+		t.requestLines = append(t.requestLines, r.Method+" "+r.RequestURI)
+		t.bodies = append(t.bodies, string(body))
+		t.mu.Unlock()
 		open := serve(writer, r)
 		if writer.Flush() != nil || !open {
 			return
@@ -179,34 +179,34 @@
 	}
 }
 
-func (s *target) count() int {
-	s.mu.Lock()
-	defer s.mu.Unlock()
-	return len(s.runs)
+func (t *fakeTarget) count() int {
+	t.mu.Lock()
+	defer t.mu.Unlock()
+	return len(t.headers)
 }
 
 // answer writes a whole answer with a length.
-func answer(status int, headers, body string) serving {
+func answer(status int, headers, body string) responder {
 	return func(w *bufio.Writer, r *http.Request) bool {
-		writeAnswer(w, r.Header.Get("Id"), status, headers, body)
+		writeResponse(w, r.Header.Get("Id"), status, headers, body)
 		return true
 	}
 }
 
-func writeAnswer(w *bufio.Writer, id string, status int, headers, body string) {
+func writeResponse(w *bufio.Writer, id string, status int, headers, body string) {
 	_, _ = fmt.Fprintf(w, "HTTP/1.1 %d X\r\nId: %s\r\n%sContent-Length: %d\r\n\r\n%s", status, id, headers, len(body), body)
 }
 
 // setup is a handler before some targets.
 type setup struct {
-	url     string
-	handler *Handler
-	finder  *finder
-	ends    *ends
-	budget  *budget
+	url      string
+	handler  *Handler
+	finder   *finder
+	recorder *recorder
+	budget   *budget
 }
 
-func aRoute(change func(*match.Route)) match.Route {
+func newRoute(change func(*match.Route)) match.Route {
 	r := match.Route{
 		Name: "r", Host: "h", Prefix: "/", Repeat: retry.Unstarted, Timeout: 2 * time.Second, Objective: 100 * time.Millisecond,
 		GapObjective: 50 * time.Millisecond, Attempts: 1, Shares: []match.Share{{Service: "s", Weight: 1}},
@@ -217,7 +217,7 @@
 	return r
 }
 
-func newSetup(t *testing.T, r match.Route, targets ...*target) *setup {
+func newSetup(t *testing.T, r match.Route, targets ...*fakeTarget) *setup {
 	t.Helper()
 	table, err := match.Compile(match.Config{
 		Revision: 1, Routes: []match.Route{r}, Keyed: true, Limits: match.Limits{BodyBytes: 1 << 20},
@@ -229,18 +229,18 @@
 	return newSetupWith(t, rules{table: table, fresh: true}, targets...)
 }
 
-func newSetupWith(t *testing.T, r Rules, targets ...*target) *setup {
+func newSetupWith(t *testing.T, r Rules, targets ...*fakeTarget) *setup {
 	t.Helper()
-	s := &setup{finder: &finder{}, ends: &ends{}, budget: &budget{left: 10}}
-	for i, to := range targets {
-		s.finder.targets = append(s.finder.targets, route.Target{ID: ident.Target(fmt.Sprint("t", i)), Addr: to.addr})
+	s := &setup{finder: &finder{}, recorder: &recorder{}, budget: &budget{left: 10}}
+	for i, target := range targets {
+		s.finder.targets = append(s.finder.targets, route.Target{ID: ident.Target(fmt.Sprint("t", i)), Addr: target.addr})
 	}
 	conns, closeConns := relay.NewConns(relay.DefaultConnLimits)
 	t.Cleanup(closeConns)
-	guarding, closeGuard := guard.New(guard.Parts{Prober: conns, Logger: log.NewNopLogger(), Clock: time.Now, Spread: func() {}})
+	requestGuard, closeGuard := guard.New(guard.Parts{Prober: conns, Logger: log.NewNopLogger(), Clock: time.Now, Spread: func() {}})
 	t.Cleanup(closeGuard)
 	h := New(Parts{
-		Dialect: plain{}, Rules: r, Finder: s.finder, Sender: conns, Budget: s.budget, Guard: guarding, Observer: s.ends,
+		Dialect: testDialect{}, Rules: r, Finder: s.finder, Sender: conns, Budget: s.budget, Guard: requestGuard, Observer: s.recorder,
 		Logger: log.NewNopLogger(), Clock: time.Now,
 	})
 	server := httptest.NewUnstartedServer(h)
@@ -253,14 +253,14 @@
 }
 
 // got is what a caller gets.
-type got struct {
+type response struct {
 	Status int
 	Body   string
 	// Cut is set when the answer did not come to its end.
-	Cut bool
+	Truncated bool
 }
 
-func (s *setup) call(t *testing.T, method, path, body string) (got, http.Header) {
+func (s *setup) call(t *testing.T, method, path, body string) (response, http.Header) {
 	t.Helper()
 	r, err := http.NewRequestWithContext(t.Context(), method, s.url+path, strings.NewReader(body))
 	if err != nil {
@@ -271,18 +271,18 @@
 	r.Header.Set("Key", "k")
 	resp, err := http.DefaultTransport.RoundTrip(r)
 	if err != nil {
-		return got{Cut: true}, nil
+		return response{Truncated: true}, nil
 	}
 	defer resp.Body.Close()
 	data, err := io.ReadAll(resp.Body)
-	return got{Status: resp.StatusCode, Body: string(data), Cut: err != nil}, resp.Header
+	return response{Status: resp.StatusCode, Body: string(data), Truncated: err != nil}, resp.Header
 }
 
 // reset closes a connection without an answer after the request was read.
-func reset(*bufio.Writer, *http.Request) bool { return false }
+func closeUnanswered(*bufio.Writer, *http.Request) bool { return false }
 
 // events writes a stream of numbered events after one, and breaks it off after some.
-func events(from, to, last int) serving {
+func streamEvents(from, to, last int) responder {
 	return func(w *bufio.Writer, r *http.Request) bool {
 		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Type: text/event-stream\r\nTransfer-Encoding: chunked\r\n\r\n", r.Header.Get("Id"))
 		for i := from; i <= to; i++ {
@@ -299,7 +299,7 @@
 	}
 }
 
-func pieces(from, to int) string {
+func eventText(from, to int) string {
 	var b strings.Builder
 	for i := from; i <= to; i++ {
 		fmt.Fprintf(&b, "id: %d\ndata: piece %d\n\n", i, i)
