--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -31,7 +31,7 @@
 	took time.Duration
 	// connBroken is set when the connection to the target broke before the end of the answer.
 	connBroken bool
-	// complete is set when the end of the target's answer was received and verified.
+	// complete is set when the answer was received up to an end that its framing marks.
 	complete bool
 	// budgetUsed is set when a retry was already taken from the retry budget.
 	budgetUsed bool
@@ -120,7 +120,7 @@
 		return
 	}
 	if h.Finder.Silent(placement.Hash, since) {
-		_ = level.Info(h.Logger).Log("msg", "target is silent", "request", j.call.ID,
+		_ = level.Info(h.Logger).Log("msg", "target sent no data within the expected time", "request", j.call.ID,
 			"target", placement.Target.ID, "silence_ms", j.suspectAfter().Milliseconds())
 	}
 }
@@ -232,7 +232,7 @@
 	j.headSent = true
 	j.first = h.Clock().Sub(j.arrived)
 	w.WriteHeader(answer.Status)
-	caller := &callerWriter{to: w}
+	caller := &callerWriter{dst: w}
 	_, err := io.Copy(caller, io.MultiReader(bytes.NewReader(firstPart), answer))
 	switch {
 	case caller.failed:
@@ -246,15 +246,15 @@
 // callerWriter records write errors, which distinguishes a caller that disconnected from a target
 // that closed the connection.
 type callerWriter struct {
-	to     http.ResponseWriter
+	dst    http.ResponseWriter
 	failed bool
 }
 
 // Write implements io.Writer.
-func (n *callerWriter) Write(p []byte) (int, error) {
-	err := writeAll(n.to, p)
+func (c *callerWriter) Write(p []byte) (int, error) {
+	err := writeAll(c.dst, p)
 	if err != nil {
-		n.failed = true
+		c.failed = true
 		return 0, err
 	}
 	return len(p), nil
--- a/internal/edge/entry/caller_test.go
+++ b/internal/edge/entry/caller_test.go
@@ -49,6 +49,6 @@
 		}
 	}
 	if got := target.count() - before; got != 0 {
-		t.Errorf("%d requests of callers that had left reached the target", got)
+		t.Errorf("%d requests of disconnected callers reached the target", got)
 	}
 }
--- a/internal/edge/entry/descriptors_test.go
+++ b/internal/edge/entry/descriptors_test.go
@@ -23,12 +23,12 @@
 func TestDescriptorExhaustionIsNotTargetFailure(t *testing.T) {
 	s := newSetup(t, newRoute(nil), newFakeTarget(t, respondAndClose), newFakeTarget(t, respondAndClose))
 	if answer, _ := s.call(t, "GET", "/", ""); answer.Status != http.StatusOK {
-		t.Fatalf("status %d with descriptors", answer.Status)
+		t.Fatalf("status %d with free descriptors", answer.Status)
 	}
 	scarce.Descriptors(t)
 	answer, header := s.call(t, "GET", "/", "")
 	if answer.Status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
-		t.Errorf("got %d, want a refusal and a time to come back", answer.Status)
+		t.Errorf("status %d, want 503 with a Retry-After delay", answer.Status)
 	}
 	s.finder.mu.Lock()
 	defer s.finder.mu.Unlock()
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -26,7 +26,7 @@
 		t.Error(diff)
 	}
 	if header.Get("Signed") != "yes" || header.Get("X-Hop") != "" {
-		t.Errorf("the answer's headers are %v", header)
+		t.Errorf("answer headers: %v", header)
 	}
 	if diff := cmp.Diff([]string{"PATCH /a%2Fb/c?q=%20&q"}, target.requestLines); diff != "" {
 		t.Error(diff)
@@ -36,7 +36,7 @@
 	}
 	targetHeader := target.headers[0]
 	if targetHeader.Get("Key") != "" || targetHeader.Get("Target") != "t0" || targetHeader.Get("Workspace") != "w" || targetHeader.Get("Id") != "caller-1" {
-		t.Errorf("the target's headers are %v", targetHeader)
+		t.Errorf("target headers: %v", targetHeader)
 	}
 }
 
@@ -53,9 +53,9 @@
 	}{
 		{"no configuration", rules{}, "/a/", 503},
 		{"no route", rules{table, true}, "/b/", 404},
-		{"no route, old configuration", rules{table, false}, "/b/", 503},
+		{"no route, stale configuration", rules{table, false}, "/b/", 503},
 		{"unknown key", rules{table, true}, "/a/", 401},
-		{"unknown key, old configuration", rules{table, false}, "/a/", 503},
+		{"unknown key, stale configuration", rules{table, false}, "/a/", 503},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			s := newSetupWith(t, c.rules)
@@ -83,15 +83,15 @@
 		want   response
 		runs   []int
 	}{
-		{"mutating, refused, is sent elsewhere", nil, 9, []responder{reject, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
-		{"mutating, answer lost, runs once", nil, 9, []responder{closeUnanswered, ok}, response{Status: 502}, []int{1, 0}},
-		{"mutating, failed, is not repeated", nil, 9, []responder{fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 0}},
-		{"safe, answer lost, is repeated", safe, 9, []responder{closeUnanswered, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
-		{"safe, failed, is repeated", safe, 9, []responder{fail, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
-		{"safe, failed twice, keeps to its attempts", safe, 9, []responder{fail, fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 1, 0}},
-		{"safe, failed, without budget", safe, 0, []responder{fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 0}},
-		{"refused by all", nil, 9, []responder{reject, reject}, response{Status: 503}, []int{1, 1}},
-		{"safe, refused after a run, promises nothing", safe, 9, []responder{closeUnanswered, reject}, response{Status: 502}, []int{1, 1}},
+		{"mutating, rejected: retried at another target", nil, 9, []responder{reject, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
+		{"mutating, answer lost: not retried", nil, 9, []responder{closeUnanswered, ok}, response{Status: 502}, []int{1, 0}},
+		{"mutating, failed: not retried", nil, 9, []responder{fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 0}},
+		{"safe, answer lost: retried", safe, 9, []responder{closeUnanswered, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
+		{"safe, failed: retried", safe, 9, []responder{fail, ok}, response{Status: 200, Body: "fine"}, []int{1, 1}},
+		{"safe, failed twice: maximum attempts reached", safe, 9, []responder{fail, fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 1, 0}},
+		{"safe, failed: no retry budget", safe, 0, []responder{fail, ok}, response{Status: 500, Body: "failed"}, []int{1, 0}},
+		{"rejected by all", nil, 9, []responder{reject, reject}, response{Status: 503}, []int{1, 1}},
+		{"safe, rejected after a lost answer: outcome unknown", safe, 9, []responder{closeUnanswered, reject}, response{Status: 502}, []int{1, 1}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var targets []*fakeTarget
@@ -142,13 +142,13 @@
 		want  response
 		after string
 	}{
-		{"whole", stream, []responder{streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, ""},
-		{"broken", stream, []responder{streamEvents(1, 3, 5), streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 3), Truncated: true}, ""},
-		{"broken before its first event", stream, []responder{streamEvents(1, 0, 5), streamEvents(1, 5, 5)}, response{Status: 502}, ""},
+		{"complete", stream, []responder{streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, ""},
+		{"truncated", stream, []responder{streamEvents(1, 3, 5), streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 3), Truncated: true}, ""},
+		{"truncated before its first event", stream, []responder{streamEvents(1, 0, 5), streamEvents(1, 5, 5)}, response{Status: 502}, ""},
 		{"resumed", resumable, []responder{streamEvents(1, 3, 5), streamEvents(4, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, "3"},
-		{"resumed too early", resumable, []responder{streamEvents(1, 3, 5), streamEvents(2, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, "3"},
+		{"resumed with events already sent", resumable, []responder{streamEvents(1, 3, 5), streamEvents(2, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, "3"},
 		{"resumed at a target that fails", resumable, []responder{streamEvents(1, 3, 5), answer(500, "", "no")}, response{Status: 200, Body: eventText(1, 3), Truncated: true}, "3"},
-		{"started anew", resumable, []responder{closeUnanswered, streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, ""},
+		{"restarted", resumable, []responder{closeUnanswered, streamEvents(1, 5, 5)}, response{Status: 200, Body: eventText(1, 5)}, ""},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			var targets []*fakeTarget
@@ -177,12 +177,12 @@
 func TestSilentTarget(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	hangs := newFakeTarget(t, func(*bufio.Writer, *http.Request) bool {
+	hanging := newFakeTarget(t, func(*bufio.Writer, *http.Request) bool {
 		<-release
 		return false
 	})
 	healthy := newFakeTarget(t, answer(200, "", "fine"))
-	s := newSetup(t, newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 }), hangs, healthy)
+	s := newSetup(t, newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 }), hanging, healthy)
 	answer, _ := s.call(t, "GET", "/", "")
 	if diff := cmp.Diff(response{Status: 200, Body: "fine"}, answer); diff != "" {
 		t.Error(diff)
@@ -193,11 +193,11 @@
 func TestTimeLimit(t *testing.T) {
 	release := make(chan struct{})
 	defer close(release)
-	hangs := newFakeTarget(t, func(*bufio.Writer, *http.Request) bool {
+	hanging := newFakeTarget(t, func(*bufio.Writer, *http.Request) bool {
 		<-release
 		return false
 	})
-	s := newSetup(t, newRoute(func(r *match.Route) { r.Timeout = 80 * time.Millisecond }), hangs)
+	s := newSetup(t, newRoute(func(r *match.Route) { r.Timeout = 80 * time.Millisecond }), hanging)
 	answer, _ := s.call(t, "POST", "/", "x")
 	if answer.Status != http.StatusGatewayTimeout {
 		t.Errorf("status %d, want 504: the request may have run", answer.Status)
@@ -207,25 +207,25 @@
 // An answer that belongs to no request, or to an earlier one, must not be forwarded.
 func TestMismatchedAnswers(t *testing.T) {
 	var once sync.Once
-	surplus := newFakeTarget(t, func(w *bufio.Writer, r *http.Request) bool {
+	extraAnswer := newFakeTarget(t, func(w *bufio.Writer, r *http.Request) bool {
 		once.Do(func() { writeResponse(w, "somebody-else", 200, "", "foreign") })
 		writeResponse(w, r.Header.Get("Id"), 200, "", "own")
 		return true
 	})
-	s := newSetup(t, newRoute(nil), surplus)
+	s := newSetup(t, newRoute(nil), extraAnswer)
 	for range 2 {
 		answer, _ := s.call(t, "POST", "/", "x")
 		if diff := cmp.Diff(response{Status: 200, Body: "own"}, answer); diff != "" {
 			t.Error(diff)
 		}
 	}
-	garbage := newFakeTarget(t, func(w *bufio.Writer, _ *http.Request) bool {
+	malformed := newFakeTarget(t, func(w *bufio.Writer, _ *http.Request) bool {
 		_, _ = w.WriteString("\x16\x03\x01 this is no answer\r\n\r\n")
 		return false
 	})
-	s = newSetup(t, newRoute(nil), garbage)
+	s = newSetup(t, newRoute(nil), malformed)
 	if answer, _ := s.call(t, "POST", "/", "x"); answer.Status != http.StatusBadGateway {
-		t.Errorf("status %d for bytes that are no answer, want 502", answer.Status)
+		t.Errorf("status %d for a malformed response, want 502", answer.Status)
 	}
 }
 
@@ -255,22 +255,22 @@
 		t.Fatal(err)
 	}
 	defer l.Close()
-	gone := make(chan error, 1)
+	readErr := make(chan error, 1)
 	go func() {
 		c, err := l.Accept()
 		if err != nil {
-			gone <- err
+			readErr <- err
 			return
 		}
 		defer c.Close()
 		reader := bufio.NewReader(c)
 		if _, err := http.ReadRequest(reader); err != nil {
-			gone <- err
+			readErr <- err
 			return
 		}
 		close(started)
 		_, err = reader.ReadByte()
-		gone <- err
+		readErr <- err
 	}()
 	s := newSetup(t, newRoute(nil), &fakeTarget{addr: l.Addr().String()})
 	ctx, cancel := context.WithCancel(t.Context())
@@ -287,15 +287,15 @@
 	}()
 	if resp, err := http.DefaultTransport.RoundTrip(r); err == nil {
 		_ = resp.Body.Close()
-		t.Fatal("an answer came to a caller that has left")
+		t.Fatal("a disconnected caller received an answer")
 	}
 	select {
-	case err := <-gone:
+	case err := <-readErr:
 		if err == nil {
-			t.Error("the target got another byte")
+			t.Error("the target received another byte")
 		}
 	case <-time.After(time.Second):
-		t.Error("the target still works a second after its caller has left")
+		t.Error("the target connection is still open a second after the caller disconnected")
 	}
 }
 
@@ -310,7 +310,7 @@
 		t.Error(diff)
 	}
 	if second.count() != 0 {
-		t.Error("a second target worked on a stream that was fine")
+		t.Error("a healthy stream was retried at a second target")
 	}
 }
 
@@ -351,7 +351,7 @@
 			want = "10.0.0.9:8"
 		}
 		if diff := cmp.Diff(want, target.headers[0].Get("Holder")); diff != "" {
-			t.Errorf("engines that copy: %v: %s", copies, diff)
+			t.Errorf("copiesCache %v: %s", copies, diff)
 		}
 	}
 }
@@ -386,10 +386,10 @@
 	began := time.Now()
 	got, header := s.call(t, "GET", "/", "")
 	if took := time.Since(began); took > startupConfigTimeout/2 {
-		t.Errorf("refused after %v", took)
+		t.Errorf("rejected after %v", took)
 	}
 	if got.Status != 503 || header.Get("Retry-After") == "" {
-		t.Errorf("got %+v with %v", got, header)
+		t.Errorf("got %+v with headers %v", got, header)
 	}
 }
 
@@ -417,9 +417,9 @@
 		waitMs string
 		status int
 	}{
-		{"learnt within a part of the request's time", 100 * time.Millisecond, "1000", 200},
-		{"learnt later than that", 400 * time.Millisecond, "1000", 503},
-		{"a request with more time", 400 * time.Millisecond, "4000", 200},
+		{"available within the request's maximum wait", 100 * time.Millisecond, "1000", 200},
+		{"available after the maximum wait", 400 * time.Millisecond, "1000", 503},
+		{"a request with a later deadline", 400 * time.Millisecond, "4000", 200},
 	} {
 		s := newSetup(t, newRoute(nil), target)
 		s.handler.startedAt = time.Now()
--- a/internal/edge/entry/gate.go
+++ b/internal/edge/entry/gate.go
@@ -166,6 +166,6 @@
 	if now.Sub(g.loggedAt) < gateLogInterval {
 		return
 	}
-	_ = level.Warn(g.logger).Log("msg", "callers refused unread", "callers", g.rejected, "waited_ms", overloadDelay.Milliseconds())
+	_ = level.Warn(g.logger).Log("msg", "router overloaded; callers rejected without reading their requests", "callers", g.rejected, "waited_ms", overloadDelay.Milliseconds())
 	g.rejected, g.loggedAt = 0, now
 }
--- a/internal/edge/entry/gate_test.go
+++ b/internal/edge/entry/gate_test.go
@@ -31,21 +31,21 @@
 	g := newTestGate(t, func() time.Time { return now })
 	for range 2 * overloadMinRequests {
 		if g.recordRead(time.Minute) || g.recordRead(time.Millisecond) || g.overloaded() {
-			t.Fatal("callers are refused though every other one is read at once")
+			t.Fatal("callers are rejected although every other request is read without delay")
 		}
 	}
 	for i := range overloadMinRequests {
 		if got, want := g.recordRead(overloadDelay), i+1 == overloadMinRequests; got != want {
-			t.Errorf("after %d that waited: pressed %v, want %v", i+1, got, want)
+			t.Errorf("after %d late requests: overloaded %v, want %v", i+1, got, want)
 		}
 	}
 	now = now.Add(overloadHold - time.Millisecond)
 	if !g.overloaded() {
-		t.Error("callers are taken again at once")
+		t.Error("callers are accepted before the end of overloadHold")
 	}
 	now = now.Add(time.Millisecond)
 	if g.overloaded() {
-		t.Error("callers are refused for ever")
+		t.Error("callers are still rejected after overloadHold")
 	}
 }
 
@@ -107,7 +107,7 @@
 	case c := <-accepted:
 		_ = c.Close()
 	case <-time.After(5 * time.Second):
-		t.Error("a caller that has sent nothing yet is not taken")
+		t.Error("a caller that has sent nothing yet is not accepted")
 	}
 }
 
@@ -118,7 +118,7 @@
 	text, _, _ := strings.Cut(after, "\r\n")
 	seconds, err := strconv.ParseFloat(text, 64)
 	if err != nil {
-		t.Errorf("%q says when to come back by %q", head, text)
+		t.Errorf("%q has an invalid Retry-After value %q", head, text)
 	}
 	return time.Duration(seconds * float64(time.Second))
 }
@@ -146,13 +146,13 @@
 		}
 		delay := g.retryAfter()
 		if delay < overloadDelay {
-			t.Fatalf("told to come back after %v", delay)
+			t.Fatalf("Retry-After is %v", delay)
 		}
 		retries[now.Add(delay).UnixNano()/int64(slot)]++
 	}
 	for _, n := range retries {
 		if limit := int(1.2 * reads / 2 * slot.Seconds()); n > limit {
-			t.Errorf("%d callers are told the same tenth of a second, at most %d can be read", n, limit)
+			t.Errorf("%d callers retry within the same tenth of a second, want at most %d", n, limit)
 		}
 	}
 }
@@ -192,9 +192,9 @@
 		return p.reason, p.retryAfter
 	}
 	if reason, retryAfter := tryAccept(); reason != Overloaded || retryAfter < time.Second {
-		t.Errorf("after a second unread: %q, come back after %v", reason, retryAfter)
+		t.Errorf("after a second unread: reason %q, Retry-After %v", reason, retryAfter)
 	}
 	if reason, _ := tryAccept(); reason != "" {
-		t.Errorf("the next request of the connection: %q", reason)
+		t.Errorf("next request of the connection: reason %q", reason)
 	}
 }
--- a/internal/edge/entry/idle_timeout.go
+++ b/internal/edge/entry/idle_timeout.go
@@ -16,19 +16,19 @@
 // ends one at which this router itself was delayed, so that the silence gives no evidence about
 // the target.
 var (
-	errTargetSilent  = errors.New("the target is silent")
-	errRouterDelayed = errors.New("this router was held up")
+	errTargetSilent  = errors.New("target sent no data within the idle timeout")
+	errRouterDelayed = errors.New("router delayed; idle timeout is inconclusive")
 )
 
 // idleTimeout cancels an attempt whose target sends nothing for too long while the request may
 // still be retried. It also reports a silent target, even if no retry is possible.
 type idleTimeout struct {
 	cancel context.CancelCauseFunc
-	// timeout cancels the attempt; nil means no limit.
-	timeout *time.Timer
-	// reporter reports the target after suspectAfter without a byte. idle is the current period
+	// cancelTimer cancels the attempt; nil means no limit.
+	cancelTimer *time.Timer
+	// suspectTimer reports the target after suspectAfter without a byte. idle is the current period
 	// without a byte.
-	reporter     *time.Timer
+	suspectTimer *time.Timer
 	suspectAfter time.Duration
 	idle         atomic.Pointer[idle]
 	clock        ident.Clock
@@ -47,10 +47,10 @@
 	t := &idleTimeout{cancel: cancel, clock: clock, suspectAfter: suspectAfter}
 	t.set(limit)
 	if limit > 0 {
-		t.timeout = time.AfterFunc(limit, func() { cancel(t.cause()) })
+		t.cancelTimer = time.AfterFunc(limit, func() { cancel(t.cause()) })
 	}
 	if suspectAfter > 0 {
-		t.reporter = time.AfterFunc(suspectAfter, func() { report(t.idle.Load().since) })
+		t.suspectTimer = time.AfterFunc(suspectAfter, func() { report(t.idle.Load().since) })
 	}
 	return ctx, t
 }
@@ -72,24 +72,24 @@
 func (t *idleTimeout) reset(limit time.Duration) {
 	t.set(limit)
 	switch {
-	case t.timeout == nil:
+	case t.cancelTimer == nil:
 	case limit > 0:
-		t.timeout.Reset(limit)
+		t.cancelTimer.Reset(limit)
 	default:
-		t.timeout.Stop()
+		t.cancelTimer.Stop()
 	}
-	if t.reporter != nil {
-		t.reporter.Reset(t.suspectAfter)
+	if t.suspectTimer != nil {
+		t.suspectTimer.Reset(t.suspectAfter)
 	}
 }
 
 // stop releases the timers and the context.
 func (t *idleTimeout) stop() {
-	if t.timeout != nil {
-		t.timeout.Stop()
+	if t.cancelTimer != nil {
+		t.cancelTimer.Stop()
 	}
-	if t.reporter != nil {
-		t.reporter.Stop()
+	if t.suspectTimer != nil {
+		t.suspectTimer.Stop()
 	}
 	t.cancel(nil)
 }
--- a/internal/edge/entry/idle_timeout_test.go
+++ b/internal/edge/entry/idle_timeout_test.go
@@ -25,7 +25,7 @@
 		ctx, timer := newIdleTimeout(t.Context(), clock, limit, 0, nil)
 		<-ctx.Done()
 		if got := context.Cause(ctx); !errors.Is(got, test.want) {
-			t.Errorf("noticed %v late: %v, want %v", test.late, got, test.want)
+			t.Errorf("timer %v late: %v, want %v", test.late, got, test.want)
 		}
 		timer.stop()
 	}
--- a/internal/edge/entry/latency_test.go
+++ b/internal/edge/entry/latency_test.go
@@ -33,7 +33,7 @@
 			e.add("r", took)
 		}
 		if ratio := float64(late) / float64(total); ratio > 0.3 {
-			t.Errorf("seed %d: %.2f of the requests that wait to the end are late, want 0.3 at most", seed, ratio)
+			t.Errorf("seed %d: %.2f of the requests that wait for the maximum time are late, want at most 0.3", seed, ratio)
 		}
 	}
 }
--- a/internal/edge/entry/notice_test.go
+++ b/internal/edge/entry/notice_test.go
@@ -36,14 +36,14 @@
 		first responder
 		want  []string
 	}{
-		"served":               {answer(200, leavingHeader, "x"), []string{"leaving t0"}},
-		"failed":               {answer(500, leavingHeader, "x"), []string{"leaving t0"}},
-		"refused":              {answer(503, leavingHeader+backoffHeader, ""), []string{"leaving t0", backoff}},
-		"refused for good":     {answer(429, backoffHeader, ""), nil},
-		"served with a time":   {answer(200, "Retry-After: 3\r\n", "x"), nil},
-		"failed with a time":   {answer(503, "Retry-After: 3\r\n", "x"), []string{backoff}},
-		"by who has its place": {answer(421, leavingHeader+"Not-Run: 1\r\n", ""), nil},
-		"of another request": {func(w *bufio.Writer, r *http.Request) bool {
+		"served":                             {answer(200, leavingHeader, "x"), []string{"leaving t0"}},
+		"failed":                             {answer(500, leavingHeader, "x"), []string{"leaving t0"}},
+		"rejected":                           {answer(503, leavingHeader+backoffHeader, ""), []string{"leaving t0", backoff}},
+		"rejected permanently":               {answer(429, backoffHeader, ""), nil},
+		"served with Retry-After":            {answer(200, "Retry-After: 3\r\n", "x"), nil},
+		"failed with Retry-After":            {answer(503, "Retry-After: 3\r\n", "x"), []string{backoff}},
+		"from another target at the address": {answer(421, leavingHeader+"Not-Run: 1\r\n", ""), nil},
+		"to another request": {func(w *bufio.Writer, r *http.Request) bool {
 			writeResponse(w, "other", 503, leavingHeader+backoffHeader, "")
 			writeResponse(w, r.Header.Get("Id"), 200, "", "x")
 			return true
--- a/internal/edge/entry/overload_test.go
+++ b/internal/edge/entry/overload_test.go
@@ -53,12 +53,12 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-			t.Fatalf("status %d, come back after %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Fatalf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 	}
 	for deadline := time.Now().Add(5 * time.Second); open.Load() > 0; {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d connections of callers that were refused are open", open.Load())
+			t.Fatalf("%d connections of rejected callers are open", open.Load())
 		}
 		<-time.After(time.Millisecond)
 	}
--- a/internal/edge/entry/placement_test.go
+++ b/internal/edge/entry/placement_test.go
@@ -67,7 +67,7 @@
 	homes, runDelayed := useRouter(t, s)
 	answer, _ := s.call(t, "GET", "/", "")
 	if !answer.Truncated || answer.Status != 200 {
-		t.Errorf("status %d, cut off: %v", answer.Status, answer.Truncated)
+		t.Errorf("status %d, truncated: %v", answer.Status, answer.Truncated)
 	}
 	runDelayed()
 	if permits, _ := homes.InFlight(); permits != 0 {
--- a/internal/edge/entry/quarantine_test.go
+++ b/internal/edge/entry/quarantine_test.go
@@ -36,10 +36,10 @@
 		t.Errorf("status and requests at the target: %s", diff)
 	}
 	if header.Get("Retry-After") == "" {
-		t.Error("the refusal does not say when to come back")
+		t.Error("the rejection has no Retry-After header")
 	}
 	if got, _ := s.call(t, "POST", "/x", "another body"); got.Status != 200 {
-		t.Errorf("another request got %d", got.Status)
+		t.Errorf("another request: status %d", got.Status)
 	}
 }
 
@@ -53,11 +53,11 @@
 	quarantineAfter int
 }
 
-func (n *fakeGuard) HeldFor(ident.Fingerprint) time.Duration { return n.quarantine }
-func (n *fakeGuard) Served(ident.Fingerprint)                { n.served++ }
-func (n *fakeGuard) Broke(guard.Break) {
-	if n.broke++; n.broke == n.quarantineAfter {
-		n.quarantine = time.Minute
+func (g *fakeGuard) HeldFor(ident.Fingerprint) time.Duration { return g.quarantine }
+func (g *fakeGuard) Served(ident.Fingerprint)                { g.served++ }
+func (g *fakeGuard) Broke(guard.Break) {
+	if g.broke++; g.broke == g.quarantineAfter {
+		g.quarantine = time.Minute
 	}
 }
 
@@ -79,7 +79,7 @@
 	acquires := countAcquires(s)
 	got, header := s.call(t, "POST", "/x", "body")
 	if diff := cmp.Diff([]any{503, "60.000", 0}, []any{got.Status, header.Get("Retry-After"), *acquires}); diff != "" {
-		t.Errorf("status, Retry-After and looks for a target: %s", diff)
+		t.Errorf("status, Retry-After and acquires: %s", diff)
 	}
 }
 
@@ -92,7 +92,7 @@
 	acquires := countAcquires(s)
 	got, _ := s.call(t, "POST", "/x", "body")
 	if diff := cmp.Diff([]any{502, 2, 0}, []any{got.Status, *acquires, targets[2].count()}); diff != "" {
-		t.Errorf("status, looks for a target, and requests at the third: %s", diff)
+		t.Errorf("status, acquires and requests at the third target: %s", diff)
 	}
 }
 
@@ -105,13 +105,13 @@
 	for name, c := range map[string]struct {
 		serve  responder
 		served int
-	}{"whole": {answer(200, "", "body"), 1}, "without a length": {unframed, 0}} {
+	}{"complete": {answer(200, "", "body"), 1}, "without a length": {unframed, 0}} {
 		s := newSetup(t, newRoute(nil), newFakeTarget(t, c.serve))
 		guard := &fakeGuard{}
 		s.handler.Guard = guard
 		got, _ := s.call(t, "POST", "/x", "body")
 		if diff := cmp.Diff([]any{200, c.served, 0}, []any{got.Status, guard.served, guard.broke}); diff != "" {
-			t.Errorf("%s: status, answers that clear and breaks: %s", name, diff)
+			t.Errorf("%s: status, complete answers and broken answers: %s", name, diff)
 		}
 	}
 }
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -124,10 +124,10 @@
 	reasons []Reason
 }
 
-func (e *recorder) Ended(end End) {
-	e.mu.Lock()
-	defer e.mu.Unlock()
-	e.reasons = append(e.reasons, end.Reason)
+func (r *recorder) Ended(end End) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	r.reasons = append(r.reasons, end.Reason)
 }
 
 // responder answers one request on a target's connection and reports whether the connection stays
--- a/internal/edge/entry/slow_caller_test.go
+++ b/internal/edge/entry/slow_caller_test.go
@@ -35,31 +35,31 @@
 	return &blockedWriter{header: http.Header{}, unblock: make(chan struct{}), deadline: make(chan struct{})}
 }
 
-func (u *blockedWriter) Header() http.Header { return u.header }
-func (u *blockedWriter) WriteHeader(int)     {}
-func (u *blockedWriter) FlushError() error   { return nil }
+func (w *blockedWriter) Header() http.Header { return w.header }
+func (w *blockedWriter) WriteHeader(int)     {}
+func (w *blockedWriter) FlushError() error   { return nil }
 
-func (u *blockedWriter) SetWriteDeadline(at time.Time) error {
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	if u.timer != nil {
-		u.timer.Stop()
+func (w *blockedWriter) SetWriteDeadline(at time.Time) error {
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	if w.timer != nil {
+		w.timer.Stop()
 	}
 	if !at.IsZero() {
-		u.timer = time.AfterFunc(time.Until(at), func() { u.once.Do(func() { close(u.deadline) }) })
+		w.timer = time.AfterFunc(time.Until(at), func() { w.once.Do(func() { close(w.deadline) }) })
 	}
 	return nil
 }
 
-func (u *blockedWriter) Write(p []byte) (int, error) {
+func (w *blockedWriter) Write(p []byte) (int, error) {
 	select {
-	case <-u.unblock:
-	case <-u.deadline:
+	case <-w.unblock:
+	case <-w.deadline:
 		return 0, os.ErrDeadlineExceeded
 	}
-	u.mu.Lock()
-	defer u.mu.Unlock()
-	return u.written.Write(p)
+	w.mu.Lock()
+	defer w.mu.Unlock()
+	return w.written.Write(p)
 }
 
 // serveTo starts serving a request and returns a channel that is closed at its end.
@@ -83,7 +83,7 @@
 }
 
 // newStreamingTarget returns a target with small socket buffers that sends streams of events.
-func newStreamingTarget(t *testing.T, count, size int) (streaming *fakeTarget, written <-chan struct{}) {
+func newStreamingTarget(t *testing.T, count, size int) (target *fakeTarget, written <-chan struct{}) {
 	t.Helper()
 	done := make(chan struct{}, 1000)
 	out := &fakeTarget{closed: make(chan struct{}, 1000)}
@@ -125,7 +125,7 @@
 	select {
 	case <-sent:
 	case <-time.After(callerWriteTimeout / 2):
-		t.Fatal("the target still holds its answer")
+		t.Fatal("the target still holds a part of its answer")
 	}
 	close(caller.unblock)
 	<-ended
@@ -144,7 +144,7 @@
 	for _, c := range []struct {
 		name  string
 		count int
-	}{{"streams of less", 40}, {"streams of more than waits for one caller", 100}} {
+	}{{"streams below the limit", 40}, {"streams above the limit of one caller", 100}} {
 		t.Run(c.name, func(t *testing.T) {
 			target, _ := newStreamingTarget(t, c.count, 4000)
 			s := newSetup(t, newRoute(streamRoute), target)
@@ -163,15 +163,15 @@
 				select {
 				case <-end:
 				case <-limit:
-					t.Fatal("a caller that reads nothing is still served")
+					t.Fatal("the request of a caller that reads nothing has not ended")
 				}
 				peak = max(peak, s.handler.unreadBytes.Load())
 			}
 			if peak > maxUnreadTotal+callers*eventReadSize {
-				t.Errorf("%d bytes waited for callers, want %d at most", peak, maxUnreadTotal)
+				t.Errorf("%d bytes buffered for callers, want at most %d", peak, maxUnreadTotal)
 			}
 			if held := s.handler.unreadBytes.Load(); held != 0 {
-				t.Errorf("%d bytes still counted as waiting", held)
+				t.Errorf("%d bytes still counted as buffered", held)
 			}
 			for _, reason := range s.recorder.reasons {
 				if reason != CallerGone && reason != Unread {
@@ -180,7 +180,7 @@
 			}
 			for _, report := range s.finder.reports {
 				if report != "ok true" {
-					t.Fatalf("a target was blamed: %s", report)
+					t.Fatalf("a target was reported as failed: %s", report)
 				}
 			}
 		})
