--- a/internal/edge/entry/body.go
+++ b/internal/edge/entry/body.go
@@ -8,7 +8,7 @@
 	"github.com/pkg/errors"
 )
 
-// readBody reads the request's body within its limits.
+// readBody reads the request's body, limited by its maximum size and the request deadline.
 func (h *Handler) readBody(w http.ResponseWriter, r *http.Request, j *job) *problem {
 	if r.Body == http.NoBody {
 		return nil
@@ -17,8 +17,8 @@
 		return &problem{status: http.StatusRequestEntityTooLarge, reason: TooLarge}
 	}
 	control := http.NewResponseController(w)
-	// Neither call fails on a connection of this server.
-	_ = control.SetReadDeadline(j.limit)
+	// Setting a read deadline does not fail on connections of this server.
+	_ = control.SetReadDeadline(j.deadline)
 	body, err := readAll(http.MaxBytesReader(w, r.Body, j.bodyLimit), r.ContentLength)
 	_ = control.SetReadDeadline(time.Time{})
 	var large *http.MaxBytesError
@@ -28,14 +28,14 @@
 		return nil
 	case errors.As(err, &large):
 		return &problem{status: http.StatusRequestEntityTooLarge, reason: TooLarge}
-	case r.Context().Err() != nil || !h.Clock().Before(j.limit):
+	case r.Context().Err() != nil || !h.Clock().Before(j.deadline):
 		return &problem{status: http.StatusRequestTimeout, reason: SlowCaller}
 	default:
 		return &problem{status: http.StatusBadRequest, reason: BadRequest}
 	}
 }
 
-// readAll reads a body whose length may be known.
+// readAll reads a body of the given length; a negative length means unknown.
 func readAll(r io.Reader, length int64) ([]byte, error) {
 	if length < 0 {
 		return io.ReadAll(r)
--- a/internal/edge/entry/job.go
+++ b/internal/edge/entry/job.go
@@ -14,7 +14,7 @@
 	"valescale/internal/rule/retry"
 )
 
-// job is one request on its way.
+// job is the state of one request.
 type job struct {
 	call      Call
 	method    string
@@ -27,113 +27,116 @@
 	route     *match.Route
 	workspace *match.Workspace
 	service   ident.Service
-	// as is the name under which the latest target was sought: the service's, or that of its version on trial.
-	as ident.Service
-	// copies says that the service's engines can take cached prompts from each other.
-	copies  bool
-	key     ident.ChatKey
-	arrived time.Time
-	// limit is when the final answer is due.
-	limit time.Time
-	// avoid are the targets of earlier attempts.
+	// lookupName is the name under which the last target was sought: that of the service or of its
+	// canary version.
+	lookupName ident.Service
+	// copiesCache is set when the engines of the service can copy cached prompt prefixes from each
+	// other.
+	copiesCache  bool
+	placementKey ident.ChatKey
+	arrived      time.Time
+	// deadline is the request deadline, by which the final answer is due.
+	deadline time.Time
+	// avoid contains the targets of earlier attempts.
 	avoid []ident.TargetHash
-	// sends counts the attempts that reached a target, ran those that it may have
-	// worked on, free those that reached none.
-	sends int
-	ran   int
-	free  int
-	// outcome is what is known of the attempts so far taken together.
+	// sends counts the attempts that reached a target, runs those that the target may have run,
+	// and unreached those that reached none.
+	sends     int
+	runs      int
+	unreached int
+	// outcome is the combined outcome of all attempts so far.
 	outcome retry.Outcome
-	// refused is why no target was found.
-	refused error
-	// started is set once a part of an answer has gone to the caller.
-	started bool
-	// outbox passes a stream on to the caller; nil before there is one.
-	outbox *outbox
-	// placed is the latest placement, nil before the first.
-	placed *route.Placement
-	// last is the id of the last event that the caller has got.
-	last EventID
-	// print is the fingerprint, zero until it is asked for.
-	print ident.Fingerprint
-	// found and first are the times until a target was found and until the answer's
-	// first byte, zero before that.
+	// placementErr is the reason for which no target was found.
+	placementErr error
+	// headSent is set once a part of an answer has been sent to the caller.
+	headSent bool
+	// streamWriter writes a stream to the caller; nil until a stream is forwarded.
+	streamWriter *streamWriter
+	// lastPlacement is the most recent placement, nil before the first.
+	lastPlacement *route.Placement
+	// lastEvent is the ID of the last event sent to the caller.
+	lastEvent EventID
+	// cachedFingerprint is the fingerprint, or zero until it is computed.
+	cachedFingerprint ident.Fingerprint
+	// found and first are the times until a target was found and until the first byte of the
+	// answer; zero before that.
 	found time.Duration
 	first time.Duration
 }
 
-// shares reports whether the request has something in common with others.
-func (j *job) shares() bool { return j.route.Sticky && len(j.call.Parts) > 0 }
+// sharesPrefix reports whether the request shares a prompt prefix with others.
+func (j *job) sharesPrefix() bool { return j.route.Sticky && len(j.call.Parts) > 0 }
 
-// placeKey is what requests that should meet at one target have in common: the last
-// part of the prompt that is shared with others.
-func (j *job) placeKey() ident.ChatKey {
+// newPlacementKey returns the key of requests that should be placed at the same target: the last
+// prompt part that is shared with other requests.
+func (j *job) newPlacementKey() ident.ChatKey {
 	parts := j.call.Parts
-	if !j.shares() {
+	if !j.sharesPrefix() {
 		return ident.NewChatKey(j.workspace.Name, string(j.call.ID))
 	}
 	shared := parts[max(len(parts)-2, 0)]
 	return ident.NewChatKey("", shared.ID)
 }
 
-// ranks is the number of ranks that priorities tell apart for routes, and for workspaces;
-// lower urgency than that counts as the last.
-const ranks = 16
+// rankLevels is the number of distinct ranks of routes, and of workspaces. Higher rank numbers,
+// which mean lower urgency, count as the last.
+const rankLevels = 16
 
-// fingerprint tells the request from others of its workspace, and knows it again when it comes anew.
+// fingerprint identifies the request within its workspace and is the same when it is repeated.
 func (j *job) fingerprint() ident.Fingerprint {
-	if j.print == 0 {
-		j.print = ident.NewFingerprint(j.workspace.Name, j.host, ident.HashRequest(j.method, j.path, j.body))
+	if j.cachedFingerprint == 0 {
+		j.cachedFingerprint = ident.NewFingerprint(j.workspace.Name, j.host, ident.HashRequest(j.method, j.path, j.body))
 	}
-	return j.print
+	return j.cachedFingerprint
 }
 
-// priority joins the ranks of workspace and route into one number, higher first.
+// priority combines the ranks of workspace and route into one number; a higher number is more
+// urgent.
 func (j *job) priority() int {
-	level := func(rank int) int { return ranks - 1 - min(max(rank, 0), ranks-1) }
-	return level(j.workspace.Rank)*ranks + level(j.route.Rank)
+	level := func(rank int) int { return rankLevels - 1 - min(max(rank, 0), rankLevels-1) }
+	return level(j.workspace.Rank)*rankLevels + level(j.route.Rank)
 }
 
-// waitShare is the part of its time that a request without an objective may wait for a
-// target: what is left must do for the answer.
-const waitShare = 0.5
+// defaultWaitRatio is the share of its time that a request without an objective may wait for a
+// target. The rest must suffice for the answer.
+const defaultWaitRatio = 0.5
 
-// wait is how long after its arrival the request may wait for a target: as long as an answer
-// can still come within its objective if the target takes to the first byte what is expected
-// of it. Whoever waits longer is late in any case, and makes those late that come after.
+// wait returns the maximum time from arrival that the request may wait for a target. It is the
+// objective less the expected time to the first byte. A request that waits longer misses its
+// objective in any case, and delays the requests behind it.
 func (j *job) wait(expected time.Duration) time.Duration {
 	if j.route.Objective <= 0 {
-		return time.Duration(float64(j.limit.Sub(j.arrived)) * waitShare)
+		return time.Duration(float64(j.deadline.Sub(j.arrived)) * defaultWaitRatio)
 	}
-	return max(min(j.route.Objective, j.limit.Sub(j.arrived))-expected, 0)
+	return max(min(j.route.Objective, j.deadline.Sub(j.arrived))-expected, 0)
 }
 
-// ask is what the job needs of the finder; expected is how long the target will take to
-// the answer's first byte.
-func (j *job) ask(expected time.Duration) route.Ask {
+// placementRequest returns the request to the finder. The expected time is that from the placement
+// to the first byte of the answer.
+func (j *job) placementRequest(expected time.Duration) route.Ask {
 	return route.Ask{
 		Service:   j.service,
 		Workspace: j.workspace.Name,
 		Weight:    1,
 		Priority:  j.priority(),
-		Key:       j.key,
-		Once:      !j.shares(),
+		Key:       j.placementKey,
+		Once:      !j.sharesPrefix(),
 		Work:      ident.OneRequest,
 		Deadline:  j.arrived.Add(j.wait(expected)),
 		Avoid:     j.avoid,
 	}
 }
 
-// ended tells the observer and the log of a request's end.
+// ended reports the end of a request to the observer and logs it.
 func (h *Handler) ended(j *job, reason Reason, status int) {
-	e := j.end(h.Clock())
+	e := j.newEnd(h.Clock())
 	e.Reason, e.Status = reason, status
 	h.Observer.Ended(e)
 	h.logEnd(j, e)
 }
 
-// end is the job's end at some time, without reason and status.
-func (j *job) end(now time.Time) End {
+// newEnd returns the end of the request at the given time, without reason and status.
+func (j *job) newEnd(now time.Time) End {
 	e := End{Service: j.service, Sends: j.sends, Found: j.found, First: j.first, Whole: now.Sub(j.arrived)}
 	if j.route != nil {
 		e.Route = j.route.Name
@@ -144,30 +147,30 @@
 	return e
 }
 
-// logEnd tells the log of a request's end.
+// logEnd logs the end of a request.
 func (h *Handler) logEnd(j *job, e End) {
 	var target, holder ident.Target
 	var home ident.Router
 	var basis place.Basis
 	warm := false
-	if j.placed != nil {
-		basis = j.placed.Basis
-		target, warm, home = j.placed.Target.ID, j.placed.Warm, j.placed.Home
-		if j.placed.Holder != nil {
-			holder = j.placed.Holder.ID
+	if j.lastPlacement != nil {
+		basis = j.lastPlacement.Basis
+		target, warm, home = j.lastPlacement.Target.ID, j.lastPlacement.Warm, j.lastPlacement.Home
+		if j.lastPlacement.Holder != nil {
+			holder = j.lastPlacement.Holder.ID
 		}
 	}
 	_ = level.Info(h.Logger).Log("msg", "request", "request", j.call.ID, "route", e.Route, "workspace", e.Workspace,
 		"service", e.Service, "revision", j.revision, "reason", e.Reason, "status", e.Status, "sends", e.Sends, "outcome", j.outcome,
-		"target", target, "key", strconv.FormatUint(uint64(j.key), 16), "warm", warm, "holder", holder, "home", home,
+		"target", target, "key", strconv.FormatUint(uint64(j.placementKey), 16), "warm", warm, "holder", holder, "home", home,
 		"rule", basis.Rule, "load", basis.Load.Requests(), "mean", basis.Mean.Requests(),
 		"found_ms", e.Found.Milliseconds(), "first_ms", e.First.Milliseconds(), "whole_ms", e.Whole.Milliseconds(),
-		"err", j.refused)
+		"err", j.placementErr)
 }
 
-// logAttempt tells the log of an attempt that brought no answer and what follows.
-func (h *Handler) logAttempt(j *job, placement *route.Placement, last result, next follow) {
+// logAttempt logs a failed attempt and the retry decision.
+func (h *Handler) logAttempt(j *job, placement *route.Placement, attempt result, decision retryDecision) {
 	_ = level.Info(h.Logger).Log("msg", "attempt failed", "request", j.call.ID, "fingerprint", j.fingerprint(), "service", j.service, "target", placement.Target.ID,
-		"addr", placement.Target.Addr, "step", last.step, "status", last.status, "reason", last.reason, "err", last.err,
-		"took_ms", last.took.Milliseconds(), "sends", j.sends, "next", next)
+		"addr", placement.Target.Addr, "step", attempt.step, "status", attempt.status, "reason", attempt.reason, "err", attempt.err,
+		"took_ms", attempt.took.Milliseconds(), "sends", j.sends, "next", decision)
 }
--- /dev/null
+++ b/internal/edge/entry/notice_test.go
@@ -0,0 +1,62 @@
+package entry
+
+import (
+	"bufio"
+	"net/http"
+	"strings"
+	"testing"
+
+	"github.com/google/go-cmp/cmp"
+	"github.com/google/go-cmp/cmp/cmpopts"
+
+	"valescale/internal/rule/match"
+	"valescale/internal/rule/retry"
+)
+
+// notices returns the backoff and draining reports that reached the finder.
+func (f *finder) notices() []string {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	var out []string
+	for _, r := range f.reports {
+		if strings.HasPrefix(r, "backoff ") || strings.HasPrefix(r, "leaving ") {
+			out = append(out, r)
+		}
+	}
+	return out
+}
+
+// Backoff and draining state are taken from any answer of the target itself, whether it is
+// forwarded or not. They must not be taken from an answer to another request, or from another
+// target that has taken over the address.
+func TestNoticesFromAnswers(t *testing.T) {
+	const leavingHeader, backoffHeader = "Leaving: 1\r\n", "Not-Run: full\r\nRetry-After: 3\r\n"
+	backoff := "backoff t0 3s"
+	cases := map[string]struct {
+		first responder
+		want  []string
+	}{
+		"served":                             {answer(200, leavingHeader, "x"), []string{"leaving t0"}},
+		"failed":                             {answer(500, leavingHeader, "x"), []string{"leaving t0"}},
+		"rejected":                           {answer(503, leavingHeader+backoffHeader, ""), []string{"leaving t0", backoff}},
+		"rejected permanently":               {answer(429, backoffHeader, ""), nil},
+		"served with Retry-After":            {answer(200, "Retry-After: 3\r\n", "x"), nil},
+		"failed with Retry-After":            {answer(503, "Retry-After: 3\r\n", "x"), []string{backoff}},
+		"from another target at the address": {answer(421, leavingHeader+"Not-Run: 1\r\n", ""), nil},
+		"to another request": {func(w *bufio.Writer, r *http.Request) bool {
+			writeResponse(w, "other", 503, leavingHeader+backoffHeader, "")
+			writeResponse(w, r.Header.Get("Id"), 200, "", "x")
+			return true
+		}, nil},
+	}
+	for name, c := range cases {
+		route := newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 2 })
+		s := newSetup(t, route, newFakeTarget(t, c.first), newFakeTarget(t, answer(200, "", "x")))
+		if got, _ := s.call(t, "GET", "/", ""); got.Status != 200 {
+			t.Errorf("%s: the caller got %+v, want the second target's answer", name, got)
+		}
+		if diff := cmp.Diff(c.want, s.finder.notices(), cmpopts.EquateEmpty()); diff != "" {
+			t.Errorf("%s: %s", name, diff)
+		}
+	}
+}
--- a/internal/edge/entry/pressed_test.go
+++ b/internal/edge/entry/overload_test.go
@@ -13,12 +13,12 @@
 	"valescale/internal/plat/fault"
 )
 
-// Pattern: more requests than all targets run, for seconds. A refused caller comes back over a new
-// connection and keeps the one before idle, as long as the configuration lets it, 15 s at the users'
-// deployments; a router of 4,100 descriptors had 3,600 such connections after five seconds of four
-// times the traffic, and accepted nobody from then on. Refusals must leave no connection behind.
-func TestRefusedCallersLeaveNoConnections(t *testing.T) {
-	s := newSetup(t, aRoute(nil))
+// Rejected callers must leave no idle connection behind. When requests exceed the capacity of all
+// targets for seconds, a rejected caller retries over a new connection and leaves the old one idle
+// for the configured time, for example 15 s. A router with 4,100 descriptors had 3,600 such
+// connections after five seconds at four times the traffic, and accepted no more callers.
+func TestRejectedCallersLeaveNoConnections(t *testing.T) {
+	s := newSetup(t, newRoute(nil))
 	s.finder.acquire = func(context.Context, route.Ask) (*route.Placement, error) {
 		return nil, fault.New("route.Acquire", route.TimedOut, route.RetryAfter{})
 	}
@@ -38,7 +38,7 @@
 	go func() { _ = server.Serve(l) }()
 	t.Cleanup(func() { _ = server.Close() })
 	for range 200 {
-		// Each caller keeps its connection if the router does.
+		// Each client reuses its connection if the router keeps it open.
 		client := &http.Client{Transport: &http.Transport{}}
 		req, err := http.NewRequestWithContext(t.Context(), "GET", "http://"+l.Addr().String()+"/", nil)
 		if err != nil {
@@ -53,12 +53,12 @@
 		_, _ = io.Copy(io.Discard, resp.Body)
 		_ = resp.Body.Close()
 		if resp.StatusCode != http.StatusServiceUnavailable || resp.Header.Get("Retry-After") == "" {
-			t.Fatalf("status %d, come back after %q", resp.StatusCode, resp.Header.Get("Retry-After"))
+			t.Fatalf("status %d, Retry-After %q", resp.StatusCode, resp.Header.Get("Retry-After"))
 		}
 	}
 	for deadline := time.Now().Add(5 * time.Second); open.Load() > 0; {
 		if time.Now().After(deadline) {
-			t.Fatalf("%d connections of callers that were refused are open", open.Load())
+			t.Fatalf("%d connections of rejected callers are open", open.Load())
 		}
 		<-time.After(time.Millisecond)
 	}
--- /dev/null
+++ b/internal/edge/entry/quarantine_test.go
@@ -0,0 +1,117 @@
+package entry
+
+import (
+	"bufio"
+	"context"
+	"fmt"
+	"net/http"
+	"testing"
+	"time"
+
+	"github.com/google/go-cmp/cmp"
+
+	"valescale/internal/edge/guard"
+	"valescale/internal/edge/route"
+	"valescale/internal/plat/ident"
+	"valescale/internal/rule/crash"
+	"valescale/internal/rule/match"
+	"valescale/internal/rule/retry"
+)
+
+// A request that is quarantined while it waits for a target must not be sent to the target it then
+// gets. Under load many copies of it wait at all routers, and each would crash a target.
+func TestQuarantinedWhileWaiting(t *testing.T) {
+	upstream := newFakeTarget(t, answer(200, "", "body"))
+	s := newSetup(t, newRoute(nil), upstream)
+	suspect := ident.NewFingerprint("w", "h", ident.HashRequest("POST", "/x", []byte("body")))
+	s.finder.acquire = func(context.Context, route.Ask) (*route.Placement, error) {
+		s.handler.Guard.(*guard.Guard).Incoming([]crash.Suspect{{Request: suspect, Ends: []crash.End{
+			{Start: 1, At: time.Now()}, {Start: 2, At: time.Now()},
+		}}})
+		target := s.finder.targets[0]
+		return &route.Placement{Target: target, Hash: target.ID.Hash()}, nil
+	}
+	got, header := s.call(t, "POST", "/x", "body")
+	if diff := cmp.Diff([]any{503, 0}, []any{got.Status, upstream.count()}); diff != "" {
+		t.Errorf("status and requests at the target: %s", diff)
+	}
+	if header.Get("Retry-After") == "" {
+		t.Error("the rejection has no Retry-After header")
+	}
+	if got, _ := s.call(t, "POST", "/x", "another body"); got.Status != 200 {
+		t.Errorf("another request: status %d", got.Status)
+	}
+}
+
+// fakeGuard is a guard with a fixed quarantine time that counts its calls.
+type fakeGuard struct {
+	quarantine time.Duration
+	broke      int
+	served     int
+	// quarantineAfter is the number of broken answers after which the request is quarantined; zero
+	// means never.
+	quarantineAfter int
+}
+
+func (g *fakeGuard) HeldFor(ident.Fingerprint) time.Duration { return g.quarantine }
+func (g *fakeGuard) Served(ident.Fingerprint)                { g.served++ }
+func (g *fakeGuard) Broke(guard.Break) {
+	if g.broke++; g.broke == g.quarantineAfter {
+		g.quarantine = time.Minute
+	}
+}
+
+// countAcquires counts the calls of the finder's Acquire.
+func countAcquires(s *setup) *int {
+	count := 0
+	s.finder.acquire = func(ctx context.Context, ask route.Ask) (*route.Placement, error) {
+		count++
+		return (&finder{targets: s.finder.targets}).Acquire(ctx, ask)
+	}
+	return &count
+}
+
+// A quarantined request is rejected at once with a Retry-After delay and does not wait for a
+// target.
+func TestQuarantinedRequestsAreRejected(t *testing.T) {
+	s := newSetup(t, newRoute(nil), newFakeTarget(t, answer(200, "", "body")))
+	s.handler.Guard = &fakeGuard{quarantine: time.Minute}
+	acquires := countAcquires(s)
+	got, header := s.call(t, "POST", "/x", "body")
+	if diff := cmp.Diff([]any{503, "60.000", 0}, []any{got.Status, header.Get("Retry-After"), *acquires}); diff != "" {
+		t.Errorf("status, Retry-After and acquires: %s", diff)
+	}
+}
+
+// Once a request is quarantined, no further attempt is made and no target is acquired. The outcome
+// remains that it may have run.
+func TestNoRetryOnceQuarantined(t *testing.T) {
+	targets := []*fakeTarget{newFakeTarget(t, closeUnanswered), newFakeTarget(t, closeUnanswered), newFakeTarget(t, closeUnanswered)}
+	s := newSetup(t, newRoute(func(r *match.Route) { r.Repeat, r.Attempts = retry.Safe, 3 }), targets...)
+	s.handler.Guard = &fakeGuard{quarantineAfter: 2}
+	acquires := countAcquires(s)
+	got, _ := s.call(t, "POST", "/x", "body")
+	if diff := cmp.Diff([]any{502, 2, 0}, []any{got.Status, *acquires, targets[2].count()}); diff != "" {
+		t.Errorf("status, acquires and requests at the third target: %s", diff)
+	}
+}
+
+// Only an answer whose end can be distinguished from a truncation clears a suspect request.
+func TestUnframedAnswersAreNotComplete(t *testing.T) {
+	unframed := func(w *bufio.Writer, r *http.Request) bool {
+		_, _ = fmt.Fprintf(w, "HTTP/1.1 200 OK\r\nId: %s\r\n\r\nbody", r.Header.Get("Id"))
+		return false
+	}
+	for name, c := range map[string]struct {
+		serve  responder
+		served int
+	}{"complete": {answer(200, "", "body"), 1}, "without a length": {unframed, 0}} {
+		s := newSetup(t, newRoute(nil), newFakeTarget(t, c.serve))
+		guard := &fakeGuard{}
+		s.handler.Guard = guard
+		got, _ := s.call(t, "POST", "/x", "body")
+		if diff := cmp.Diff([]any{200, c.served, 0}, []any{got.Status, guard.served, guard.broke}); diff != "" {
+			t.Errorf("%s: status, complete answers and broken answers: %s", name, diff)
+		}
+	}
+}
