--- a/internal/edge/route/ask.go
+++ b/internal/edge/route/ask.go
@@ -12,81 +12,81 @@
 )
 
 // saturatedFor is how long a pool without free engines is not asked around.
-const saturatedFor = 200 * time.Millisecond
+const saturationTTL = 200 * time.Millisecond
 
 // askAround asks the shards for a permit; again is set when a home moved meanwhile.
-func (r *Router) askAround(ctx context.Context, p *pool, ask Ask) (placement *Placement, again bool, err error) {
+func (r *Router) searchShards(ctx context.Context, p *pool, request Ask) (placement *Placement, retry bool, err error) {
 	r.mu.Lock()
-	search := p.picture.NewSearch(ask.Key, r.clock().Before(p.saturated))
-	cut := r.cutOff()
+	search := p.state.NewSearch(request.Key, r.clock().Before(p.saturatedUntil))
+	skipHomes := r.isolated()
 	r.mu.Unlock()
-	if cut {
-		return r.withoutHome(ctx, p, ask, nil)
+	if skipHomes {
+		return r.placeWithoutHome(ctx, p, request, nil)
 	}
-	passed, strange := false, false
+	failedOver, sawUnknown := false, false
 	var holder ident.TargetHash
 	for {
-		step, ok := r.next(p, &search)
+		step, ok := r.nextShard(p, &search)
 		if !ok {
 			return nil, false, fault.New("route.Acquire", NoTarget, nil)
 		}
-		a, placement, unknown, err := r.askKnown(ctx, p, step, ask)
-		if err != nil && !passed && ctx.Err() == nil {
+		resp, placement, unknown, err := r.requestKnownTarget(ctx, p, step, request)
+		if err != nil && !failedOver && ctx.Err() == nil {
 			// The next in line knows what the silent home counted a second ago.
-			passed = true
-			a, placement, unknown, err = r.askKnown(ctx, p, step, ask)
+			failedOver = true
+			resp, placement, unknown, err = r.requestKnownTarget(ctx, p, step, request)
 		}
-		strange = strange || unknown
+		sawUnknown = sawUnknown || unknown
 		switch {
 		case err != nil:
-			return r.withoutHome(ctx, p, ask, err)
+			return r.placeWithoutHome(ctx, p, request, err)
 		case placement != nil:
-			r.nameHolder(p, placement, holder)
+			r.setHolder(p, placement, holder)
 			return placement, false, nil
-		case a.Result == home.Moved:
+		case resp.Result == home.Moved:
 			return nil, true, nil
-		case step.Must && strange && a.Result != home.Shed:
+		case step.Must && sawUnknown && resp.Result != home.Shed:
 			// Homes that know other targets than this router say nothing of those that it knows.
-			return r.withoutHome(ctx, p, ask, nil)
+			return r.placeWithoutHome(ctx, p, request, nil)
 		case step.Must:
-			return nil, false, r.giveUp(ctx, p, step.Shard, a)
+			return nil, false, r.rejectionError(ctx, p, step.Shard, resp)
 		}
 		if holder == 0 {
 			// The shard that the chat prefers is full; its engine may still be copied from.
-			holder = a.Holder
+			holder = resp.Holder
 		}
 	}
 }
 
 // mostUnknown is how often a home is asked once more after it has offered a target that this router does not know.
-const mostUnknown = 2
+const maxUnknownRetries = 2
 
 // askKnown asks one home for a permit at a target that this router knows; unknown is set if the home offered another.
 // News of targets reaches the two up to a second apart, and either may be ahead.
-func (r *Router) askKnown(ctx context.Context, p *pool, step place.Step, ask Ask) (
-	a home.Answer, placement *Placement, unknown bool, err error,
+func (r *Router) requestKnownTarget(ctx context.Context, p *pool, step place.Step, request Ask) (
+	resp home.Answer, placement *Placement, unknown bool, err error,
 ) {
-	for range 1 + mostUnknown {
-		a, placement, err = r.ask(ctx, p, step, ask)
-		if err != nil || placement != nil || a.Result != home.Placed {
-			return a, placement, unknown, err
+	for range 1 + maxUnknownRetries {
+		resp, placement, err = r.request(ctx, p, step, request)
+		if err != nil || placement != nil || resp.Result != home.Placed {
+			return resp, placement, unknown, err
 		}
 		unknown = true
-		ask.Avoid = append(slices.Clip(ask.Avoid), a.Engine)
+		request.Avoid = append(slices.Clip(request.Avoid), resp.Engine)
 	}
-	return a, nil, true, nil
+	return resp, nil, true, nil
 }
 
 // next returns the shard that a search asks next.
-func (r *Router) next(p *pool, search *place.Search) (place.Step, bool) {
+func (r *Router) nextShard(p *pool, search *place.Search) (place.Step, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return search.Next(r.clock(), p.picture)
+	return search.Next(r.clock(), p.state)
 }
 
 // nameHolder names an engine to copy from to one where the prompt is new, if the engine's
 // own home knew of none.
-func (r *Router) nameHolder(p *pool, placement *Placement, holder ident.TargetHash) {
+func (r *Router) setHolder(p *pool, placement *Placement, holder ident.TargetHash) {
 	if placement.Holder != nil || placement.Warm {
 		return
 	}
@@ -98,184 +98,184 @@
 const (
 	// cutAfter is how many calls in a row may fail, whatever home was asked, before this
 	// router counts as cut off from the others: two homes and their next in line.
-	cutAfter = 4
+	isolationThreshold = 4
 	// cutRetry is how often a router that is cut off asks a home all the same.
-	cutRetry = 300 * time.Millisecond
+	isolatedRetryInterval = 300 * time.Millisecond
 )
 
 // cutOff reports whether to decide alone without asking; the caller holds the lock.
-func (r *Router) cutOff() bool {
-	if r.failures < cutAfter {
+func (r *Router) isolated() bool {
+	if r.homeFailures < isolationThreshold {
 		return false
 	}
 	now := r.clock()
-	if now.Before(r.tryAt) {
+	if now.Before(r.isolatedUntil) {
 		return true
 	}
-	r.tryAt = now.Add(cutRetry)
+	r.isolatedUntil = now.Add(isolatedRetryInterval)
 	return false
 }
 
 // giveUp turns the last home's answer into an error.
-func (r *Router) giveUp(ctx context.Context, p *pool, shard ident.Shard, a home.Answer) error {
+func (r *Router) rejectionError(ctx context.Context, p *pool, shard ident.Shard, resp home.Answer) error {
 	const op = "route.Acquire"
 	r.mu.Lock()
-	p.saturated = r.clock().Add(saturatedFor)
-	asked := r.homeOf(place.ShardID{Pool: p.Name, Shard: shard})
+	p.saturatedUntil = r.clock().Add(saturationTTL)
+	to := r.homeOf(place.ShardID{Pool: p.Name, Shard: shard})
 	r.mu.Unlock()
-	later := RetryAfter{Wait: a.RetryAfter, Home: asked, Work: a.Work, Held: a.Held}
+	retryAfter := RetryAfter{Wait: resp.RetryAfter, Home: to, Work: resp.Work, Held: resp.Held}
 	switch {
-	case a.Result == home.Empty:
-		return fault.New(op, NoTarget, later)
-	case a.Result == home.Shed:
-		return fault.New(op, Shed, later)
+	case resp.Result == home.Empty:
+		return fault.New(op, NoTarget, retryAfter)
+	case resp.Result == home.Shed:
+		return fault.New(op, Shed, retryAfter)
 	case ctx.Err() != nil:
 		return fault.New(op, Gone, ctx.Err())
 	default:
-		return fault.New(op, TimedOut, later)
+		return fault.New(op, TimedOut, retryAfter)
 	}
 }
 
 // withoutHome decides alone after a home did not answer.
-func (r *Router) withoutHome(ctx context.Context, p *pool, ask Ask, cause error) (*Placement, bool, error) {
+func (r *Router) placeWithoutHome(ctx context.Context, p *pool, request Ask, cause error) (*Placement, bool, error) {
 	if ctx.Err() != nil {
 		return nil, false, fault.New("route.Acquire", Gone, cause)
 	}
-	placement, err := r.local(p, ask)
+	placement, err := r.placeLocally(p, request)
 	return placement, false, err
 }
 
 // ask asks one home for a permit. An answer that gives one without a placement is for a target that this router does
 // not know.
-func (r *Router) ask(ctx context.Context, p *pool, step place.Step, ask Ask) (home.Answer, *Placement, error) {
+func (r *Router) request(ctx context.Context, p *pool, step place.Step, request Ask) (home.Answer, *Placement, error) {
 	id := place.ShardID{Pool: p.Name, Shard: step.Shard}
 	now := r.clock()
-	to, request, released, backoffs := r.prepare(p, id, step, ask, now)
-	a, err := r.homes.Place(ctx, to, request, released)
-	if err == nil && a.Result == home.Empty && r.hasEngines(p, step.Shard) {
+	to, placeRequest, released, backoffs := r.preparePermitRequest(p, id, step, request, now)
+	resp, err := r.homes.Place(ctx, to, placeRequest, released)
+	if err == nil && resp.Result == home.Empty && r.hasEngines(p, step.Shard) {
 		// A router that has just started is home already and knows no engines yet.
 		err = fault.New("route.Acquire", NoTarget, nil)
 	}
-	blamed := err != nil && ctx.Err() == nil && fault.KindOf[home.Kind](err) != home.HeldUp
-	if blamed {
-		r.passOver(ctx, to)
+	homeFault := err != nil && ctx.Err() == nil && fault.KindOf[home.Kind](err) != home.HeldUp
+	if homeFault {
+		r.skipHome(ctx, to)
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err != nil {
-		r.failed[id] = append(request.Failed, r.failed[id]...)
-		r.tellLater(id, backoffs)
-		r.unanswered(blamed, id, to, request.Permit, released)
-		return a, nil, err
+		r.unsentFailures[id] = append(placeRequest.Failed, r.unsentFailures[id]...)
+		r.queueBackoffs(id, backoffs)
+		r.recordNoResponse(homeFault, id, to, placeRequest.Permit, released)
+		return resp, nil, err
 	}
-	r.noteAnswer()
-	p.noteSums(r.clock(), step.Shard, a)
-	if p.picture.HasRoom(step.Shard, a.Work) {
-		p.unthrottle()
+	r.recordHomeResponse()
+	p.updateShardLoads(r.clock(), step.Shard, resp)
+	if p.state.HasRoom(step.Shard, resp.Work) {
+		p.resetThrottles()
 	}
-	if a.Result != home.Placed {
-		if a.Result != home.Moved && a.Result != home.Empty {
-			r.watchDrift(id, a.Held)
+	if resp.Result != home.Placed {
+		if resp.Result != home.Moved && resp.Result != home.Empty {
+			r.checkDrift(id, resp.Held)
 		}
-		return a, nil, nil
+		return resp, nil, nil
 	}
-	r.spoken[id] = now
-	return r.placed(p, id, to, request, a)
+	r.lastContact[id] = now
+	return r.acceptPermit(p, id, to, placeRequest, resp)
 }
 
 // prepare makes the request for a permit, with the permits that go back and the backoffs that are told on the way.
-func (r *Router) prepare(p *pool, id place.ShardID, step place.Step, ask Ask, now time.Time) (
-	to ident.Router, request home.Ask, released []uint64, backoffs map[ident.TargetHash]backoff,
+func (r *Router) preparePermitRequest(p *pool, id place.ShardID, step place.Step, request Ask, now time.Time) (
+	to ident.Router, placeRequest home.Ask, released []uint64, backoffs map[ident.TargetHash]backoff,
 ) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.permit++
 	to = r.homeOf(id)
-	if m, moved := r.follow(id, to); moved {
+	if m, moved := r.updateCountingHome(id, to); moved {
 		// A home that was passed over is asked again: it counts from now on what the stand-in did.
 		r.self.AfterFunc(0, func() { r.Move(context.Background(), []Move{m}) })
 	}
-	released = r.pending[id]
-	delete(r.pending, id)
-	failed := r.failed[id]
-	delete(r.failed, id)
-	backoffs, told := r.tellNow(id, now)
+	released = r.pendingReleases[id]
+	delete(r.pendingReleases, id)
+	unsentFailures := r.unsentFailures[id]
+	delete(r.unsentFailures, id)
+	backoffs, included := r.takeBackoffs(id, now)
 	r.stats.Asked++
-	request = home.Ask{
-		Request:   r.request(p, ask),
+	placeRequest = home.Ask{
+		Request:   r.placeRequest(p, request),
 		Shard:     id,
-		Workspace: ask.Workspace,
-		Weight:    ask.Weight,
-		Priority:  ask.Priority,
-		Sums:      p.picture.SumsFor(now, step.Shard, nil),
-		Failed:    failed,
-		Backoffs:  told,
+		Workspace: request.Workspace,
+		Weight:    request.Weight,
+		Priority:  request.Priority,
+		Sums:      p.state.SumsFor(now, step.Shard, nil),
+		Failed:    unsentFailures,
+		Backoffs:  included,
 	}
-	request.Permit = r.permit
+	placeRequest.Permit = r.permit
 	if step.Must {
 		r.stats.Must++
-		request.Must = true
-		request.Wait = max(ask.Deadline.Sub(now), 0)
+		placeRequest.Must = true
+		placeRequest.Wait = max(request.Deadline.Sub(now), 0)
 	}
-	return to, request, released, backoffs
+	return to, placeRequest, released, backoffs
 }
 
 // request is what an ask says of the place it needs; the caller holds the lock.
-func (r *Router) request(p *pool, ask Ask) place.Request {
+func (r *Router) placeRequest(p *pool, request Ask) place.Request {
 	return place.Request{
-		Edge: r.self.ID, Key: ask.Key, Work: ask.Work, Zone: r.self.Zone,
-		Avoid: ask.Avoid, Lost: ask.lost, Last: p.picture.Last(ask.Key), Once: ask.Once,
+		Edge: r.self.ID, Key: request.Key, Work: request.Work, Zone: r.self.Zone,
+		Avoid: request.Avoid, Lost: request.unreachable, Last: p.state.Last(request.Key), Once: request.Once,
 	}
 }
 
 // unanswered notes that a home did not answer, and whether that is the home's fault; the
 // caller holds the lock.
-func (r *Router) unanswered(blamed bool, id place.ShardID, asked ident.Router, permit uint64, released []uint64) {
-	if blamed {
-		r.noteFailure()
+func (r *Router) recordNoResponse(homeFault bool, id place.ShardID, to ident.Router, permit uint64, released []uint64) {
+	if homeFault {
+		r.recordHomeFailure()
 	}
 	// The permit may have been given; say that it is not used, to that home too if
 	// another one is asked from now on.
-	r.giveBack(id, append(released, permit)...)
-	if asked != r.homeOf(id) {
-		r.owe(id, asked)
-		r.self.AfterFunc(0, func() { r.payOwed(context.Background()) })
+	r.queueRelease(id, append(released, permit)...)
+	if to != r.homeOf(id) {
+		r.queueWithdrawal(id, to)
+		r.self.AfterFunc(0, func() { r.retryWithdrawals(context.Background()) })
 	}
 }
 
 // noteSums keeps the shards' work that came with an answer.
-func (p *pool) noteSums(now time.Time, shard ident.Shard, a home.Answer) {
-	p.picture.NoteSum(now, place.Sum{Shard: shard, Work: a.Work})
-	for _, sum := range a.Sums {
-		p.picture.NoteSum(now, sum)
+func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.Answer) {
+	p.state.NoteSum(now, place.Sum{Shard: shard, Work: resp.Work})
+	for _, sum := range resp.Sums {
+		p.state.NoteSum(now, sum)
 	}
 }
 
 // placed makes a placement of a permit; the caller holds the lock.
-func (r *Router) placed(p *pool, id place.ShardID, to ident.Router, request home.Ask, a home.Answer) (home.Answer, *Placement, error) {
-	target, ok := p.Target(a.Engine)
+func (r *Router) acceptPermit(p *pool, id place.ShardID, to ident.Router, placeRequest home.Ask, resp home.Answer) (home.Answer, *Placement, error) {
+	target, ok := p.Target(resp.Engine)
 	if !ok {
-		r.giveBack(id, request.Permit)
-		return a, nil, nil
+		r.queueRelease(id, placeRequest.Permit)
+		return resp, nil, nil
 	}
-	r.granted[id] = to
-	placement := r.hold(p, id, place.Permit{Edge: r.self.ID, ID: request.Permit, Engine: a.Engine, Work: request.Work}, target)
+	r.countingHome[id] = to
+	placement := r.holdPermit(p, id, place.Permit{Edge: r.self.ID, ID: placeRequest.Permit, Engine: resp.Engine, Work: placeRequest.Work}, target)
 	placement.Home = to
-	placement.Holder = r.holder(p, a.Holder)
-	placement.Warm = a.Warm
-	placement.Basis = a.Basis
-	p.remember(request.Request, a.Engine)
-	if a.Warm {
+	placement.Holder = r.holder(p, resp.Holder)
+	placement.Warm = resp.Warm
+	placement.Basis = resp.Basis
+	p.recordPlacement(placeRequest.Request, resp.Engine)
+	if resp.Warm {
 		r.stats.Warm++
 	}
-	r.watchDrift(id, a.Held)
-	return a, placement, nil
+	r.checkDrift(id, resp.Held)
+	return resp, placement, nil
 }
 
 // remember notes where a chat went, unless it does not come back.
-func (p *pool) remember(request place.Request, engine ident.TargetHash) {
+func (p *pool) recordPlacement(request place.Request, engine ident.TargetHash) {
 	if !request.Once {
-		p.picture.Remember(request.Key, engine)
+		p.state.Remember(request.Key, engine)
 	}
 }
 
@@ -283,5 +283,5 @@
 func (r *Router) hasEngines(p *pool, shard ident.Shard) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return p.picture.Weights()[shard] > 0
+	return p.state.Weights()[shard] > 0
 }
--- a/internal/edge/route/backoff.go
+++ b/internal/edge/route/backoff.go
@@ -34,7 +34,7 @@
 		return
 	}
 	if n.Backoff > 0 {
-		r.backOff(target, n.Backoff)
+		r.recordBackoff(target, n.Backoff)
 	}
 	r.mu.Lock()
 	if n.Leaving {
@@ -51,7 +51,7 @@
 // backOff notes that one start of a target has turned a request away and wants none from this router for a
 // while. Its home is told with the next ask: what one router is told holds for that router, but a target
 // that tells several is kept from the others too, before each has sent it a request in vain.
-func (r *Router) backOff(target Target, wait time.Duration) {
+func (r *Router) recordBackoff(target Target, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	hash := target.ID.Hash()
@@ -59,35 +59,35 @@
 	if known := r.backoffs[hash]; known.incarnation == target.Incarnation && known.until.After(until) {
 		until = known.until
 	}
-	told := backoff{incarnation: target.Incarnation, until: until}
-	r.backoffs[hash] = told
+	b := backoff{incarnation: target.Incarnation, until: until}
+	r.backoffs[hash] = b
 	if id, known := r.shardOf(hash); known {
-		r.tellLater(id, map[ident.TargetHash]backoff{hash: told})
+		r.queueBackoffs(id, map[ident.TargetHash]backoff{hash: b})
 	}
 }
 
 // tellLater keeps backoffs for the next ask to their shard's home; the caller holds the lock.
-func (r *Router) tellLater(id place.ShardID, backoffs map[ident.TargetHash]backoff) {
+func (r *Router) queueBackoffs(id place.ShardID, backoffs map[ident.TargetHash]backoff) {
 	if len(backoffs) == 0 {
 		return
 	}
-	if r.untold[id] == nil {
-		r.untold[id] = map[ident.TargetHash]backoff{}
+	if r.unsentBackoffs[id] == nil {
+		r.unsentBackoffs[id] = map[ident.TargetHash]backoff{}
 	}
-	maps.Copy(r.untold[id], backoffs)
+	maps.Copy(r.unsentBackoffs[id], backoffs)
 }
 
 // tellNow takes out the backoffs that a shard's home has not been told of, as they go with an ask; the caller
 // holds the lock.
-func (r *Router) tellNow(id place.ShardID, now time.Time) (taken map[ident.TargetHash]backoff, told []place.Backoff) {
-	taken = r.untold[id]
-	delete(r.untold, id)
-	for hash, asked := range taken {
-		if left := asked.until.Sub(now); left > 0 {
-			told = append(told, place.Backoff{Engine: hash, Left: left})
+func (r *Router) takeBackoffs(id place.ShardID, now time.Time) (taken map[ident.TargetHash]backoff, included []place.Backoff) {
+	taken = r.unsentBackoffs[id]
+	delete(r.unsentBackoffs, id)
+	for hash, b := range taken {
+		if left := b.until.Sub(now); left > 0 {
+			included = append(included, place.Backoff{Engine: hash, Left: left})
 		}
 	}
-	return taken, told
+	return taken, included
 }
 
 // BackoffLeft is for how much longer a target wants no requests from this router, zero if it takes some.
@@ -104,34 +104,34 @@
 // refusing lists the targets of a pool that want no requests from this router although the pool says that they
 // take new work: they have asked for backoff, or leave, as they told it a moment ago. It says when the
 // first of those that asked for backoff takes some again; the caller holds the lock.
-func (r *Router) refusing(p *pool) (targets []ident.TargetHash, first time.Time) {
+func (r *Router) unavailable(p *pool) (targets []ident.TargetHash, earliest time.Time) {
 	now := r.clock()
-	for hash, asked := range r.backoffs {
+	for hash, b := range r.backoffs {
 		t, known := p.Target(hash)
-		if !known || t.Incarnation != asked.incarnation || !now.Before(asked.until) || !p.picture.Takes(hash) {
+		if !known || t.Incarnation != b.incarnation || !now.Before(b.until) || !p.state.Takes(hash) {
 			continue
 		}
 		targets = append(targets, hash)
-		if first.IsZero() || asked.until.Before(first) {
-			first = asked.until
+		if earliest.IsZero() || b.until.Before(earliest) {
+			earliest = b.until
 		}
 	}
 	for hash, incarnation := range r.leaving {
 		t, known := p.Target(hash)
-		if known && t.Incarnation == incarnation && p.picture.Takes(hash) && !slices.Contains(targets, hash) {
+		if known && t.Incarnation == incarnation && p.state.Takes(hash) && !slices.Contains(targets, hash) {
 			targets = append(targets, hash)
 		}
 	}
-	return targets, first
+	return targets, earliest
 }
 
 // forgetLeaving drops the targets that pools say to leave by now, that are gone or have started anew; the
 // caller holds the lock.
-func (r *Router) forgetLeaving() {
+func (r *Router) removeStaleLeaving() {
 	maps.DeleteFunc(r.leaving, func(hash ident.TargetHash, incarnation ident.Incarnation) bool {
 		for _, pools := range r.pools {
 			for _, p := range pools {
-				if t, known := p.Target(hash); known && t.Incarnation == incarnation && p.picture.Takes(hash) {
+				if t, known := p.Target(hash); known && t.Incarnation == incarnation && p.state.Takes(hash) {
 					return false
 				}
 			}
@@ -142,10 +142,10 @@
 
 // forgetBackoffs drops the backoffs that are over. One of a target that has gone is kept: its row may come back
 // before the backoff ends; the caller holds the lock.
-func (r *Router) forgetBackoffs() {
+func (r *Router) removeExpiredBackoffs() {
 	now := r.clock()
-	for hash, asked := range r.backoffs {
-		if !now.Before(asked.until) {
+	for hash, b := range r.backoffs {
+		if !now.Before(b.until) {
 			delete(r.backoffs, hash)
 		}
 	}
@@ -154,18 +154,18 @@
 // withheld lists the targets of a pool that this router knows to take no new work if a place is at one of
 // them, so that none of them is offered again. The home that gave the place may know less: another router
 // tells it, the store does, or the target will, each in its own time.
-func (r *Router) withheld(p *pool, placement *Placement) []ident.TargetHash {
+func (r *Router) excluded(p *pool, placement *Placement) []ident.TargetHash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p.picture.Takes(placement.Hash) {
+	if p.state.Takes(placement.Hash) {
 		// It may have told this router otherwise while the request waited for the place.
-		refusing, _ := r.refusing(p)
-		if !slices.Contains(refusing, placement.Hash) {
+		unavailable, _ := r.unavailable(p)
+		if !slices.Contains(unavailable, placement.Hash) {
 			return nil
 		}
 	}
 	out := []ident.TargetHash{placement.Hash}
-	for _, e := range p.picture.Engines() {
+	for _, e := range p.state.Engines() {
 		if e.Leaving && e.Hash != placement.Hash {
 			out = append(out, e.Hash)
 		}
@@ -179,22 +179,22 @@
 	const op = "route.Acquire"
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	var soonest time.Time
+	var earliest time.Time
 	for _, p := range r.pools[service] {
-		usable := p.picture.Usable()
+		usable := p.state.Usable()
 		if usable == 0 {
 			continue
 		}
-		refusing, first := r.refusing(p)
-		if len(refusing) < usable {
+		unavailable, first := r.unavailable(p)
+		if len(unavailable) < usable {
 			return p, nil
 		}
-		if soonest.IsZero() || !first.IsZero() && first.Before(soonest) {
-			soonest = first
+		if earliest.IsZero() || !first.IsZero() && first.Before(earliest) {
+			earliest = first
 		}
 	}
-	if soonest.IsZero() {
+	if earliest.IsZero() {
 		return nil, fault.Newf(op, NoTarget, "service %s", service)
 	}
-	return nil, fault.New(op, BackingOff, RetryAfter{Wait: soonest.Sub(r.clock())})
+	return nil, fault.New(op, BackingOff, RetryAfter{Wait: earliest.Sub(r.clock())})
 }
--- a/internal/edge/route/choose.go
+++ b/internal/edge/route/choose.go
@@ -11,32 +11,32 @@
 )
 
 // local decides from this router's own counts alone.
-func (r *Router) local(p *pool, ask Ask) (*Placement, error) {
+func (r *Router) placeLocally(p *pool, request Ask) (*Placement, error) {
 	const op = "route.Acquire"
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	request := r.request(p, ask)
-	d := p.picture.Local(r.clock(), request, len(r.assigned.Routers()))
-	target, known := p.Target(d.Engine)
+	placeRequest := r.placeRequest(p, request)
+	decision := p.state.Local(r.clock(), placeRequest, len(r.assigned.Routers()))
+	target, known := p.Target(decision.Engine)
 	switch {
-	case d.Result == place.Empty:
+	case decision.Result == place.Empty:
 		return nil, fault.New(op, NoTarget, nil)
-	case d.Result != place.Placed || !known:
+	case decision.Result != place.Placed || !known:
 		return nil, fault.New(op, TimedOut, RetryAfter{Wait: time.Second})
 	}
 	r.permit++
-	permit := place.Permit{Edge: r.self.ID, ID: r.permit, Engine: d.Engine, Work: ask.Work}
+	permit := place.Permit{Edge: r.self.ID, ID: r.permit, Engine: decision.Engine, Work: request.Work}
 	if p.Service.Balance == policy.Local {
-		placement := r.hold(p, place.ShardID{}, permit, target)
-		placement.Basis = d.Basis
+		placement := r.holdPermit(p, place.ShardID{}, permit, target)
+		placement.Basis = decision.Basis
 		return placement, nil
 	}
 	r.stats.Fallback++
-	placement := r.hold(p, p.shardOf(d.Engine), permit, target)
-	placement.Basis = d.Basis
-	placement.Holder = r.holder(p, d.Holder)
-	placement.Warm = d.Warm
-	p.remember(request, d.Engine)
+	placement := r.holdPermit(p, p.shardOf(decision.Engine), permit, target)
+	placement.Basis = decision.Basis
+	placement.Holder = r.holder(p, decision.Holder)
+	placement.Warm = decision.Warm
+	p.recordPlacement(placeRequest, decision.Engine)
 	return placement, nil
 }
 
@@ -56,17 +56,17 @@
 // troubled returns the targets that an ask must avoid and those that cannot be reached. It avoids those that
 // want no requests or are withheld in any case; those that failed the request before, and those whose breakers are open,
 // as long as that leaves others to try.
-func (r *Router) troubled(p *pool, ask Ask) (avoid, lost []ident.TargetHash) {
+func (r *Router) avoidedTargets(p *pool, request Ask) (avoid, unreachable []ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
-	out, _ := r.refusing(p)
-	open := p.picture.Usable() - len(out)
-	out = append(out, ask.withheld...)
-	tried := without(ask.Avoid, out)
-	if len(tried) >= open {
+	out, _ := r.unavailable(p)
+	available := p.state.Usable() - len(out)
+	out = append(out, request.excluded...)
+	failed := without(request.Avoid, out)
+	if len(failed) >= available {
 		// Each has failed this request once; another try is all that is left.
-		tried = nil
+		failed = nil
 	}
 	var blocked []ident.TargetHash
 	for hash, b := range r.breakers {
@@ -74,18 +74,18 @@
 			continue
 		}
 		if b.Tripped() {
-			lost = append(lost, hash)
+			unreachable = append(unreachable, hash)
 		}
 		if b.Blocked(now) {
 			blocked = append(blocked, hash)
 		}
 	}
 	blocked = without(blocked, out)
-	if len(blocked) >= open {
+	if len(blocked) >= available {
 		// With every breaker open, trying is better than refusing everything.
 		blocked = nil
 	}
-	return slices.Concat(tried, blocked, out), lost
+	return slices.Concat(failed, blocked, out), unreachable
 }
 
 // without returns the targets that are not among some others.
--- a/internal/edge/route/gone_test.go
+++ b/internal/edge/route/gone_test.go
@@ -13,9 +13,9 @@
 )
 
 // What is known of a target goes with the target.
-func TestGoneTargetsAreForgotten(t *testing.T) {
+func TestStateOfRemovedTargetsIsEvicted(t *testing.T) {
 	r := New(Self{ID: "edge"}, nil, func() time.Time { return time.Unix(1000, 0) })
-	stays, goes := ident.Target("stays").Hash(), ident.Target("goes").Hash()
+	kept, removed := ident.Target("stays").Hash(), ident.Target("goes").Hash()
 	pool := func(hashes ...ident.TargetHash) []Pool {
 		p := Pool{Name: "p"}
 		p.Service.Shards = 1
@@ -26,43 +26,43 @@
 		p.Roster = place.NewRoster(1, engines)
 		return []Pool{p}
 	}
-	r.Move(context.Background(), r.Set(pool(stays, goes), place.Assign(nil, nil)))
-	for _, hash := range []ident.TargetHash{stays, goes} {
+	r.Move(context.Background(), r.Set(pool(kept, removed), place.Assign(nil, nil)))
+	for _, hash := range []ident.TargetHash{kept, removed} {
 		r.Unreachable(hash)
 		r.Heard(hash)
 	}
-	r.Set(pool(stays), place.Assign(nil, nil))
-	if diff := cmp.Diff([2]int{1, 1}, [2]int{len(r.breakers), len(r.heard)}); diff != "" {
+	r.Set(pool(kept), place.Assign(nil, nil))
+	if diff := cmp.Diff([2]int{1, 1}, [2]int{len(r.breakers), len(r.lastReceived)}); diff != "" {
 		t.Errorf("breakers and times: %s", diff)
 	}
 }
 
 // What was seen of a target is void once it has started anew, and only that.
-func TestNothingIsKeptOfAnEarlierStart(t *testing.T) {
+func TestStateOfEarlierIncarnationIsEvicted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := New(Self{ID: "edge", Region: "co"}, nil, func() time.Time { return now })
-	again, stays := ident.Target("again").Hash(), ident.Target("stays").Hash()
+	restarted, kept := ident.Target("again").Hash(), ident.Target("stays").Hash()
 	pool := func(incarnation ident.Incarnation) []Pool {
 		return []Pool{{
 			Name: "p", Region: "co", Service: policy.Service{Name: "s", Shards: 1},
 			Roster: place.NewRoster(1, []place.Engine{
-				{ID: "again", Hash: again, Incarnation: incarnation}, {ID: "stays", Hash: stays, Incarnation: 1},
+				{ID: "again", Hash: restarted, Incarnation: incarnation}, {ID: "stays", Hash: kept, Incarnation: 1},
 			}),
 		}}
 	}
 	r.Set(pool(1), place.Assign(nil, nil))
-	for _, hash := range []ident.TargetHash{again, stays} {
+	for _, hash := range []ident.TargetHash{restarted, kept} {
 		r.Unreachable(hash)
 		r.Heard(hash)
 	}
 	r.Set(pool(2), place.Assign(nil, nil))
 	id := place.ShardID{Pool: "p"}
-	_, tripped := r.breakers[again]
-	_, heard := r.heard[again]
-	if tripped || heard || !cmp.Equal(r.failed[id], []ident.TargetHash{stays}) {
-		t.Errorf("of the earlier start: breaker %v, answer %v, failures of %v", tripped, heard, r.failed[id])
+	_, tripped := r.breakers[restarted]
+	_, lastReceived := r.lastReceived[restarted]
+	if tripped || lastReceived || !cmp.Equal(r.unsentFailures[id], []ident.TargetHash{kept}) {
+		t.Errorf("of the earlier start: breaker %v, answer %v, failures of %v", tripped, lastReceived, r.unsentFailures[id])
 	}
-	if r.breakers[stays] == nil || r.heard[stays].IsZero() {
+	if r.breakers[kept] == nil || r.lastReceived[kept].IsZero() {
 		t.Error("what was seen of another target is gone too")
 	}
 }
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -14,7 +14,7 @@
 	defer r.mu.Unlock()
 	now := r.clock()
 	if !ok {
-		r.complain(target)
+		r.recordFailure(target)
 	}
 	if _, known := r.breakers[target]; ok && !known {
 		return
@@ -34,13 +34,13 @@
 
 // maxFailed bounds the failures kept for one home. More than that in the fraction of a
 // second between two requests for permits says nothing more.
-const maxFailed = 64
+const maxUnsentFailures = 64
 
 // complain keeps a target's failure for the home of its shard; the caller holds the lock.
-func (r *Router) complain(target ident.TargetHash) {
+func (r *Router) recordFailure(target ident.TargetHash) {
 	id, known := r.shardOf(target)
-	if known && len(r.failed[id]) < maxFailed {
-		r.failed[id] = append(r.failed[id], target)
+	if known && len(r.unsentFailures[id]) < maxUnsentFailures {
+		r.unsentFailures[id] = append(r.unsentFailures[id], target)
 	}
 }
 
@@ -58,14 +58,14 @@
 
 // shardOf is the shard of one of the pool's targets.
 func (p *pool) shardOf(target ident.TargetHash) place.ShardID {
-	return place.ShardID{Pool: p.Name, Shard: place.ShardOf(target, p.picture.Shards())}
+	return place.ShardID{Pool: p.Name, Shard: place.ShardOf(target, p.state.Shards())}
 }
 
 // Heard notes that bytes of an answer came from a target.
 func (r *Router) Heard(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.heard[target] = r.clock()
+	r.lastReceived[target] = r.clock()
 }
 
 // Silent notes that a request sent at some time has had no answer for too long. If
@@ -73,12 +73,12 @@
 // It reports whether that is so.
 func (r *Router) Silent(target ident.TargetHash, since time.Time) bool {
 	r.mu.Lock()
-	quiet := r.heard[target].Before(since)
+	silent := r.lastReceived[target].Before(since)
 	r.mu.Unlock()
-	if quiet {
+	if silent {
 		r.Unreachable(target)
 	}
-	return quiet
+	return silent
 }
 
 // Unreachable notes that no connection to a target came about, or that another target
@@ -86,7 +86,7 @@
 func (r *Router) Unreachable(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.complain(target)
+	r.recordFailure(target)
 	now := r.clock()
 	r.breaker(now, target).Trip(now)
 }
--- a/internal/edge/route/home.go
+++ b/internal/edge/route/home.go
@@ -13,7 +13,7 @@
 // Move tells new homes what this router holds, and the earlier ones that it moved.
 func (r *Router) Move(ctx context.Context, moved []Move) {
 	for _, m := range moved {
-		r.sync(ctx, m.id, m.old)
+		r.syncPermits(ctx, m.id, m.old)
 		r.withdraw(ctx, m)
 	}
 }
@@ -21,31 +21,31 @@
 // homeOf is the home of a shard among the routers that answer; the caller holds the lock.
 func (r *Router) homeOf(id place.ShardID) ident.Router {
 	home := r.assigned.Home(id)
-	if until, silent := r.silent[home]; !silent || !r.clock().Before(until) {
+	if until, skipped := r.skipped[home]; !skipped || !r.clock().Before(until) {
 		return home
 	}
 	return r.assigned.Next(id, home)
 }
 
 // silentFor is how long a home that did not answer is passed over for the next in line.
-const silentFor = 3 * time.Second
+const homeSkipTime = 3 * time.Second
 
 // Returned notes that a router has answered or started anew: it is no longer passed over.
 func (r *Router) Returned(router ident.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	delete(r.silent, router)
+	delete(r.skipped, router)
 }
 
 // passOver asks the next in line instead of a home that did not answer, until
 // membership knows whether it is gone.
-func (r *Router) passOver(ctx context.Context, home ident.Router) {
+func (r *Router) skipHome(ctx context.Context, home ident.Router) {
 	r.mu.Lock()
 	now := r.clock()
-	passed := now.Before(r.silent[home])
-	r.silent[home] = now.Add(silentFor)
-	if r.watcher != nil && !passed {
-		r.watcher.PassedOver(home, silentFor)
+	alreadySkipped := now.Before(r.skipped[home])
+	r.skipped[home] = now.Add(homeSkipTime)
+	if r.watcher != nil && !alreadySkipped {
+		r.watcher.PassedOver(home, homeSkipTime)
 	}
 	moved := r.movedShards()
 	r.mu.Unlock()
@@ -62,7 +62,7 @@
 func (r *Router) movedShards() []Move {
 	var out []Move
 	for id := range r.held {
-		if m, moved := r.follow(id, r.homeOf(id)); moved {
+		if m, moved := r.updateCountingHome(id, r.homeOf(id)); moved {
 			out = append(out, m)
 		}
 	}
@@ -71,52 +71,52 @@
 
 // follow notes the home that counts the permits held in a shard from now on, and reports whether it
 // is another one, which must be told of them; the caller holds the lock.
-func (r *Router) follow(id place.ShardID, now ident.Router) (Move, bool) {
-	old := r.granted[id]
-	if len(r.held[id]) == 0 || now == old {
+func (r *Router) updateCountingHome(id place.ShardID, current ident.Router) (Move, bool) {
+	old := r.countingHome[id]
+	if len(r.held[id]) == 0 || current == old {
 		return Move{}, false
 	}
-	r.granted[id] = now
-	r.forgetHome(id)
+	r.countingHome[id] = current
+	r.resetSentLoads(id)
 	return Move{id: id, old: old}, true
 }
 
 // forgetHome has the next request tell the shard's new home what the others said.
-func (r *Router) forgetHome(id place.ShardID) {
+func (r *Router) resetSentLoads(id place.ShardID) {
 	for _, pools := range r.pools {
 		for _, p := range pools {
 			if p.Name == id.Pool {
-				p.picture.NewHome(id.Shard)
+				p.state.NewHome(id.Shard)
 			}
 		}
 	}
 }
 
 // debt is a withdrawal that an earlier home has not confirmed.
-type debt struct {
+type withdrawal struct {
 	id   place.ShardID
 	home ident.Router
 }
 
 // owe notes that a home may count permits of this router that another counts now; the
 // caller holds the lock.
-func (r *Router) owe(id place.ShardID, to ident.Router) {
+func (r *Router) queueWithdrawal(id place.ShardID, to ident.Router) {
 	if to != "" && to != r.self.ID {
-		r.owed[debt{id, to}] = r.permit
+		r.pendingWithdrawals[withdrawal{id, to}] = r.permit
 	}
 }
 
 // payOwed tries the withdrawals again that were not confirmed.
-func (r *Router) payOwed(ctx context.Context) {
+func (r *Router) retryWithdrawals(ctx context.Context) {
 	r.mu.Lock()
 	var due []Move
-	for d := range r.owed {
-		if r.homeOf(d.id) == d.home {
+	for w := range r.pendingWithdrawals {
+		if r.homeOf(w.id) == w.home {
 			// It is home again and has been told what this router holds.
-			delete(r.owed, d)
+			delete(r.pendingWithdrawals, w)
 			continue
 		}
-		due = append(due, Move{id: d.id, old: d.home})
+		due = append(due, Move{id: w.id, old: w.home})
 	}
 	r.mu.Unlock()
 	for _, m := range due {
@@ -131,7 +131,7 @@
 		return
 	}
 	r.mu.Lock()
-	r.owe(m.id, m.old)
+	r.queueWithdrawal(m.id, m.old)
 	upto := r.permit
 	r.mu.Unlock()
 	err := r.homes.Withdraw(ctx, m.old, m.id, upto)
@@ -139,6 +139,6 @@
 	defer r.mu.Unlock()
 	// A router that membership has forgotten counts nothing any more.
 	if err == nil || fault.KindOf[home.Kind](err) == home.Unknown {
-		delete(r.owed, debt{m.id, m.old})
+		delete(r.pendingWithdrawals, withdrawal{m.id, m.old})
 	}
 }
--- a/internal/edge/route/leaving_test.go
+++ b/internal/edge/route/leaving_test.go
@@ -10,7 +10,7 @@
 )
 
 // leaves has the router know that a target leaves, as its own answers told, which no home has heard yet.
-func (f *fleet) leaves(target ident.Target) {
+func (f *fleet) markLeaving(target ident.Target) {
 	p := f.pools[0]
 	leaver, _ := p.Roster.Engine(target.Hash())
 	leaver.Leaving = true
@@ -27,9 +27,9 @@
 // Cause: what a home grants was not held against what the router itself knows.
 //
 // Proof: here no home ever hears of it.
-func TestHomeThatDoesNotKnowThatATargetLeaves(t *testing.T) {
+func TestLeavingTargetUnknownToHome(t *testing.T) {
 	f, r, assigned := newFleet()
-	f.leaves("engine-1")
+	f.markLeaving("engine-1")
 	r.Set(f.pools, assigned)
 	for key := range ident.ChatKey(10) {
 		p := acquire(t, r, key)
@@ -38,7 +38,7 @@
 		}
 		p.Release()
 	}
-	f.run()
+	f.runDeferred()
 	if got := f.permits(assigned.Home(id)); got != 0 {
 		t.Errorf("%d places are still counted at the home, want all given back", got)
 	}
@@ -48,7 +48,7 @@
 // turn, which at a fifth of 0.4 cores may be seconds after the answer that told of leaving was passed on. A router
 // that has passed it on sends the target nothing more, whatever its pools say; nor once they say it, nor if
 // the target goes and comes back; another start of it is another target.
-func TestLeavingIsKnownBeforeThePoolsAreMadeAnew(t *testing.T) {
+func TestLeavingAppliesBeforePoolUpdate(t *testing.T) {
 	f, r, assigned := newFleet()
 	leaver, _ := f.pools[0].Target(ident.Target("engine-1").Hash())
 	r.Observe(leaver, route.Notice{Leaving: true})
@@ -63,7 +63,7 @@
 			}
 			p.Release()
 		}
-		f.run()
+		f.runDeferred()
 		return count
 	}
 	if got := sent(); got != 0 {
@@ -74,13 +74,13 @@
 	if got := sent(); got != 0 {
 		t.Errorf("%d of 10 requests were sent there after pools that did not know it yet", got)
 	}
-	again := f.pools[0]
-	engines := again.Roster.Engines()
+	restarted := f.pools[0]
+	engines := restarted.Roster.Engines()
 	for i := range engines {
 		engines[i].Incarnation++
 	}
-	again.Roster = place.NewRoster(1, engines)
-	r.Set([]route.Pool{again}, assigned)
+	restarted.Roster = place.NewRoster(1, engines)
+	r.Set([]route.Pool{restarted}, assigned)
 	if got := sent(); got == 0 {
 		t.Error("a target that has started anew gets nothing")
 	}
@@ -89,21 +89,21 @@
 // Found while the incident of targets that ask for backoff was looked at: a target that could not be reached gets
 // one request on trial; if that ends without a verdict, since the target turns it away or its caller leaves,
 // the trial never ended, and the router sent the target nothing for as long as both lived.
-func TestTrialWithoutAVerdict(t *testing.T) {
+func TestProbeWithoutResult(t *testing.T) {
 	f, r, _ := newFleet()
 	r.Unreachable(ident.Target("engine-1").Hash())
 	f.now = f.now.Add(2 * time.Second)
-	trials := 0
+	probes := 0
 	for key := range ident.ChatKey(20) {
 		p := acquire(t, r, key)
 		if p.Target.ID == "engine-1" {
-			trials++
+			probes++
 		}
 		// Nobody reports how it went.
 		p.Release()
-		f.run()
+		f.runDeferred()
 	}
-	if trials < 2 {
-		t.Errorf("the target got %d trials in 20 requests, want more while none brings a verdict", trials)
+	if probes < 2 {
+		t.Errorf("the target got %d trials in 20 requests, want more while none brings a verdict", probes)
 	}
 }
--- a/internal/edge/route/limit.go
+++ b/internal/edge/route/limit.go
@@ -20,28 +20,28 @@
 	}
 	r.mu.Lock()
 	now := r.clock()
-	a := r.allowed[w.Name]
+	a := r.allowances[w.Name]
 	if a == nil {
 		a = &quota.Allowance{}
-		r.allowed[w.Name] = a
+		r.allowances[w.Name] = a
 	}
 	if a.Take(now) {
 		r.mu.Unlock()
 		return nil
 	}
-	if later, denied := a.Denied(now); denied {
+	if wait, denied := a.Denied(now); denied {
 		r.mu.Unlock()
-		return fault.New(op, Limited, RetryAfter{Wait: later})
+		return fault.New(op, Limited, RetryAfter{Wait: wait})
 	}
 	want := a.Ask(now)
 	routers := r.assigned.Routers()
 	to := WorkspaceHome(w.Name, routers)
 	r.mu.Unlock()
 	granted, retryAfter, err := r.homes.Grant(ctx, to, w.Name, want)
-	return r.granting(a, w, granted, retryAfter, err, len(routers))
+	return r.applyGrant(a, w, granted, retryAfter, err, len(routers))
 }
 
-func (r *Router) granting(a *quota.Allowance, w policy.Workspace, granted int, retryAfter time.Duration, err error, routers int) error {
+func (r *Router) applyGrant(a *quota.Allowance, w policy.Workspace, granted int, retryAfter time.Duration, err error, routers int) error {
 	const op = "route.Admit"
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -37,8 +37,8 @@
 
 // sit records a permit as held; the caller holds the lock. An empty shard means
 // that no home counts it.
-func (r *Router) hold(p *pool, id place.ShardID, permit place.Permit, target Target) *Placement {
-	p.picture.Begin(permit.Engine, permit.Work)
+func (r *Router) holdPermit(p *pool, id place.ShardID, permit place.Permit, target Target) *Placement {
+	p.state.Begin(permit.Engine, permit.Work)
 	r.stats.Placed++
 	counted := id != (place.ShardID{})
 	if counted {
@@ -47,17 +47,17 @@
 		}
 		r.held[id][permit.ID] = permit
 	}
-	trial := r.beginTrial(permit.Engine)
+	probe := r.beginProbe(permit.Engine)
 	return &Placement{Target: target, Hash: permit.Engine, release: func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		p.picture.End(permit.Engine, permit.Work)
-		if trial != nil {
-			trial.Cancelled()
+		p.state.End(permit.Engine, permit.Work)
+		if probe != nil {
+			probe.Cancelled()
 		}
 		if counted {
 			delete(r.held[id], permit.ID)
-			r.giveBack(id, permit.ID)
+			r.queueRelease(id, permit.ID)
 		}
 	}}
 }
@@ -65,7 +65,7 @@
 // beginTrial returns the breaker for which a request at a target is the trial, or nil. The trial ends with the
 // request's place at the latest: a target that turned its trial away, or whose caller left, would get no
 // other; the caller holds the lock.
-func (r *Router) beginTrial(target ident.TargetHash) *retry.Breaker {
+func (r *Router) beginProbe(target ident.TargetHash) *retry.Breaker {
 	b, known := r.breakers[target]
 	if !known || !b.Allow(r.clock()) || b.State() != retry.HalfOpen {
 		return nil
@@ -74,30 +74,30 @@
 }
 
 // flushAfter is how long permits given back wait for another message to travel with.
-const flushAfter = 10 * time.Millisecond
+const releaseFlushDelay = 10 * time.Millisecond
 
 // giveBack notes permits to be returned; the caller holds the lock.
-func (r *Router) giveBack(id place.ShardID, permits ...uint64) {
-	r.pending[id] = append(r.pending[id], permits...)
-	if r.flushing {
+func (r *Router) queueRelease(id place.ShardID, permits ...uint64) {
+	r.pendingReleases[id] = append(r.pendingReleases[id], permits...)
+	if r.flushScheduled {
 		return
 	}
-	r.flushing = true
-	r.self.AfterFunc(flushAfter, r.flush)
+	r.flushScheduled = true
+	r.self.AfterFunc(releaseFlushDelay, r.flushReleases)
 }
 
 // flush returns all permits that are still waiting for it.
-func (r *Router) flush() {
+func (r *Router) flushReleases() {
 	r.mu.Lock()
-	r.flushing = false
-	pending := r.pending
-	r.pending = map[place.ShardID][]uint64{}
-	homes := make(map[place.ShardID]ident.Router, len(pending))
-	for id := range pending {
+	r.flushScheduled = false
+	pendingReleases := r.pendingReleases
+	r.pendingReleases = map[place.ShardID][]uint64{}
+	homes := make(map[place.ShardID]ident.Router, len(pendingReleases))
+	for id := range pendingReleases {
 		homes[id] = r.homeOf(id)
 	}
 	r.mu.Unlock()
-	for id, permits := range pending {
+	for id, permits := range pendingReleases {
 		// A lost return shows as drift at the next request and is mended by a sync.
 		_ = r.homes.Release(context.Background(), homes[id], id, permits)
 	}
@@ -109,23 +109,23 @@
 
 // watchDrift compares the home's count of this router's permits with the true
 // one; the caller holds the lock.
-func (r *Router) watchDrift(id place.ShardID, believed int) {
-	r.believed[id] = believed
-	if believed == len(r.held[id])+len(r.pending[id]) {
-		r.drift[id] = 0
+func (r *Router) checkDrift(id place.ShardID, homeCount int) {
+	r.homeCount[id] = homeCount
+	if homeCount == len(r.held[id])+len(r.pendingReleases[id]) {
+		r.driftCount[id] = 0
 		return
 	}
-	r.drift[id]++
-	if r.drift[id] < driftLimit {
+	r.driftCount[id]++
+	if r.driftCount[id] < driftLimit {
 		return
 	}
-	r.drift[id] = 0
-	r.self.AfterFunc(0, func() { r.sync(context.Background(), id, "") })
+	r.driftCount[id] = 0
+	r.self.AfterFunc(0, func() { r.syncPermits(context.Background(), id, "") })
 }
 
 // speakEvery is how often a home hears of a router that holds permits there, well
 // within the lease for which it counts them.
-const speakEvery = 500 * time.Millisecond
+const contactInterval = 500 * time.Millisecond
 
 // Reconcile tells the homes whose last count of this router's permits was wrong, or that
 // have not heard of it for a while, all that it holds. A home that is full of permits
@@ -133,28 +133,28 @@
 func (r *Router) Reconcile(ctx context.Context) {
 	r.mu.Lock()
 	now := r.clock()
-	var wrong []place.ShardID
+	var outdated []place.ShardID
 	for id, permits := range r.held {
-		believed, told := r.believed[id]
-		drifted := told && believed != len(permits)+len(r.pending[id])
-		silent := len(permits) > 0 && now.Sub(r.spoken[id]) >= speakEvery
-		if drifted || silent {
-			wrong = append(wrong, id)
-			r.spoken[id] = now
+		homeCount, known := r.homeCount[id]
+		drifted := known && homeCount != len(permits)+len(r.pendingReleases[id])
+		overdue := len(permits) > 0 && now.Sub(r.lastContact[id]) >= contactInterval
+		if drifted || overdue {
+			outdated = append(outdated, id)
+			r.lastContact[id] = now
 		}
 	}
-	clear(r.believed)
+	clear(r.homeCount)
 	moved := r.movedShards()
 	r.mu.Unlock()
 	r.Move(ctx, moved)
-	for _, id := range wrong {
-		r.sync(ctx, id, "")
+	for _, id := range outdated {
+		r.syncPermits(ctx, id, "")
 	}
-	r.payOwed(ctx)
+	r.retryWithdrawals(ctx)
 }
 
 // sync tells a shard's home all permits held here, and which home counted them before.
-func (r *Router) sync(ctx context.Context, id place.ShardID, from ident.Router) {
+func (r *Router) syncPermits(ctx context.Context, id place.ShardID, from ident.Router) {
 	r.mu.Lock()
 	to := r.homeOf(id)
 	held := make([]place.Permit, 0, len(r.held[id]))
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -70,9 +70,9 @@
 	// Once means that no other request has this key.
 	Once bool
 	// lost are targets that this router cannot reach.
-	lost []ident.TargetHash
+	unreachable []ident.TargetHash
 	// withheld are targets that were offered although this router knows that they take no new work.
-	withheld []ident.TargetHash
+	excluded []ident.TargetHash
 }
 
 // Router finds targets.
@@ -84,36 +84,36 @@
 	pools    map[ident.Service][]*pool
 	assigned *place.Assignment
 	// silent are homes that did not answer lately, until when they are passed over.
-	silent  map[ident.Router]time.Time
-	permit  uint64
-	held    map[place.ShardID]map[uint64]place.Permit
-	granted map[place.ShardID]ident.Router
-	pending map[place.ShardID][]uint64
-	drift   map[place.ShardID]int
+	skipped         map[ident.Router]time.Time
+	permit          uint64
+	held            map[place.ShardID]map[uint64]place.Permit
+	countingHome    map[place.ShardID]ident.Router
+	pendingReleases map[place.ShardID][]uint64
+	driftCount      map[place.ShardID]int
 	// believed are the homes' latest counts of this router's permits.
-	believed map[place.ShardID]int
+	homeCount map[place.ShardID]int
 	// failures counts the calls to homes in a row that failed, tryAt is when one is
 	// tried again after too many.
-	failures int
-	tryAt    time.Time
+	homeFailures  int
+	isolatedUntil time.Time
 	// heard is when bytes came last from each target.
-	heard map[ident.TargetHash]time.Time
+	lastReceived map[ident.TargetHash]time.Time
 	// owed are withdrawals that were not confirmed, with the latest permit they are about.
-	owed map[debt]uint64
+	pendingWithdrawals map[withdrawal]uint64
 	// spoken is when each shard's home was last told of this router's permits.
-	spoken   map[place.ShardID]time.Time
-	flushing bool
-	breakers map[ident.TargetHash]*retry.Breaker
+	lastContact    map[place.ShardID]time.Time
+	flushScheduled bool
+	breakers       map[ident.TargetHash]*retry.Breaker
 	// backoffs are the targets that want no requests from this router for a while.
 	backoffs map[ident.TargetHash]backoff
 	// leaving are the starts of targets that leave, as they told this router, until the pools say it.
 	leaving map[ident.TargetHash]ident.Incarnation
 	// untold are the backoffs that their shards' homes have not been told of.
-	untold map[place.ShardID]map[ident.TargetHash]backoff
+	unsentBackoffs map[place.ShardID]map[ident.TargetHash]backoff
 	// failed are the targets that failed requests since their shards' homes were asked last.
-	failed  map[place.ShardID][]ident.TargetHash
-	allowed map[ident.Workspace]*quota.Allowance
-	stats   Stats
+	unsentFailures map[place.ShardID][]ident.TargetHash
+	allowances     map[ident.Workspace]*quota.Allowance
+	stats          Stats
 	// watcher may be nil.
 	watcher Watcher
 }
@@ -122,11 +122,11 @@
 type pool struct {
 	Pool
 	// picture has the roster and what this router knows of its targets' work.
-	picture *place.Pool
+	state *place.Pool
 	// saturated is until when asking around is thought useless.
-	saturated time.Time
+	saturatedUntil time.Time
 	// throttles are kept by kind of request.
-	throttles map[demand]*throttle
+	throttles map[requestClass]*throttle
 }
 
 // Stats counts how targets were found.
@@ -146,27 +146,27 @@
 		self.AfterFunc = func(d time.Duration, f func()) { time.AfterFunc(d, f) }
 	}
 	return &Router{
-		self:     self,
-		homes:    homes,
-		clock:    clock,
-		pools:    map[ident.Service][]*pool{},
-		permit:   self.FirstPermit,
-		assigned: place.Assign(nil, nil),
-		held:     map[place.ShardID]map[uint64]place.Permit{},
-		granted:  map[place.ShardID]ident.Router{},
-		pending:  map[place.ShardID][]uint64{},
-		drift:    map[place.ShardID]int{},
-		believed: map[place.ShardID]int{},
-		spoken:   map[place.ShardID]time.Time{},
-		owed:     map[debt]uint64{},
-		heard:    map[ident.TargetHash]time.Time{},
-		breakers: map[ident.TargetHash]*retry.Breaker{},
-		backoffs: map[ident.TargetHash]backoff{},
-		leaving:  map[ident.TargetHash]ident.Incarnation{},
-		untold:   map[place.ShardID]map[ident.TargetHash]backoff{},
-		failed:   map[place.ShardID][]ident.TargetHash{},
-		silent:   map[ident.Router]time.Time{},
-		allowed:  map[ident.Workspace]*quota.Allowance{},
+		self:               self,
+		homes:              homes,
+		clock:              clock,
+		pools:              map[ident.Service][]*pool{},
+		permit:             self.FirstPermit,
+		assigned:           place.Assign(nil, nil),
+		held:               map[place.ShardID]map[uint64]place.Permit{},
+		countingHome:       map[place.ShardID]ident.Router{},
+		pendingReleases:    map[place.ShardID][]uint64{},
+		driftCount:         map[place.ShardID]int{},
+		homeCount:          map[place.ShardID]int{},
+		lastContact:        map[place.ShardID]time.Time{},
+		pendingWithdrawals: map[withdrawal]uint64{},
+		lastReceived:       map[ident.TargetHash]time.Time{},
+		breakers:           map[ident.TargetHash]*retry.Breaker{},
+		backoffs:           map[ident.TargetHash]backoff{},
+		leaving:            map[ident.TargetHash]ident.Incarnation{},
+		unsentBackoffs:     map[place.ShardID]map[ident.TargetHash]backoff{},
+		unsentFailures:     map[place.ShardID][]ident.TargetHash{},
+		skipped:            map[ident.Router]time.Time{},
+		allowances:         map[ident.Workspace]*quota.Allowance{},
 	}
 }
 
@@ -182,10 +182,10 @@
 func (r *Router) Set(pools []Pool, assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	old := r.pools
-	r.forgetRestarted(pools)
+	r.removeRestarted(pools)
 	r.pools = map[ident.Service][]*pool{}
 	for _, p := range pools {
-		next := r.renew(old[p.Service.Name], p)
+		next := r.updatePool(old[p.Service.Name], p)
 		list := r.pools[p.Service.Name]
 		if p.Region == r.self.Region {
 			list = append([]*pool{next}, list...)
@@ -195,7 +195,7 @@
 		r.pools[p.Service.Name] = list
 	}
 	r.assigned = assigned
-	r.forgetGone(pools)
+	r.removeGone(pools)
 	moved := r.movedShards()
 	r.mu.Unlock()
 	return moved
@@ -229,14 +229,14 @@
 // forgetRestarted drops what was seen of targets that have started anew since: it was of the earlier
 // start. What this router has in flight there counts on until it ends, since some of it may have
 // reached the new start already; the caller holds the lock.
-func (r *Router) forgetRestarted(pools []Pool) {
+func (r *Router) removeRestarted(pools []Pool) {
 	restarted := func(hash ident.TargetHash) bool {
 		return slices.ContainsFunc(pools, func(p Pool) bool { return r.restarted(p, hash) })
 	}
 	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return restarted(hash) })
-	maps.DeleteFunc(r.heard, func(hash ident.TargetHash, _ time.Time) bool { return restarted(hash) })
-	for id, failed := range r.failed {
-		r.failed[id] = slices.DeleteFunc(failed, restarted)
+	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return restarted(hash) })
+	for id, unsentFailures := range r.unsentFailures {
+		r.unsentFailures[id] = slices.DeleteFunc(unsentFailures, restarted)
 	}
 }
 
@@ -255,80 +255,80 @@
 
 // forgetGone drops what is known of targets that no pool has any more; the caller holds
 // the lock.
-func (r *Router) forgetGone(pools []Pool) {
+func (r *Router) removeGone(pools []Pool) {
 	gone := func(hash ident.TargetHash) bool {
 		return !slices.ContainsFunc(pools, func(p Pool) bool { return p.has(hash) })
 	}
 	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return gone(hash) })
-	maps.DeleteFunc(r.heard, func(hash ident.TargetHash, _ time.Time) bool { return gone(hash) })
-	r.forgetBackoffs()
-	r.forgetLeaving()
-	for id, failed := range r.failed {
-		if slices.ContainsFunc(failed, gone) {
+	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return gone(hash) })
+	r.removeExpiredBackoffs()
+	r.removeStaleLeaving()
+	for id, unsentFailures := range r.unsentFailures {
+		if slices.ContainsFunc(unsentFailures, gone) {
 			// Its shard may be another by now, too.
-			delete(r.failed, id)
+			delete(r.unsentFailures, id)
 		}
 	}
 }
 
 // renew keeps what a pool's picture has counted when only its engines change, and what
 // this router has sent where in any case.
-func (r *Router) renew(old []*pool, p Pool) *pool {
+func (r *Router) updatePool(old []*pool, p Pool) *pool {
 	i := slices.IndexFunc(old, func(o *pool) bool { return o.Name == p.Name })
-	if i >= 0 && old[i].picture.Shards() == p.Roster.Shards() && old[i].Bound == p.Bound {
-		old[i].picture.SetRoster(p.Roster)
-		return &pool{Pool: p, picture: old[i].picture, saturated: old[i].saturated, throttles: old[i].throttles}
+	if i >= 0 && old[i].state.Shards() == p.Roster.Shards() && old[i].Bound == p.Bound {
+		old[i].state.SetRoster(p.Roster)
+		return &pool{Pool: p, state: old[i].state, saturatedUntil: old[i].saturatedUntil, throttles: old[i].throttles}
 	}
-	picture := place.NewPool(p.Name, p.Roster.Shards(), p.Bound)
+	state := place.NewPool(p.Name, p.Roster.Shards(), p.Bound)
 	if i >= 0 {
-		picture.Inherit(old[i].picture)
+		state.Inherit(old[i].state)
 	}
-	picture.SetRoster(p.Roster)
-	return &pool{Pool: p, picture: picture, throttles: map[demand]*throttle{}}
+	state.SetRoster(p.Roster)
+	return &pool{Pool: p, state: state, throttles: map[requestClass]*throttle{}}
 }
 
 // mostOffers is how many places a request may be given at targets that take no new work, as this router
 // knows. After the first one the home is told of all of them; more come only if others say so meanwhile.
-const mostOffers = 4
+const maxOffers = 4
 
 // offersWait is when a request comes back that was offered nothing else: homes know by then.
-const offersWait = time.Second
+const offersRetryAfter = time.Second
 
 // Acquire finds a target and counts the request there until the placement is released.
-func (r *Router) Acquire(ctx context.Context, ask Ask) (*Placement, error) {
+func (r *Router) Acquire(ctx context.Context, request Ask) (*Placement, error) {
 	const op = "route.Acquire"
-	for range mostOffers {
-		p, err := r.poolFor(ask.Service)
+	for range maxOffers {
+		p, err := r.poolFor(request.Service)
 		if err != nil {
 			return nil, err
 		}
-		placement, err := r.find(ctx, p, ask)
+		placement, err := r.findInPool(ctx, p, request)
 		if err != nil {
 			return nil, err
 		}
-		withheld := r.withheld(p, placement)
-		if withheld == nil {
+		excluded := r.excluded(p, placement)
+		if excluded == nil {
 			return placement, nil
 		}
 		placement.Release()
-		ask.withheld = append(ask.withheld, withheld...)
+		request.excluded = append(request.excluded, excluded...)
 	}
-	return nil, fault.New(op, TimedOut, RetryAfter{Wait: offersWait})
+	return nil, fault.New(op, TimedOut, RetryAfter{Wait: offersRetryAfter})
 }
 
 // find finds a target in a pool, which homes may offer although this router knows better.
-func (r *Router) find(ctx context.Context, p *pool, ask Ask) (*Placement, error) {
-	ask.Avoid, ask.lost = r.troubled(p, ask)
+func (r *Router) findInPool(ctx context.Context, p *pool, request Ask) (*Placement, error) {
+	request.Avoid, request.unreachable = r.avoidedTargets(p, request)
 	if p.Service.Balance == policy.Local {
-		return r.local(p, ask)
+		return r.placeLocally(p, request)
 	}
-	if err := r.throttled(p, ask); err != nil {
+	if err := r.checkThrottle(p, request); err != nil {
 		return nil, err
 	}
 	for {
-		placement, again, err := r.askAround(ctx, p, ask)
-		if !again {
-			r.learn(p, ask, err)
+		placement, retry, err := r.searchShards(ctx, p, request)
+		if !retry {
+			r.recordOutcome(p, request, err)
 			return placement, err
 		}
 	}
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -22,25 +22,25 @@
 	homes map[ident.Router]*home.Homes
 	down  map[ident.Router]bool
 	// failed are the engines that asks named as failing.
-	failed []ident.TargetHash
+	failures []ident.TargetHash
 	// backoffs are what asks told of engines that want no requests.
-	backoffs []place.Backoff
-	asked    []ident.Router
+	backoffs  []place.Backoff
+	requested []ident.Router
 	// loseAnswers has homes give permits whose answers do not arrive.
-	loseAnswers bool
+	dropResponses bool
 	// heldUp has the router notice too late whether its homes answered.
 	heldUp bool
 	// dropWithdrawals loses withdrawals.
 	dropWithdrawals bool
 	// dropReturns loses what is given back.
-	dropReturns bool
+	dropReleases bool
 	// placing is called while a home decides.
-	placing func()
-	later   []func()
-	pools   []route.Pool
+	onPlace  func()
+	deferred []func()
+	pools    []route.Pool
 }
 
-func (f *fleet) at(to ident.Router) (*home.Homes, error) {
+func (f *fleet) homeAt(to ident.Router) (*home.Homes, error) {
 	if f.down[to] || f.homes[to] == nil {
 		return nil, fault.New("test", home.Unreachable, nil)
 	}
@@ -48,39 +48,39 @@
 }
 
 func (f *fleet) Place(ctx context.Context, to ident.Router, ask home.Ask, released []uint64) (home.Answer, error) {
-	f.asked = append(f.asked, to)
-	f.failed = append(f.failed, ask.Failed...)
+	f.requested = append(f.requested, to)
+	f.failures = append(f.failures, ask.Failed...)
 	f.backoffs = append(f.backoffs, ask.Backoffs...)
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if err != nil {
 		return home.Answer{}, err
 	}
-	if f.dropReturns {
+	if f.dropReleases {
 		released = nil
 	}
 	a := h.Place(ctx, ask, released)
-	if f.placing != nil {
-		f.placing()
+	if f.onPlace != nil {
+		f.onPlace()
 	}
 	if f.heldUp {
 		return home.Answer{}, fault.New("test", home.HeldUp, nil)
 	}
-	if f.loseAnswers {
+	if f.dropResponses {
 		return home.Answer{}, fault.New("test", home.Unreachable, nil)
 	}
 	return a, nil
 }
 
 func (f *fleet) Release(_ context.Context, to ident.Router, id place.ShardID, released []uint64) error {
-	h, err := f.at(to)
-	if err == nil && !f.dropReturns {
+	h, err := f.homeAt(to)
+	if err == nil && !f.dropReleases {
 		h.Release(id, edge, released)
 	}
 	return err
 }
 
 func (f *fleet) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if err == nil {
 		h.Sync(id, edge, held, upto, from)
 	}
@@ -88,7 +88,7 @@
 }
 
 func (f *fleet) Withdraw(_ context.Context, to ident.Router, id place.ShardID, upto uint64) error {
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if f.dropWithdrawals {
 		return fault.New("test", home.Unreachable, nil)
 	}
@@ -99,7 +99,7 @@
 }
 
 func (f *fleet) Grant(_ context.Context, to ident.Router, w ident.Workspace, want int) (int, time.Duration, error) {
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if err != nil {
 		return 0, 0, err
 	}
@@ -136,7 +136,7 @@
 		f.homes[r].SetPool(pool, place.DefaultBound, p.Roster)
 	}
 	r := route.New(route.Self{
-		ID: edge, Region: "co", AfterFunc: func(_ time.Duration, run func()) { f.later = append(f.later, run) },
+		ID: edge, Region: "co", AfterFunc: func(_ time.Duration, run func()) { f.deferred = append(f.deferred, run) },
 	}, f, clock)
 	assigned := place.Assign([]place.ShardID{id}, routers)
 	f.pools = []route.Pool{p}
@@ -145,10 +145,10 @@
 }
 
 // run runs what was put off.
-func (f *fleet) run() {
-	for len(f.later) > 0 {
-		next := f.later[0]
-		f.later = f.later[1:]
+func (f *fleet) runDeferred() {
+	for len(f.deferred) > 0 {
+		next := f.deferred[0]
+		f.deferred = f.deferred[1:]
 		next()
 	}
 }
@@ -167,7 +167,7 @@
 	return p
 }
 
-func TestPermitsComeBack(t *testing.T) {
+func TestReleaseReturnsPermit(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	p := acquire(t, r, 1)
@@ -176,14 +176,14 @@
 	}
 	p.Release()
 	p.Release()
-	f.run()
+	f.runDeferred()
 	if f.permits(at) != 0 {
 		t.Errorf("%d permits counted after the return, want 0", f.permits(at))
 	}
 }
 
 // What a router remembers of its requests outlives its homes and its pool's shards.
-func TestPlacesOutliveHomes(t *testing.T) {
+func TestPlacementsSurviveHomeChange(t *testing.T) {
 	f, r, assigned := newFleet()
 	const keys = 20
 	want := map[ident.ChatKey]ident.Target{}
@@ -192,7 +192,7 @@
 		want[key] = p.Target.ID
 		p.Release()
 	}
-	f.run()
+	f.runDeferred()
 	for _, name := range routers {
 		f.homes[name] = home.New(name, home.DefaultLimits, func() time.Time { return f.now }, noRates)
 		f.homes[name].SetPool(pool, place.DefaultBound, place.NewRoster(2, f.pools[0].Roster.Engines()))
@@ -209,7 +209,7 @@
 			got[key] = p.Holder.ID
 		}
 		p.Release()
-		f.run()
+		f.runDeferred()
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
@@ -217,7 +217,7 @@
 }
 
 // The next request for a permit tells the home of targets that failed, once.
-func TestFailuresReachTheHome(t *testing.T) {
+func TestFailuresAreReportedToHome(t *testing.T) {
 	f, r, _ := newFleet()
 	one, two := ident.Target("engine-1").Hash(), ident.Target("engine-2").Hash()
 	r.Report(one, false)
@@ -228,51 +228,51 @@
 		p := acquire(t, r, key)
 		p.Release()
 	}
-	if diff := cmp.Diff([]ident.TargetHash{one, two, one}, f.failed); diff != "" {
+	if diff := cmp.Diff([]ident.TargetHash{one, two, one}, f.failures); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // A router that is held up itself, as when its box has no processor time left, keeps to its
 // homes: were each such router to take another, several would count one shard.
-func TestRouterThatIsHeldUpBlamesNoHome(t *testing.T) {
+func TestDelayedRouterKeepsItsHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	f.heldUp = true
 	for key := range ident.ChatKey(5) {
 		acquire(t, r, key).Release()
 	}
-	f.heldUp, f.asked = false, nil
-	f.run()
+	f.heldUp, f.requested = false, nil
+	f.runDeferred()
 	acquire(t, r, 9).Release()
-	if diff := cmp.Diff([]ident.Router{assigned.Home(id)}, f.asked); diff != "" {
+	if diff := cmp.Diff([]ident.Router{assigned.Home(id)}, f.requested); diff != "" {
 		t.Error(diff)
 	}
 }
 
 // Failures that a silent home did not hear of are told with the next request.
-func TestFailuresOutliveASilentHome(t *testing.T) {
+func TestFailuresAreResentAfterHomeFailure(t *testing.T) {
 	f, r, assigned := newFleet()
 	one := ident.Target("engine-1").Hash()
 	r.Report(one, false)
 	at := assigned.Home(id)
 	f.down[at], f.down[assigned.Next(id, at)] = true, true
 	acquire(t, r, 1).Release()
-	f.failed = nil
+	f.failures = nil
 	clear(f.down)
 	acquire(t, r, 2).Release()
-	if diff := cmp.Diff([]ident.TargetHash{one}, f.failed); diff != "" {
+	if diff := cmp.Diff([]ident.TargetHash{one}, f.failures); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func noRates(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false }
 
-func TestLostReturnsAreMended(t *testing.T) {
+func TestLostReleasesAreReconciled(t *testing.T) {
 	f, r, assigned := newFleet()
-	f.dropReturns = true
+	f.dropReleases = true
 	for key := range ident.ChatKey(5) {
 		acquire(t, r, key).Release()
-		f.run()
+		f.runDeferred()
 	}
 	if got := f.permits(assigned.Home(id)); got > 3 {
 		t.Errorf("%d permits counted of requests that have ended", got)
@@ -280,7 +280,7 @@
 }
 
 // Permits that are lost while a pool is full must not keep it full for ever.
-func TestLostReturnsOfAFullPool(t *testing.T) {
+func TestLostReleasesOfFullPool(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	var engines []place.Engine
@@ -288,16 +288,16 @@
 		engines = append(engines, place.Engine{ID: name, Hash: name.Hash(), Incarnation: 1, Slots: ident.OneRequest})
 	}
 	f.homes[at].SetPool(pool, place.DefaultBound, place.NewRoster(1, engines))
-	f.dropReturns = true
+	f.dropReleases = true
 	acquire(t, r, 1).Release()
 	acquire(t, r, 2).Release()
-	f.run()
-	f.dropReturns = false
+	f.runDeferred()
+	f.dropReleases = false
 	for range 4 {
 		if p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 3, Work: ident.OneRequest}); err == nil {
 			p.Release()
 		}
-		f.run()
+		f.runDeferred()
 	}
 	if got := f.permits(at); got != 0 {
 		t.Errorf("%d permits counted of requests that have ended", got)
@@ -305,18 +305,18 @@
 }
 
 // A home that gave a permit too late to be heard gets it back, not the next in line.
-func TestPermitOfALostAnswer(t *testing.T) {
+func TestPermitOfLostResponseIsReleased(t *testing.T) {
 	f, r, assigned := newFleet()
-	f.loseAnswers = true
+	f.dropResponses = true
 	acquire(t, r, 1)
-	f.run()
+	f.runDeferred()
 	if got := f.permits(assigned.Home(id)); got != 0 {
 		t.Errorf("%d permits counted of answers that nobody got", got)
 	}
 }
 
 // An earlier home that could not be told is told later that its permits moved.
-func TestUnconfirmedWithdrawalIsRepeated(t *testing.T) {
+func TestUnconfirmedWithdrawalIsRetried(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	acquire(t, r, 1)
@@ -333,7 +333,7 @@
 	}
 }
 
-func TestSilentHome(t *testing.T) {
+func TestUnreachableHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	next := assigned.Next(id, at)
@@ -341,14 +341,14 @@
 	f.down[at] = true
 	acquire(t, r, 2)
 	acquire(t, r, 3)
-	if diff := cmp.Diff([]ident.Router{at, at, next, next}, f.asked); diff != "" {
+	if diff := cmp.Diff([]ident.Router{at, at, next, next}, f.requested); diff != "" {
 		t.Error(diff)
 	}
 	if got := f.permits(next); got != 3 {
 		t.Errorf("the next in line counts %d permits, want all 3", got)
 	}
 	first.Release()
-	f.run()
+	f.runDeferred()
 	if got := f.permits(next); got != 2 {
 		t.Errorf("the next in line counts %d permits after one came back, want 2", got)
 	}
@@ -358,18 +358,18 @@
 }
 
 // A router that has just started may be home before it knows any engine.
-func TestHomeThatKnowsNoEngines(t *testing.T) {
+func TestHomeWithoutEngines(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	clock := func() time.Time { return f.now }
 	f.homes[at] = home.New(at, home.DefaultLimits, clock, func(ident.Workspace) (policy.Workspace, bool) { return workspace, true })
 	acquire(t, r, 1)
-	if diff := cmp.Diff([]ident.Router{at, assigned.Next(id, at)}, f.asked); diff != "" {
+	if diff := cmp.Diff([]ident.Router{at, assigned.Next(id, at)}, f.requested); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestNoHomeAtAll(t *testing.T) {
+func TestNoReachableHome(t *testing.T) {
 	f, r, _ := newFleet()
 	for _, name := range routers {
 		f.down[name] = true
@@ -383,21 +383,21 @@
 	}
 }
 
-func TestBrokenTargetIsPassedOver(t *testing.T) {
+func TestFailingTargetIsSkipped(t *testing.T) {
 	_, r, _ := newFleet()
-	bad := acquire(t, r, 1)
+	failing := acquire(t, r, 1)
 	for range 5 {
-		r.Report(bad.Hash, false)
+		r.Report(failing.Hash, false)
 	}
-	bad.Release()
+	failing.Release()
 	for range 4 {
-		if p := acquire(t, r, 1); p.Hash == bad.Hash {
+		if p := acquire(t, r, 1); p.Hash == failing.Hash {
 			t.Fatal("a target whose answers fail gets new work")
 		}
 	}
 }
 
-func TestRateWithoutItsHome(t *testing.T) {
+func TestRateLimitWithoutHome(t *testing.T) {
 	f, r, _ := newFleet()
 	admitted := func() int {
 		n := 0
@@ -421,7 +421,7 @@
 }
 
 // A router that no home answers decides alone at once, and asks again now and then.
-func TestCutOffRouterDoesNotWaitForHomes(t *testing.T) {
+func TestIsolatedRouterDoesNotWaitForHomes(t *testing.T) {
 	f, r, _ := newFleet()
 	for _, name := range routers {
 		f.down[name] = true
@@ -429,9 +429,9 @@
 	for key := range ident.ChatKey(10) {
 		acquire(t, r, key).Release()
 	}
-	asked := len(f.asked)
-	if asked > 4 {
-		t.Errorf("%d homes were asked in vain for 10 requests, want at most 4", asked)
+	requested := len(f.requested)
+	if requested > 4 {
+		t.Errorf("%d homes were asked in vain for 10 requests, want at most 4", requested)
 	}
 	for _, name := range routers {
 		f.down[name] = false
--- a/internal/edge/route/unknown_test.go
+++ b/internal/edge/route/unknown_test.go
@@ -11,9 +11,9 @@
 )
 
 // strangers has the homes know some engines more than the router does, or without the two that it knows.
-func (f *fleet) strangers(count int, alone bool) {
+func (f *fleet) setUnknownEngines(count int, replace bool) {
 	var engines []place.Engine
-	if !alone {
+	if !replace {
 		engines = f.pools[0].Roster.Engines()
 	}
 	for i := range count {
@@ -35,22 +35,22 @@
 // that with a thousand routers and ten thousand targets some disagree at every moment.
 //
 // Proof: here homes know targets that the router does not, for good: a few, many, or no others.
-func TestHomesThatKnowOtherTargets(t *testing.T) {
+func TestHomesWithDifferentTargets(t *testing.T) {
 	for _, c := range []struct {
-		name  string
-		count int
-		alone bool
+		name    string
+		count   int
+		replace bool
 	}{{"one more", 1, false}, {"many more", 40, false}, {"others alone", 2, true}} {
 		t.Run(c.name, func(t *testing.T) {
 			f, r, assigned := newFleet()
-			f.strangers(c.count, c.alone)
+			f.setUnknownEngines(c.count, c.replace)
 			for key := range ident.ChatKey(100) {
 				p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest})
 				if err != nil {
 					t.Fatalf("chat %d was refused before two idle targets: %v", key, err)
 				}
 				p.Release()
-				f.run()
+				f.runDeferred()
 			}
 			if got := f.permits(assigned.Home(id)); got != 0 {
 				t.Errorf("%d places are still counted at the home, want all given back", got)
--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -25,18 +25,18 @@
 }
 
 // noteFailure counts a call to a home that failed; the caller holds the lock.
-func (r *Router) noteFailure() {
-	r.failures++
-	r.tryAt = r.clock().Add(cutRetry)
-	if r.failures == cutAfter && r.watcher != nil {
+func (r *Router) recordHomeFailure() {
+	r.homeFailures++
+	r.isolatedUntil = r.clock().Add(isolatedRetryInterval)
+	if r.homeFailures == isolationThreshold && r.watcher != nil {
 		r.watcher.CutOff(true)
 	}
 }
 
 // noteAnswer notes that a home has answered; the caller holds the lock.
-func (r *Router) noteAnswer() {
-	if r.failures >= cutAfter && r.watcher != nil {
+func (r *Router) recordHomeResponse() {
+	if r.homeFailures >= isolationThreshold && r.watcher != nil {
 		r.watcher.CutOff(false)
 	}
-	r.failures = 0
+	r.homeFailures = 0
 }
