--- a/internal/edge/relay/backoff.go
+++ b/internal/edge/relay/backoff.go
@@ -16,19 +16,19 @@
 	if status != http.StatusServiceUnavailable {
 		return 0
 	}
-	told := h.Get("Retry-After")
+	value := h.Get("Retry-After")
 	// A fraction of a second goes beyond the standard, but some targets tell one.
-	if seconds, err := strconv.ParseFloat(told, 64); err == nil {
-		return backoffFor(seconds)
+	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
+		return clampBackoff(seconds)
 	}
-	if until, err := http.ParseTime(told); err == nil {
-		return backoffFor(until.Sub(now).Seconds())
+	if until, err := http.ParseTime(value); err == nil {
+		return clampBackoff(until.Sub(now).Seconds())
 	}
 	return 0
 }
 
 // backoffFor is a backoff of some seconds within its bounds; what is no number is none.
-func backoffFor(seconds float64) time.Duration {
+func clampBackoff(seconds float64) time.Duration {
 	if !(seconds > 0) {
 		return 0
 	}
--- a/internal/edge/relay/backoff_test.go
+++ b/internal/edge/relay/backoff_test.go
@@ -10,7 +10,7 @@
 	now := time.Date(2026, 12, 3, 12, 0, 0, 0, time.UTC)
 	cases := map[string]struct {
 		status int
-		told   string
+		value  string
 		want   time.Duration
 	}{
 		"seconds":         {503, "3", 3 * time.Second},
@@ -29,8 +29,8 @@
 	}
 	for name, c := range cases {
 		h := http.Header{}
-		if c.told != "" {
-			h.Set("Retry-After", c.told)
+		if c.value != "" {
+			h.Set("Retry-After", c.value)
 		}
 		if got := BackoffOf(c.status, h, now); got != c.want {
 			t.Errorf("%s: %v, want %v", name, got, c.want)
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -47,107 +47,107 @@
 	conns  *Conns
 	// unwatch ends the watch on the context and reports whether it had not closed the
 	// connection by then.
-	unwatch func() bool
+	stopContextWatch func() bool
 	// sent tells when all of the request is written.
-	sent <-chan error
+	written <-chan error
 	// whole is set once the body was read to its end.
-	whole bool
+	complete bool
 	// closing says that the target closes the connection after this answer.
-	closing bool
+	closesConn bool
 }
 
 // conn is one connection to a target.
 type conn struct {
 	net.Conn
-	addr   string
-	reader *bufio.Reader
-	source *boundedReader
+	addr    string
+	reader  *bufio.Reader
+	limited *limitedConn
 	// header is the largest header of an answer, in bytes.
-	header int64
+	maxHeader int64
 	// since is when the connection became idle, keep for how long it may be used again.
-	since time.Time
-	keep  time.Duration
+	idleSince time.Time
+	keepIdle  time.Duration
 	// mates is how many idle connections its target may have, this one included; zero
 	// leaves it to the limits of all targets.
-	mates int
+	maxIdle int
 }
 
 // boundedReader ends a connection that sends more than it may.
-type boundedReader struct {
+type limitedConn struct {
 	net.Conn
-	left int64
+	remaining int64
 }
 
 // errHeaderTooLarge ends the reading of an answer's head.
 var errHeaderTooLarge = errors.New("the answer's header is too large")
 
 // Read reads at most what is left.
-func (b *boundedReader) Read(p []byte) (int, error) {
-	if b.left <= 0 {
+func (b *limitedConn) Read(p []byte) (int, error) {
+	if b.remaining <= 0 {
 		return 0, errHeaderTooLarge
 	}
-	if int64(len(p)) > b.left {
-		p = p[:b.left]
+	if int64(len(p)) > b.remaining {
+		p = p[:b.remaining]
 	}
 	n, err := b.Conn.Read(p)
-	b.left -= int64(n)
+	b.remaining -= int64(n)
 	return n, err
 }
 
 // readBuffer holds a header and the first events, in bytes.
-const readBuffer = 4 << 10
+const readBufferBytes = 4 << 10
 
 // newConn returns a connection whose answers have headers of at most some bytes.
-func newConn(addr string, raw net.Conn, header int64) *conn {
-	source := &boundedReader{Conn: raw, left: header}
-	return &conn{Conn: raw, addr: addr, source: source, reader: bufio.NewReaderSize(source, readBuffer), header: header}
+func newConn(addr string, raw net.Conn, maxHeader int64) *conn {
+	limited := &limitedConn{Conn: raw, remaining: maxHeader}
+	return &conn{Conn: raw, addr: addr, limited: limited, reader: bufio.NewReaderSize(limited, readBufferBytes), maxHeader: maxHeader}
 }
 
 // Send makes an attempt and returns once the answer's head is there. An error tells by
 // StepOf how far the attempt got. The context's end closes the connection.
 func (c *Conns) Send(ctx context.Context, e Exchange) (*Answer, error) {
 	const op = "relay.Send"
-	cn := c.take(e.Addr, time.Now(), e.Fresh)
+	cn := c.takeIdle(e.Addr, time.Now(), e.Fresh)
 	if cn == nil {
 		var err error
 		if cn, err = c.dial(ctx, e.Addr); err != nil {
 			return nil, err
 		}
 	}
-	cn.mates = e.Keep
-	unwatch := context.AfterFunc(ctx, func() { _ = cn.Close() })
-	sent, err := cn.write(e)
+	cn.maxIdle = e.Keep
+	stopContextWatch := context.AfterFunc(ctx, func() { _ = cn.Close() })
+	written, err := cn.write(e)
 	if err != nil {
-		unwatch()
+		stopContextWatch()
 		_ = cn.Close()
-		return nil, failed(op, Broken, stepOfWrite(err), err)
+		return nil, newFailure(op, Broken, writeErrorStep(err), err)
 	}
-	asked := time.Now()
-	resp, err := cn.readOwn(e)
+	sentAt := time.Now()
+	resp, err := cn.readMatchingHead(e)
 	if err != nil {
-		unwatch()
+		stopContextWatch()
 		_ = cn.Close()
 		if ctx.Err() != nil {
-			c.distrust(e.Addr, time.Since(asked))
+			c.closeSilent(e.Addr, time.Since(sentAt))
 			err = ctx.Err()
 		}
-		return nil, failed(op, kindOfRead(err), retry.Sending, err)
+		return nil, newFailure(op, readErrorKind(err), retry.Sending, err)
 	}
 	return &Answer{
 		Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, Framed: isFramed(resp), body: resp.Body,
-		conn: cn, conns: c, unwatch: unwatch, sent: sent, closing: resp.Close,
+		conn: cn, conns: c, stopContextWatch: stopContextWatch, written: written, closesConn: resp.Close,
 	}, nil
 }
 
 // nothingWritten is an error before the first byte left.
-type nothingWritten struct{ error }
+type writeNotStarted struct{ error }
 
 // Unwrap returns the cause.
-func (n nothingWritten) Unwrap() error { return n.error }
+func (n writeNotStarted) Unwrap() error { return n.error }
 
 // stepOfWrite is how far an attempt got whose request could not be written.
-func stepOfWrite(err error) retry.Step {
-	var n nothingWritten
+func writeErrorStep(err error) retry.Step {
+	var n writeNotStarted
 	if errors.As(err, &n) {
 		return retry.Dialing
 	}
@@ -158,7 +158,7 @@
 var errCrossed = errors.New("only answers to other requests came")
 
 // kindOfRead is why no head of an answer was read.
-func kindOfRead(err error) Kind {
+func readErrorKind(err error) Kind {
 	if errors.Is(err, errCrossed) {
 		return Crossed
 	}
@@ -168,16 +168,16 @@
 // inline is the largest request that is written before the answer is awaited, in
 // bytes: it fits into a new connection's send buffer, so that the write does not wait
 // for the target. A target may answer before it has read a longer one.
-const inline = 8 << 10
+const maxInlineRequestBytes = 8 << 10
 
 // write sends a request; sent tells when all of it is written.
-func (c *conn) write(e Exchange) (sent <-chan error, err error) {
+func (c *conn) write(e Exchange) (written <-chan error, err error) {
 	head := encodeHead(e)
 	done := make(chan error, 1)
-	if len(head)+len(e.Body) <= inline {
+	if len(head)+len(e.Body) <= maxInlineRequestBytes {
 		n, err := c.Conn.Write(append(head, e.Body...))
 		if err != nil && n == 0 {
-			return nil, nothingWritten{err}
+			return nil, writeNotStarted{err}
 		}
 		done <- err
 		return done, err
@@ -191,13 +191,13 @@
 }
 
 // headSize is what a request's line and header usually fit in, in bytes.
-const headSize = 1 << 10
+const headBufferBytes = 1 << 10
 
 // encodeHead returns the request line and the header. It names the body's length, and
 // that of an empty body if requests of the method have one.
 func encodeHead(e Exchange) []byte {
 	var b bytes.Buffer
-	b.Grow(headSize)
+	b.Grow(headBufferBytes)
 	b.WriteString(e.Method)
 	b.WriteByte(' ')
 	b.WriteString(e.Path)
@@ -223,15 +223,15 @@
 const (
 	// maxForeign is how many answers to earlier requests are skipped on a connection: a
 	// late and a surplus one.
-	maxForeign = 2
+	maxForeignResponses = 2
 	// maxForeignBody bounds the body of an answer that is skipped, in bytes.
-	maxForeignBody = 1 << 20
+	maxForeignBodyBytes = 1 << 20
 )
 
 // readOwn reads heads until one belongs to the request.
-func (c *conn) readOwn(e Exchange) (*http.Response, error) {
+func (c *conn) readMatchingHead(e Exchange) (*http.Response, error) {
 	request := &http.Request{Method: e.Method}
-	for range maxForeign + 1 {
+	for range maxForeignResponses + 1 {
 		resp, err := c.readHead(request)
 		if err != nil {
 			return nil, err
@@ -239,8 +239,8 @@
 		if e.Owns(resp.Header) {
 			return resp, nil
 		}
-		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBody+1))
-		if err != nil || n > maxForeignBody || resp.Close {
+		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBodyBytes+1))
+		if err != nil || n > maxForeignBodyBytes || resp.Close {
 			return nil, errCrossed
 		}
 	}
@@ -250,13 +250,13 @@
 // readHead reads one head, without those that only announce another.
 func (c *conn) readHead(request *http.Request) (*http.Response, error) {
 	for {
-		c.source.left = c.header
+		c.limited.remaining = c.maxHeader
 		resp, err := http.ReadResponse(c.reader, request)
 		if err != nil {
 			return nil, err
 		}
 		if resp.StatusCode >= http.StatusOK || resp.StatusCode == http.StatusSwitchingProtocols {
-			c.source.left = math.MaxInt64
+			c.limited.remaining = math.MaxInt64
 			return resp, nil
 		}
 	}
@@ -266,7 +266,7 @@
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
-		a.whole = true
+		a.complete = true
 	}
 	return n, err
 }
@@ -274,21 +274,21 @@
 // Close ends the attempt. The connection is used again only after a whole answer and
 // a whole request, without a byte to spare.
 func (a *Answer) Close() {
-	open := a.unwatch()
-	if !open || !a.reusable() {
+	active := a.stopContextWatch()
+	if !active || !a.reusable() {
 		_ = a.conn.Close()
 		return
 	}
-	a.conns.keep(a.conn, a.Header, time.Now())
+	a.conns.keepIdle(a.conn, a.Header, time.Now())
 }
 
 // reusable reports whether nothing of this exchange is left on the connection.
 func (a *Answer) reusable() bool {
-	if !a.whole || a.closing || a.conn.reader.Buffered() > 0 {
+	if !a.complete || a.closesConn || a.conn.reader.Buffered() > 0 {
 		return false
 	}
 	select {
-	case err := <-a.sent:
+	case err := <-a.written:
 		return err == nil
 	default:
 		return false
--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -74,13 +74,13 @@
 	for addr, list := range c.idle {
 		left := list[:0]
 		for _, cn := range list {
-			if ident.Elapsed(cn.since, now) > cn.keep {
+			if ident.Elapsed(cn.idleSince, now) > cn.keepIdle {
 				expired = append(expired, cn)
 				continue
 			}
 			left = append(left, cn)
 		}
-		c.put(addr, left)
+		c.setIdle(addr, left)
 	}
 	c.mu.Unlock()
 	closeAll(expired)
@@ -95,13 +95,13 @@
 
 // silentAfter is after how long without a byte of an answer the idle connections to its
 // target are not used again: several times what a target takes to its first byte.
-const silentAfter = 500 * time.Millisecond
+const silenceTimeout = 500 * time.Millisecond
 
 // distrust closes the idle connections to an address where a request was not answered for a
 // while. Connections may fall silent for good without a reset, all of a target's at once,
 // and each would cost a request to find out.
-func (c *Conns) distrust(addr string, silence time.Duration) {
-	if silence >= silentAfter {
+func (c *Conns) closeSilent(addr string, silence time.Duration) {
+	if silence >= silenceTimeout {
 		c.Forget(addr)
 	}
 }
@@ -117,11 +117,11 @@
 }
 
 // take returns an idle connection that was used within fresh, the latest first, or nil.
-func (c *Conns) take(addr string, now time.Time, fresh time.Duration) *conn {
+func (c *Conns) takeIdle(addr string, now time.Time, fresh time.Duration) *conn {
 	for {
-		found, expired := c.pick(addr, now, fresh)
+		found, expired := c.popIdle(addr, now, fresh)
 		closeAll(expired)
-		if found == nil || found.quiet() {
+		if found == nil || found.usable() {
 			return found
 		}
 		_ = found.Close()
@@ -129,14 +129,14 @@
 }
 
 // pick takes the latest idle connection out, or nil, and those that it found expired.
-func (c *Conns) pick(addr string, now time.Time, fresh time.Duration) (found *conn, expired []*conn) {
+func (c *Conns) popIdle(addr string, now time.Time, fresh time.Duration) (found *conn, expired []*conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
 	for len(list) > 0 && found == nil {
 		last := list[len(list)-1]
-		idle := ident.Elapsed(last.since, now)
-		if idle > last.keep {
+		idle := ident.Elapsed(last.idleSince, now)
+		if idle > last.keepIdle {
 			expired = append(expired, last)
 		} else if idle <= fresh {
 			found = last
@@ -146,12 +146,12 @@
 		}
 		list = list[:len(list)-1]
 	}
-	c.put(addr, list)
+	c.setIdle(addr, list)
 	return found, expired
 }
 
 // put replaces an address's idle connections; the caller holds the lock.
-func (c *Conns) put(addr string, list []*conn) {
+func (c *Conns) setIdle(addr string, list []*conn) {
 	if len(list) == 0 {
 		delete(c.idle, addr)
 		return
@@ -160,20 +160,20 @@
 }
 
 // keep makes a connection idle until its target's own limit, or closes it.
-func (c *Conns) keep(cn *conn, header http.Header, now time.Time) {
+func (c *Conns) keepIdle(cn *conn, header http.Header, now time.Time) {
 	idle := c.limits.Idle
-	if told, ok := keepAlive(header); ok {
-		idle = min(idle, told-keepAliveMargin)
+	if advertised, ok := keepAlive(header); ok {
+		idle = min(idle, advertised-keepAliveMargin)
 	}
-	most := c.limits.PerTarget
-	if cn.mates > 0 {
-		most = min(most, cn.mates)
+	limit := c.limits.PerTarget
+	if cn.maxIdle > 0 {
+		limit = min(limit, cn.maxIdle)
 	}
-	cn.since = now
-	cn.keep = idle
+	cn.idleSince = now
+	cn.keepIdle = idle
 	c.mu.Lock()
 	list := c.idle[cn.addr]
-	if c.closed || idle <= 0 || len(list) >= most {
+	if c.closed || idle <= 0 || len(list) >= limit {
 		c.mu.Unlock()
 		_ = cn.Close()
 		return
@@ -204,10 +204,10 @@
 // dial makes a connection.
 func (c *Conns) dial(ctx context.Context, addr string) (*conn, error) {
 	const op = "relay.Dial"
-	began := time.Now()
+	start := time.Now()
 	raw, err := c.dialer.DialContext(ctx, "tcp", addr)
 	if err != nil {
-		return nil, failed(op, dialKind(err, time.Since(began)-c.limits.Dial), retry.Dialing, err)
+		return nil, newFailure(op, dialErrorKind(err, time.Since(start)-c.limits.Dial), retry.Dialing, err)
 	}
 	c.dialed.Add(1)
 	return newConn(addr, raw, c.limits.Header), nil
@@ -229,4 +229,4 @@
 
 // quiet reports whether an idle connection is still open and holds no unread bytes:
 // bytes that came without a request belong to none.
-func (c *conn) quiet() bool { return c.reader.Buffered() == 0 && Peek(c.Conn) == Quiet }
+func (c *conn) usable() bool { return c.reader.Buffered() == 0 && Peek(c.Conn) == Quiet }
--- a/internal/edge/relay/conns_test.go
+++ b/internal/edge/relay/conns_test.go
@@ -8,45 +8,45 @@
 )
 
 // idleConns returns connections of which one is idle at each of some times.
-func idleConns(t *testing.T, at ...time.Time) *Conns {
+func newIdleConns(t *testing.T, idleTimes ...time.Time) *Conns {
 	t.Helper()
 	c, closeConns := NewConns(DefaultConnLimits)
 	t.Cleanup(closeConns)
-	for _, since := range at {
+	for _, idleSince := range idleTimes {
 		near, far := net.Pipe()
 		t.Cleanup(func() { _ = far.Close() })
-		c.keep(newConn("a", near, DefaultConnLimits.Header), http.Header{}, since)
+		c.keepIdle(newConn("a", near, DefaultConnLimits.Header), http.Header{}, idleSince)
 	}
 	return c
 }
 
-func (c *Conns) count() int {
+func (c *Conns) idleCount() int {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	return len(c.idle["a"])
 }
 
 // Expired connections go even if nobody asks for their target again.
-func TestExpiredConnectionsAreSwept(t *testing.T) {
+func TestSweepClosesExpiredConnections(t *testing.T) {
 	now := time.Unix(1000, 0)
-	c := idleConns(t, now, now.Add(time.Second), now.Add(5*time.Second))
+	c := newIdleConns(t, now, now.Add(time.Second), now.Add(5*time.Second))
 	c.Sweep(now.Add(DefaultConnLimits.Idle + 2*time.Second))
-	if got := c.count(); got != 1 {
+	if got := c.idleCount(); got != 1 {
 		t.Errorf("%d idle connections are left, want the one that has not expired", got)
 	}
 }
 
 // A target that takes few connections is left with few idle ones.
-func TestFewIdleConnections(t *testing.T) {
-	c := idleConns(t)
+func TestIdleConnectionLimit(t *testing.T) {
+	c := newIdleConns(t)
 	for range 5 {
 		near, far := net.Pipe()
 		t.Cleanup(func() { _ = far.Close() })
 		cn := newConn("a", near, DefaultConnLimits.Header)
-		cn.mates = 2
-		c.keep(cn, http.Header{}, time.Unix(1000, 0))
+		cn.maxIdle = 2
+		c.keepIdle(cn, http.Header{}, time.Unix(1000, 0))
 	}
-	if got := c.count(); got != 2 {
+	if got := c.idleCount(); got != 2 {
 		t.Errorf("%d idle connections, want 2", got)
 	}
 }
--- a/internal/edge/relay/error.go
+++ b/internal/edge/relay/error.go
@@ -45,7 +45,7 @@
 // Unwrap returns the error without its step.
 func (f *failure) Unwrap() error { return f.error }
 
-func failed(op string, kind Kind, step retry.Step, err error) error {
+func newFailure(op string, kind Kind, step retry.Step, err error) error {
 	return &failure{error: fault.New(op, kind, err), step: step}
 }
 
@@ -55,7 +55,7 @@
 
 // dialKind tells what this box lacks from a target that cannot be reached, given how long after
 // the time to connect a dial failed.
-func dialKind(err error, late time.Duration) Kind {
+func dialErrorKind(err error, late time.Duration) Kind {
 	switch {
 	case fault.OwnLack(err):
 		return Exhausted
--- a/internal/edge/relay/fuzz_test.go
+++ b/internal/edge/relay/fuzz_test.go
@@ -10,14 +10,14 @@
 )
 
 // scripted is a connection whose other end says what was given, whatever it is asked.
-type scripted struct {
+type scriptedConn struct {
 	net.Conn
-	says *bytes.Reader
+	script *bytes.Reader
 }
 
-func (s scripted) Read(p []byte) (int, error)  { return s.says.Read(p) }
-func (s scripted) Write(p []byte) (int, error) { return len(p), nil }
-func (s scripted) Close() error                { return nil }
+func (s scriptedConn) Read(p []byte) (int, error)  { return s.script.Read(p) }
+func (s scriptedConn) Write(p []byte) (int, error) { return len(p), nil }
+func (s scriptedConn) Close() error                { return nil }
 
 // FuzzAnswers reads two exchanges' answers off a connection on which anything may come: cut, extra,
 // crossed or without a length. An answer is only taken if it names its request, and
@@ -27,19 +27,19 @@
 	f.Add([]byte("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nok"))
 	f.Add([]byte("HTTP/1.1 100 Continue\r\n\r\nHTTP/1.1 200 OK\r\nId: 2\r\n\r\nunframed"))
 	f.Add([]byte(whole))
-	f.Fuzz(func(t *testing.T, says []byte) {
-		c := newConn("t", scripted{says: bytes.NewReader(says)}, 1<<12)
+	f.Fuzz(func(t *testing.T, script []byte) {
+		c := newConn("t", scriptedConn{script: bytes.NewReader(script)}, 1<<12)
 		for _, id := range []string{"1", "2"} {
-			resp, err := c.readOwn(Exchange{Method: http.MethodPost, Owns: func(h http.Header) bool { return h.Get("Id") == id }})
+			resp, err := c.readMatchingHead(Exchange{Method: http.MethodPost, Owns: func(h http.Header) bool { return h.Get("Id") == id }})
 			if err != nil {
 				return
 			}
 			if got := resp.Header.Get("Id"); got != id {
 				t.Fatalf("request %s got the answer to %q", id, got)
 			}
-			sent := make(chan error, 1)
-			sent <- nil
-			a := &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, body: resp.Body, conn: c, sent: sent, closing: resp.Close}
+			written := make(chan error, 1)
+			written <- nil
+			a := &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, body: resp.Body, conn: c, written: written, closesConn: resp.Close}
 			_, err = io.Copy(io.Discard, a)
 			if a.reusable() && (err != nil || c.reader.Buffered() > 0) {
 				t.Fatalf("a connection with %d bytes left, %v, would be used again", c.reader.Buffered(), err)
@@ -56,8 +56,8 @@
 	f.Add("timeout=5, max=100")
 	f.Add("TIMEOUT = 99999999999999999999")
 	f.Fuzz(func(t *testing.T, value string) {
-		if told, ok := keepAlive(http.Header{"Keep-Alive": {value}}); ok && told < 0 {
-			t.Errorf("%q keeps a connection for %v", value, told.Round(time.Second))
+		if timeout, ok := keepAlive(http.Header{"Keep-Alive": {value}}); ok && timeout < 0 {
+			t.Errorf("%q keeps a connection for %v", value, timeout.Round(time.Second))
 		}
 	})
 }
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -75,32 +75,32 @@
 
 // Relay sends attempts.
 type Relay struct {
-	limits Limits
-	shared http.RoundTripper
-	single http.RoundTripper
+	limits    Limits
+	pooled    http.RoundTripper
+	singleUse http.RoundTripper
 	// streams carries HTTP/2, whose requests share connections without following
 	// each other on them.
-	streams http.RoundTripper
+	http2 http.RoundTripper
 }
 
 // New returns a relay and the function that closes its idle connections.
 func New(limits Limits) (*Relay, func()) {
-	shared := transport(limits, false)
-	single := transport(limits, false)
-	streams := transport(limits, true)
+	pooled := newTransport(limits, false)
+	singleUse := newTransport(limits, false)
+	http2 := newTransport(limits, true)
 	// The transport sends a request again by itself when a kept-alive connection
 	// turns out dead, and may take bytes that a target sent too much for the answer
 	// to the next request. A fresh connection for each attempt does neither.
-	single.DisableKeepAlives = true
-	r := &Relay{limits: limits, shared: shared, single: single, streams: streams}
+	singleUse.DisableKeepAlives = true
+	r := &Relay{limits: limits, pooled: pooled, singleUse: singleUse, http2: http2}
 	return r, func() {
-		streams.CloseIdleConnections()
-		shared.CloseIdleConnections()
-		single.CloseIdleConnections()
+		http2.CloseIdleConnections()
+		pooled.CloseIdleConnections()
+		singleUse.CloseIdleConnections()
 	}
 }
 
-func transport(limits Limits, http2 bool) *http.Transport {
+func newTransport(limits Limits, http2 bool) *http.Transport {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(!http2)
 	protocols.SetUnencryptedHTTP2(http2)
@@ -114,13 +114,13 @@
 }
 
 // hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
 // callerHeaders are for the router and must not reach a target.
-var callerHeaders = []string{"Authorization", "Cookie", "Last-Event-Id", engine.AttemptHeader, engine.CacheHeader, engine.FenceHeader}
+var routerHeaders = []string{"Authorization", "Cookie", "Last-Event-Id", engine.AttemptHeader, engine.CacheHeader, engine.FenceHeader}
 
 // EndToEnd copies headers without those that belong to one connection: the known ones
 // and those that the Connection header names.
@@ -131,7 +131,7 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
@@ -140,7 +140,7 @@
 // CleanRequest removes what must not reach a target.
 func CleanRequest(h http.Header) http.Header {
 	out := EndToEnd(h)
-	for _, name := range callerHeaders {
+	for _, name := range routerHeaders {
 		out.Del(name)
 	}
 	return out
@@ -156,10 +156,10 @@
 }
 
 // once hides a body's type, so that the transport cannot rewind and send it again.
-type once struct{ io.Reader }
+type singleUseBody struct{ io.Reader }
 
 // Close does nothing.
-func (once) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
 // Send makes an attempt and returns once the answer's head is there.
 func (r *Relay) Send(ctx context.Context, call Call) (*Reply, error) {
@@ -170,35 +170,35 @@
 	req, err := r.request(httptrace.WithClientTrace(ctx, trace), call)
 	if err != nil {
 		cancel()
-		return nil, failed(op, Connect, retry.Placing, err)
+		return nil, newFailure(op, Connect, retry.Placing, err)
 	}
-	carrier := r.shared
+	roundTripper := r.pooled
 	switch {
 	case call.HTTP2:
-		carrier = r.streams
+		roundTripper = r.http2
 	case call.Once || !call.Echoes:
-		carrier = r.single
+		roundTripper = r.singleUse
 	}
-	began := time.Now()
-	resp, err := carrier.RoundTrip(req)
+	start := time.Now()
+	resp, err := roundTripper.RoundTrip(req)
 	if err != nil {
 		cancel()
 		if !connected.Load() {
-			return nil, failed(op, dialKind(err, time.Since(began)-r.limits.Dial), retry.Dialing, err)
+			return nil, newFailure(op, dialErrorKind(err, time.Since(start)-r.limits.Dial), retry.Dialing, err)
 		}
-		return nil, failed(op, Broken, retry.Sending, err)
+		return nil, newFailure(op, Broken, retry.Sending, err)
 	}
 	if echo := resp.Header.Get(engine.AttemptHeader); echo != string(call.Attempt) && (echo != "" || call.Echoes) {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, failed(op, Crossed, retry.Answering, errors.Errorf("attempt %s got the answer to %q", call.Attempt, echo))
+		return nil, newFailure(op, Crossed, retry.Answering, errors.Errorf("attempt %s got the answer to %q", call.Attempt, echo))
 	}
 	return &Reply{
 		Status:   resp.StatusCode,
 		Header:   resp.Header,
 		Leaving:  resp.Header.Get(engine.LeavingHeader) == "true",
 		StreamID: resp.Header.Get(engine.StreamHeader),
-		body:     framed(resp),
+		body:     requireFraming(resp),
 		limits:   r.limits,
 		cancel:   cancel,
 	}, nil
@@ -208,7 +208,7 @@
 	target := url.URL{Scheme: "http", Host: call.Addr, Path: call.Path, RawQuery: call.Query}
 	var body io.Reader
 	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut || call.Method == http.MethodPatch {
-		body = once{bytes.NewReader(call.Body)}
+		body = singleUseBody{bytes.NewReader(call.Body)}
 	}
 	req, err := http.NewRequestWithContext(ctx, call.Method, target.String(), body)
 	if err != nil {
@@ -229,12 +229,12 @@
 }
 
 // unframed is a body whose end cannot be told from a cut connection.
-type unframed struct{ io.ReadCloser }
+type unframedBody struct{ io.ReadCloser }
 
 var errUnframed = errors.New("the answer has neither a length nor chunks")
 
 // Read turns the end of the connection into an error.
-func (u unframed) Read(p []byte) (int, error) {
+func (u unframedBody) Read(p []byte) (int, error) {
 	n, err := u.ReadCloser.Read(p)
 	if err == io.EOF {
 		err = errUnframed
@@ -243,9 +243,9 @@
 }
 
 // framed guards against bodies that merely end with the connection.
-func framed(resp *http.Response) io.ReadCloser {
+func requireFraming(resp *http.Response) io.ReadCloser {
 	if !isFramed(resp) {
-		return unframed{resp.Body}
+		return unframedBody{resp.Body}
 	}
 	return resp.Body
 }
@@ -272,13 +272,13 @@
 	defer r.Close()
 	data, err := io.ReadAll(io.LimitReader(r.body, r.limits.Answer+1))
 	if errors.Is(err, errUnframed) {
-		return nil, failed(op, Framing, retry.Answering, err)
+		return nil, newFailure(op, Framing, retry.Answering, err)
 	}
 	if err != nil {
-		return nil, failed(op, Broken, retry.Answering, err)
+		return nil, newFailure(op, Broken, retry.Answering, err)
 	}
 	if int64(len(data)) > r.limits.Answer {
-		return nil, failed(op, TooLarge, retry.Answering, errors.Errorf("over %d bytes", r.limits.Answer))
+		return nil, newFailure(op, TooLarge, retry.Answering, errors.Errorf("over %d bytes", r.limits.Answer))
 	}
 	return data, nil
 }
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -22,23 +22,23 @@
 )
 
 // hostile is a target that answers each request with raw bytes and then does as told.
-type hostile struct {
+type fakeTarget struct {
 	addr   string
 	answer string
 	// keep leaves the connection open after the answer.
-	keep bool
-	mu   sync.Mutex
-	seen int
+	keepOpen     bool
+	mu           sync.Mutex
+	requestCount int
 }
 
-func newHostile(t *testing.T, answer string, keep bool) *hostile {
+func newFakeTarget(t *testing.T, answer string, keepOpen bool) *fakeTarget {
 	t.Helper()
-	h := &hostile{answer: answer, keep: keep}
+	h := &fakeTarget{answer: answer, keepOpen: keepOpen}
 	h.addr = listen.Conns(t, h.serve)
 	return h
 }
 
-func (h *hostile) serve(c net.Conn) {
+func (h *fakeTarget) serve(c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -48,25 +48,25 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		h.mu.Lock()
-		h.seen++
+		h.requestCount++
 		h.mu.Unlock()
 		if h.answer == "" {
 			return
 		}
 		_, _ = io.WriteString(c, strings.ReplaceAll(h.answer, "$ATTEMPT", req.Header.Get("X-Attempt-Id")))
-		if !h.keep {
+		if !h.keepOpen {
 			return
 		}
 	}
 }
 
-func (h *hostile) requests() int {
+func (h *fakeTarget) requests() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.seen
+	return h.requestCount
 }
 
-func (h *hostile) call(once bool) relay.Call {
+func (h *fakeTarget) call(once bool) relay.Call {
 	return relay.Call{
 		Addr: h.addr, Method: http.MethodPost, Path: "/orders", Attempt: "attempt-1",
 		Header: http.Header{"Idempotency-Key": {"k"}}, Timeout: 5 * time.Second, Once: once,
@@ -82,7 +82,7 @@
 	return r
 }
 
-func TestHostileAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer string
@@ -102,7 +102,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHostile(t, c.answer, false)
+			h := newFakeTarget(t, c.answer, false)
 			body, err := attempt(newRelay(t), h.call(true))
 			if kind := fault.KindOf[relay.Kind](err); kind != c.kind {
 				t.Fatalf("got %q and %v, want kind %q", body, err, c.kind)
@@ -129,11 +129,11 @@
 // A second answer on the same connection must never become that of the next
 // request. Whether the transport notices it in time is chance, so a connection is
 // used again only when answers say which attempt they belong to.
-func TestExtraBytesDoNotCross(t *testing.T) {
+func TestSurplusResponseIsNotMismatched(t *testing.T) {
 	one := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\n"
 	for _, echoes := range []bool{true, false} {
 		t.Run(fmt.Sprint("echoes ", echoes), func(t *testing.T) {
-			h := newHostile(t, one+"ok"+one+"no", true)
+			h := newFakeTarget(t, one+"ok"+one+"no", true)
 			r := newRelay(t)
 			for i := range 50 {
 				call := h.call(false)
@@ -148,7 +148,7 @@
 }
 
 func TestMissingEcho(t *testing.T) {
-	h := newHostile(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
+	h := newFakeTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
 	call := h.call(false)
 	call.Echoes = true
 	if _, err := attempt(newRelay(t), call); fault.KindOf[relay.Kind](err) != relay.Crossed {
@@ -158,10 +158,10 @@
 
 // The transport sends a request with an Idempotency-Key again by itself when a
 // kept-alive connection dies. That must not happen to any request of ours.
-func TestTransportDoesNotSendAgain(t *testing.T) {
+func TestTransportDoesNotResend(t *testing.T) {
 	for _, once := range []bool{true, false} {
 		t.Run(fmt.Sprint("once ", once), func(t *testing.T) {
-			h := newHostile(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\nok", true)
+			h := newFakeTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\nok", true)
 			r := newRelay(t)
 			call := h.call(once)
 			call.Echoes = true
@@ -183,7 +183,7 @@
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -213,7 +213,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHostile(t, head+c.body, false)
+			h := newFakeTarget(t, head+c.body, false)
 			reply, err := newRelay(t).Send(context.Background(), h.call(false))
 			if err != nil {
 				t.Fatal(err)
--- a/internal/edge/relay/silent_test.go
+++ b/internal/edge/relay/silent_test.go
@@ -14,9 +14,9 @@
 )
 
 // When the connections to a target fall silent, one request finds out for all of them.
-func TestIdleConnectionsThatFallSilent(t *testing.T) {
+func TestSilentIdleConnectionsAreClosed(t *testing.T) {
 	var silent atomic.Bool
-	addr := listen.Conns(t, func(c net.Conn) { answerUntil(c, &silent, silent.Load()) })
+	addr := listen.Conns(t, func(c net.Conn) { serveUntilSilent(c, &silent, silent.Load()) })
 	conns, closeConns := NewConns(DefaultConnLimits)
 	t.Cleanup(closeConns)
 	send := func(limit time.Duration) (*Answer, error) {
@@ -40,7 +40,7 @@
 		a.Close()
 	}
 	silent.Store(true)
-	if _, err := send(silentAfter + 50*time.Millisecond); err == nil {
+	if _, err := send(silenceTimeout + 50*time.Millisecond); err == nil {
 		t.Error("a request over a silent connection was answered")
 	}
 	a, err := send(time.Second)
@@ -51,12 +51,12 @@
 }
 
 // Idle connections to a target that has started anew are not used again, though they seem open.
-func TestConnectionsToAnEarlierStartAreForgotten(t *testing.T) {
+func TestForgetClosesIdleConnections(t *testing.T) {
 	var opened atomic.Int32
 	var never atomic.Bool
 	addr := listen.Conns(t, func(c net.Conn) {
 		opened.Add(1)
-		answerUntil(c, &never, false)
+		serveUntilSilent(c, &never, false)
 	})
 	conns, closeConns := NewConns(DefaultConnLimits)
 	t.Cleanup(closeConns)
@@ -80,14 +80,14 @@
 }
 
 // answerUntil answers requests on a connection; one that was open before falls silent.
-func answerUntil(c net.Conn, silent *atomic.Bool, born bool) {
+func serveUntilSilent(c net.Conn, silent *atomic.Bool, silentAtStart bool) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
 		if _, err := http.ReadRequest(reader); err != nil {
 			return
 		}
-		if silent.Load() != born {
+		if silent.Load() != silentAtStart {
 			_, _ = io.Copy(io.Discard, reader)
 			return
 		}
--- a/internal/edge/relay/stream.go
+++ b/internal/edge/relay/stream.go
@@ -47,11 +47,11 @@
 	return &Stream{reply: r, scanner: newScanner(r.body, r.limits.Event)}
 }
 
-const scannerStart = 4 << 10
+const initialScanBufferBytes = 4 << 10
 
 func newScanner(body io.Reader, limit int) *bufio.Scanner {
 	s := bufio.NewScanner(body)
-	s.Buffer(make([]byte, 0, min(scannerStart, limit)), limit)
+	s.Buffer(make([]byte, 0, min(initialScanBufferBytes, limit)), limit)
 	return s
 }
 
@@ -67,11 +67,11 @@
 	e, err := readEvent(s.scanner)
 	switch {
 	case err == io.EOF || errors.Is(err, errUnframed):
-		return Event{}, failed(op, Broken, retry.Answering, errNoEndMark)
+		return Event{}, newFailure(op, Broken, retry.Answering, errNoEndMark)
 	case errors.Is(err, bufio.ErrTooLong):
-		return Event{}, failed(op, TooLarge, retry.Answering, err)
+		return Event{}, newFailure(op, TooLarge, retry.Answering, err)
 	case err != nil:
-		return Event{}, failed(op, Broken, retry.Answering, err)
+		return Event{}, newFailure(op, Broken, retry.Answering, err)
 	}
 	if e.Data == EndMark {
 		s.ended = true
@@ -101,7 +101,7 @@
 			return e, nil
 		}
 		size += len(line)
-		if size > maxEvent {
+		if size > maxEventBytes {
 			return Event{}, bufio.ErrTooLong
 		}
 		name, value, _ := bytes.Cut(line, []byte{':'})
@@ -122,4 +122,4 @@
 }
 
 // maxEvent bounds an event of many lines, in bytes.
-const maxEvent = 4 << 20
+const maxEventBytes = 4 << 20
--- a/internal/edge/relay/token.go
+++ b/internal/edge/relay/token.go
@@ -22,7 +22,7 @@
 // Keys seal tokens. Sealing uses the first key, opening tries all, so that keys can be changed.
 type Keys [][]byte
 
-const macSize = 16
+const macBytes = 16
 
 // Seal returns the token's text, which only its workspace can use.
 func (k Keys) Seal(workspace ident.Workspace, t Token) string {
@@ -37,12 +37,12 @@
 func (k Keys) Open(workspace ident.Workspace, text string) (Token, error) {
 	const op = "relay.Open"
 	raw, err := base64.RawURLEncoding.DecodeString(text)
-	if err != nil || len(raw) < macSize {
+	if err != nil || len(raw) < macBytes {
 		return Token{}, fault.New(op, BadToken, err)
 	}
-	body := raw[macSize:]
+	body := raw[macBytes:]
 	for _, key := range k {
-		if hmac.Equal(raw[:macSize], mac(key, workspace, body)) {
+		if hmac.Equal(raw[:macBytes], mac(key, workspace, body)) {
 			return parseToken(body)
 		}
 	}
@@ -53,7 +53,7 @@
 	h := hmac.New(sha256.New, key)
 	h.Write(appendField(nil, string(workspace)))
 	h.Write(body)
-	return h.Sum(nil)[:macSize]
+	return h.Sum(nil)[:macBytes]
 }
 
 func appendField(out []byte, value string) []byte {
