--- a/internal/edge/route/backoff.go
+++ b/internal/edge/route/backoff.go
@@ -10,25 +10,26 @@
 	"valescale/internal/rule/place"
 )
 
-// backoff is until when one start of a target wants no requests from this router.
+// backoff is the time until which one incarnation of a target accepts no requests from this router.
 type backoff struct {
 	incarnation ident.Incarnation
 	until       time.Time
 }
 
-// Notice is what a target said of itself in an answer.
+// Notice is the state that a target reported in the headers of an answer.
 type Notice struct {
-	// Request is the caller's, for logs; Status is that of the answer.
+	// Request is the id of the caller's request, for logs. Status is the status code of the answer.
 	Request string
 	Status  int
-	// Leaving says that the target leaves.
+	// Leaving means that the target is leaving.
 	Leaving bool
-	// Backoff is for how long it wants no more requests from this router; zero if it takes some.
+	// Backoff is how long the target accepts no requests from this router, or zero.
 	Backoff time.Duration
 }
 
-// Observe takes in what a target said of itself in an answer, whatever becomes of the request. Its row says it
-// later, or never while the store is away: one target in 18 that left in such 12 s got 59 more requests.
+// Observe records the state that a target reported in an answer, whatever the outcome of the
+// request. The target's row shows the same later, or never while the store is unreachable: of 18
+// targets that left during a store outage of 12 s, one got 59 more requests.
 func (r *Router) Observe(target Target, n Notice) {
 	if !n.Leaving && n.Backoff <= 0 {
 		return
@@ -38,7 +39,8 @@
 	}
 	r.mu.Lock()
 	if n.Leaving {
-		// Pools say it once they have been made anew, on a box short of processor time seconds later.
+		// The pools show it only after their next update, which may take seconds on a box that is
+		// short of processor time.
 		r.leaving[target.ID.Hash()] = target.Incarnation
 	}
 	watcher := r.watcher
@@ -48,9 +50,10 @@
 	}
 }
 
-// backOff notes that one start of a target has turned a request away and wants none from this router for a
-// while. Its home is told with the next ask: what one router is told holds for that router, but a target
-// that tells several is kept from the others too, before each has sent it a request in vain.
+// recordBackoff records that one incarnation of a target rejected a request and accepts none from
+// this router until the wait is over. The next permit request reports it to the target's home. The
+// backoff applies to this router only, but once several routers have reported the same target, its
+// home also keeps the remaining routers from it before each has sent a request that is rejected.
 func (r *Router) recordBackoff(target Target, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -66,7 +69,8 @@
 	}
 }
 
-// tellLater keeps backoffs for the next ask to their shard's home; the caller holds the lock.
+// queueBackoffs keeps backoffs for the next permit request to the home of their shard. The caller
+// holds the lock.
 func (r *Router) queueBackoffs(id place.ShardID, backoffs map[ident.TargetHash]backoff) {
 	if len(backoffs) == 0 {
 		return
@@ -77,8 +81,8 @@
 	maps.Copy(r.unsentBackoffs[id], backoffs)
 }
 
-// tellNow takes out the backoffs that a shard's home has not been told of, as they go with an ask; the caller
-// holds the lock.
+// takeBackoffs removes and returns the backoffs that were not yet reported to the home of a shard,
+// and the list of them to include in a permit request. The caller holds the lock.
 func (r *Router) takeBackoffs(id place.ShardID, now time.Time) (taken map[ident.TargetHash]backoff, included []place.Backoff) {
 	taken = r.unsentBackoffs[id]
 	delete(r.unsentBackoffs, id)
@@ -90,7 +94,7 @@
 	return taken, included
 }
 
-// BackoffLeft is for how much longer a target wants no requests from this router, zero if it takes some.
+// BackoffLeft returns how much longer a target accepts no requests from this router, or zero.
 func (r *Router) BackoffLeft(target Target) time.Duration {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -101,9 +105,10 @@
 	return max(known.until.Sub(r.clock()), 0)
 }
 
-// refusing lists the targets of a pool that want no requests from this router although the pool says that they
-// take new work: they have asked for backoff, or leave, as they told it a moment ago. It says when the
-// first of those that asked for backoff takes some again; the caller holds the lock.
+// unavailable returns the targets of a pool that accept no requests from this router although the
+// pool lists them as available: they are in backoff, or leaving according to an answer that is
+// newer than the pool. It also returns the earliest end of these backoffs. The caller holds the
+// lock.
 func (r *Router) unavailable(p *pool) (targets []ident.TargetHash, earliest time.Time) {
 	now := r.clock()
 	for hash, b := range r.backoffs {
@@ -125,8 +130,8 @@
 	return targets, earliest
 }
 
-// forgetLeaving drops the targets that pools say to leave by now, that are gone or have started anew; the
-// caller holds the lock.
+// removeStaleLeaving removes the targets that the pools show as leaving, that were removed, or that
+// have restarted. The caller holds the lock.
 func (r *Router) removeStaleLeaving() {
 	maps.DeleteFunc(r.leaving, func(hash ident.TargetHash, incarnation ident.Incarnation) bool {
 		for _, pools := range r.pools {
@@ -140,8 +145,8 @@
 	})
 }
 
-// forgetBackoffs drops the backoffs that are over. One of a target that has gone is kept: its row may come back
-// before the backoff ends; the caller holds the lock.
+// removeExpiredBackoffs removes the backoffs that have ended. It keeps those of removed targets,
+// since a target's row may be added again before its backoff ends. The caller holds the lock.
 func (r *Router) removeExpiredBackoffs() {
 	now := r.clock()
 	for hash, b := range r.backoffs {
@@ -151,14 +156,15 @@
 	}
 }
 
-// withheld lists the targets of a pool that this router knows to take no new work if a place is at one of
-// them, so that none of them is offered again. The home that gave the place may know less: another router
-// tells it, the store does, or the target will, each in its own time.
+// excluded returns nil if the target of a placement accepts new work. Otherwise it returns that
+// target and the leaving ones of the pool, so that none of them is offered again. The home that
+// granted the permit may not have this state yet: it gets it from another router, from the store or
+// from the target, each with its own delay.
 func (r *Router) excluded(p *pool, placement *Placement) []ident.TargetHash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if p.state.Takes(placement.Hash) {
-		// It may have told this router otherwise while the request waited for the place.
+		// An answer may have reported otherwise while the request waited for its permit.
 		unavailable, _ := r.unavailable(p)
 		if !slices.Contains(unavailable, placement.Hash) {
 			return nil
@@ -173,8 +179,9 @@
 	return out
 }
 
-// poolFor returns the first pool of a service that has a target which takes new work, the near one first.
-// If all that a service has ask for backoff, the error says when the first takes requests again.
+// poolFor returns the first pool of a service that has a target which accepts new work, with the
+// pool of the own region first. If all targets of the service are in backoff, the error contains
+// the time until the first backoff ends.
 func (r *Router) poolFor(service ident.Service) (*pool, error) {
 	const op = "route.Acquire"
 	r.mu.Lock()
--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -17,25 +17,26 @@
 	"valescale/internal/share/home"
 )
 
-// crowd is many routers over the homes of one pool, of whose engines some turn all requests away.
+// fleetSim simulates many routers and the homes of one pool, some of whose engines reject all
+// requests.
 type fleetSim struct {
 	now       time.Time
 	homes     *home.Homes
 	routers   []*route.Router
 	rejecting map[ident.Target]bool
-	// turned counts what was turned away, refused the requests that no engine took.
+	// rejected counts the rejections by engines, failed the requests that no engine accepted.
 	rejected, failed, sent int
 	deferred               []func()
 }
 
-// member reaches the homes in one router's name.
+// simHomes calls the homes on behalf of one router.
 type simHomes struct {
 	*fleetSim
 	id ident.Router
 }
 
-func (m simHomes) Place(ctx context.Context, _ ident.Router, ask home.Ask, released []uint64) (home.Answer, error) {
-	return m.homes.Place(ctx, ask, released), nil
+func (m simHomes) Place(ctx context.Context, _ ident.Router, request home.Ask, released []uint64) (home.Answer, error) {
+	return m.homes.Place(ctx, request, released), nil
 }
 
 func (m simHomes) Release(_ context.Context, _ ident.Router, id place.ShardID, released []uint64) error {
@@ -57,7 +58,7 @@
 	return 0, 0, fault.New("test", home.Unreachable, nil)
 }
 
-// newCrowd starts routers before engines of which the first ones turn requests away.
+// newFleetSim returns routers and engines, of which the first ones reject requests.
 func newFleetSim(routers, engines, rejecting int) *fleetSim {
 	c := &fleetSim{now: time.Date(2026, 12, 3, 0, 0, 0, 0, time.UTC), rejecting: map[ident.Target]bool{}}
 	clock := func() time.Time { return c.now }
@@ -88,26 +89,28 @@
 }
 
 const (
-	// backoffFor is what a refusing engine asks for, modelFor how long it is refusing.
+	// backoffFor is the Retry-After delay of a rejecting engine, simulatedTime the length of the
+	// simulation.
 	backoffFor    = 3 * time.Second
 	simulatedTime = 9 * time.Second
-	// perSecond is how many requests one router gets; each takes a tenth of a second.
+	// requestsPerSecond is the request rate of one router. Each request takes 100 ms.
 	requestsPerSecond = 10
 	tick              = time.Second / requestsPerSecond
-	// mayTurnAway is how many targets may turn one request away before its caller is refused.
+	// maxAttempts is how many targets may reject one request before the request fails.
 	maxAttempts = 4
-	// retryRatio is how many requests may reach a second target, of all; refusedRatio how many may be refused
-	// while targets could serve them, one in 500 as for any wrong refusal.
+	// maxRetryRatio is the maximum ratio of requests that reach a second target. maxFailedRatio is
+	// the maximum ratio of requests that fail while targets could serve them: 1 in 500, as for any
+	// wrong rejection.
 	maxRetryRatio  = 0.2
 	maxFailedRatio = 0.002
 )
 
-// play sends each router's requests, one a tick.
+// run sends one request per router and tick.
 func (c *fleetSim) run() {
 	for range int(simulatedTime / tick) {
 		var open []*route.Placement
 		for i, r := range c.routers {
-			// Routers are not at it all at once.
+			// Spread the routers' requests over the tick.
 			c.now = c.now.Add(tick / time.Duration(len(c.routers)))
 			c.sent++
 			if p := c.send(r, ident.ChatKey(c.sent+i)); p != nil {
@@ -125,7 +128,7 @@
 	}
 }
 
-// send sends one request until an engine takes it, and returns its place there.
+// send sends one request until an engine accepts it, and returns the placement there.
 func (c *fleetSim) send(r *route.Router, key ident.ChatKey) *route.Placement {
 	var avoid []ident.TargetHash
 	for range maxAttempts {
@@ -145,35 +148,36 @@
 	return nil
 }
 
-// At 300 routers each sees too few requests to learn of a refusing engine by itself: the backoff would be over before
-// most have been turned away once. What their home hears from several keeps the others from trying, so that
-// retries stay within their budget and hardly anybody is refused.
+// Guards against retries and failures caused by engines that reject requests. At 300 routers each
+// router sends too few requests to discover a rejecting engine by itself: the backoff would end
+// before most routers have been rejected once. The home aggregates the reported backoffs, so that
+// retries stay within their budget and nearly all requests are served.
 func TestRejectingEnginesCauseFewRetries(t *testing.T) {
 	for _, c := range []struct{ routers, engines, rejecting int }{{8, 18, 5}, {60, 36, 12}, {300, 150, 45}} {
 		m := newFleetSim(c.routers, c.engines, c.rejecting)
 		m.run()
-		t.Logf("%d routers: %d requests, %d turned away, %d refused", c.routers, m.sent, m.rejected, m.failed)
+		t.Logf("%d routers: %d requests, %d rejections by engines, %d failed requests", c.routers, m.sent, m.rejected, m.failed)
 		if ratio := float64(m.rejected) / float64(m.sent); ratio > maxRetryRatio {
-			t.Errorf("%d routers: %.3f of the requests reached an engine that turned them away, at most %.1f may", c.routers, ratio, maxRetryRatio)
+			t.Errorf("%d routers: %.3f of the requests were rejected by an engine, want at most %.1f", c.routers, ratio, maxRetryRatio)
 		}
 		if float64(m.failed) > maxFailedRatio*float64(m.sent) {
-			t.Errorf("%d routers: %d of %d requests were refused although most engines take them", c.routers, m.failed, m.sent)
+			t.Errorf("%d routers: %d of %d requests failed although most engines accept them", c.routers, m.failed, m.sent)
 		}
 	}
 }
 
-// asksForBackoff has the first start of a target ask this router for backoff.
+// reportBackoff reports a backoff of the first incarnation of a target.
 func reportBackoff(r *route.Router, target ident.Target, wait time.Duration) {
 	r.Observe(route.Target{ID: target, Incarnation: 1}, route.Notice{Backoff: wait})
 }
 
-// askFor asks for a place without waiting.
+// acquireNow requests a placement without waiting.
 func acquireNow(r *route.Router) (*route.Placement, error) {
 	return r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 1, Work: ident.OneRequest})
 }
 
-// If every target wants no requests, the caller is refused at once, without a question to a home, and told when
-// the first target takes some again.
+// If all targets are in backoff, the request is rejected at once without a permit request, with the
+// time until the first backoff ends.
 func TestAllTargetsInBackoff(t *testing.T) {
 	f, r, _ := newFleet()
 	reportBackoff(r, "engine-1", 3*time.Second)
@@ -181,23 +185,24 @@
 	f.requested = nil
 	_, err := acquireNow(r)
 	if fault.KindOf[route.Kind](err) != route.BackingOff {
-		t.Fatalf("got %v, want a refusal since all targets ask for backoff", err)
+		t.Fatalf("got %v, want a rejection since all targets are in backoff", err)
 	}
 	var retryAfter route.RetryAfter
 	if !errors.As(err, &retryAfter) || retryAfter.Wait != 2*time.Second {
-		t.Errorf("the caller is to come back in %v, want 2s", retryAfter.Wait)
+		t.Errorf("Retry-After delay %v, want 2s", retryAfter.Wait)
 	}
 	if len(f.requested) != 0 {
-		t.Errorf("homes were asked %d times", len(f.requested))
+		t.Errorf("%d permit requests were sent, want none", len(f.requested))
 	}
 	f.now = f.now.Add(2 * time.Second)
 	if p, err := acquireNow(r); err != nil || p.Target.ID != "engine-2" {
-		t.Errorf("got %+v, %v once the first backoff is over, want engine-2", p, err)
+		t.Errorf("got %+v, %v after the first backoff, want engine-2", p, err)
 	}
 }
 
-// A backoff holds for one start of a target, through a row that comes and goes, and is never cut short by a later
-// word; breakers and earlier failures of the request give way where they would leave nothing to try.
+// A backoff applies to one incarnation of a target. It survives the removal and return of the
+// target's row, and a later, shorter backoff does not cut it short. Circuit breakers and failures
+// of the same request are ignored where they would leave no target.
 func TestBackoffAppliesToOneIncarnation(t *testing.T) {
 	f, r, assigned := newFleet()
 	rejecting, other := ident.Target("engine-1").Hash(), ident.Target("engine-2").Hash()
@@ -219,7 +224,7 @@
 	restarted.Roster = restarted.Roster.With([]place.Engine{{ID: "engine-1", Hash: rejecting, Incarnation: 2}}, nil)
 	r.Set([]route.Pool{restarted}, assigned)
 	if left := r.BackoffLeft(route.Target{ID: "engine-1", Incarnation: 2}); left != 0 {
-		t.Errorf("a target that has started anew wants no requests for %v", left)
+		t.Errorf("backoff of %v for a target that has restarted, want none", left)
 	}
 	used := false
 	for key := range ident.ChatKey(10) {
@@ -228,11 +233,12 @@
 		p.Release()
 	}
 	if !used {
-		t.Error("a target that has started anew gets nothing")
+		t.Error("a target that has restarted gets no requests")
 	}
 }
 
-// A home that does not answer hears of backoffs with the next ask that it answers, with what is left of them.
+// Backoffs are sent again with the next permit request after a home did not respond, with the
+// remaining time.
 func TestBackoffsAreResentAfterHomeFailure(t *testing.T) {
 	f, r, assigned := newFleet()
 	reportBackoff(r, "engine-1", 3*time.Second)
@@ -249,14 +255,15 @@
 	}
 }
 
-// A request that waited for its place while the target asked for backoff is not sent there.
+// A request is not sent to a target that reported a backoff while the request waited for its
+// permit.
 func TestBackoffReceivedWhileRequestWaits(t *testing.T) {
 	f, r, _ := newFleet()
 	rejecting := ident.Target("engine-1").Hash()
 	f.onPlace = func() { reportBackoff(r, "engine-1", time.Second) }
 	for key := range ident.ChatKey(4) {
 		if p := acquire(t, r, key); p.Hash == rejecting {
-			t.Errorf("chat %d was sent to a target that asked for backoff while the chat waited", key)
+			t.Errorf("chat %d was sent to a target that reported a backoff while the chat waited", key)
 		}
 	}
 }
--- a/internal/edge/route/choose.go
+++ b/internal/edge/route/choose.go
@@ -10,7 +10,7 @@
 	"valescale/internal/rule/policy"
 )
 
-// local decides from this router's own counts alone.
+// placeLocally places a request by this router's own counts alone.
 func (r *Router) placeLocally(p *pool, request Ask) (*Placement, error) {
 	const op = "route.Acquire"
 	r.mu.Lock()
@@ -40,8 +40,8 @@
 	return placement, nil
 }
 
-// holder returns a target of the pool from which a prompt can be copied, or nil: an
-// engine would wait in vain for one that does not answer. The caller holds the lock.
+// holder returns a target of the pool from which a prompt prefix can be copied, or nil. It returns
+// no unreachable target, since an engine would wait for it in vain. The caller holds the lock.
 func (r *Router) holder(p *pool, hash ident.TargetHash) *Target {
 	t, ok := p.Target(hash)
 	if !ok {
@@ -53,9 +53,10 @@
 	return &t
 }
 
-// troubled returns the targets that an ask must avoid and those that cannot be reached. It avoids those that
-// want no requests or are withheld in any case; those that failed the request before, and those whose breakers are open,
-// as long as that leaves others to try.
+// avoidedTargets returns the targets that a placement must avoid and those that are unreachable.
+// Targets that accept no requests or are excluded are always avoided. Targets that failed this
+// request before and those with an open circuit breaker are avoided only as long as other targets
+// remain.
 func (r *Router) avoidedTargets(p *pool, request Ask) (avoid, unreachable []ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -65,7 +66,7 @@
 	out = append(out, request.excluded...)
 	failed := without(request.Avoid, out)
 	if len(failed) >= available {
-		// Each has failed this request once; another try is all that is left.
+		// Every target has failed this request once. Try one of them again.
 		failed = nil
 	}
 	var blocked []ident.TargetHash
@@ -82,13 +83,13 @@
 	}
 	blocked = without(blocked, out)
 	if len(blocked) >= available {
-		// With every breaker open, trying is better than refusing everything.
+		// If every circuit breaker is open, an attempt is better than rejecting all requests.
 		blocked = nil
 	}
 	return slices.Concat(failed, blocked, out), unreachable
 }
 
-// without returns the targets that are not among some others.
+// without returns the targets that are not among others.
 func without(targets, others []ident.TargetHash) []ident.TargetHash {
 	var out []ident.TargetHash
 	for _, t := range targets {
--- a/internal/edge/route/doc.go
+++ b/internal/edge/route/doc.go
@@ -1,5 +1,5 @@
-// Package route finds a target for one request: it asks the homes of the pool's
-// shards for a permit, in the order that the chat prefers, and decides alone when
-// a home cannot be reached. It keeps the list of permits that this router holds,
-// from which a new home learns its counts.
+// Package route finds a target for a request. It requests a permit from the homes of the pool's
+// shards, in the order of the chat's preference, and places the request locally if no home is
+// reachable. It keeps the permits that this router holds, from which a new home rebuilds its
+// counts.
 package route
--- a/internal/edge/route/error.go
+++ b/internal/edge/route/error.go
@@ -8,47 +8,47 @@
 	"valescale/internal/plat/ident"
 )
 
-// Kind tells this package's errors apart.
+// Kind is the kind of an error of this package.
 type Kind string
 
 const (
-	// NoTarget means that the service has no usable target anywhere.
+	// NoTarget means that the service has no usable target in any pool.
 	NoTarget Kind = "no_target"
-	// Shed means that too many wait already.
+	// Shed means that too many requests are waiting already.
 	Shed Kind = "shed"
-	// BackingOff means that each usable target of the service wants no requests from this router for a while.
+	// BackingOff means that all usable targets of the service are in backoff for this router.
 	BackingOff Kind = "backing_off"
-	// TimedOut means that no target became free while the request could wait.
+	// TimedOut means that no target became free before the request's deadline.
 	TimedOut Kind = "timed_out"
-	// Limited means that the workspace is over its rate.
+	// Limited means that the workspace exceeded its rate.
 	Limited Kind = "limited"
-	// Gone means that the caller has gone.
+	// Gone means that the caller has disconnected.
 	Gone Kind = "gone"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// RetryAfter is the cause of an error that says when to come back.
+// RetryAfter is the cause of an error that has a Retry-After delay.
 type RetryAfter struct {
 	Wait time.Duration
-	// Home is who refused, empty if nobody was asked; Work is what it counted in the
-	// shard and Held this router's permits among it.
+	// Home is the router that rejected the request, or empty if none was involved. Work is the
+	// shard's load as counted by it, and Held the number of this router's permits in that count.
 	Home ident.Router
 	Work ident.Work
 	Held int
-	// Throttled says that the home was not asked for this request but for earlier ones
-	// like it.
+	// Throttled means that the request was rejected on the basis of the home's earlier rejections
+	// of similar requests.
 	Throttled bool
 }
 
-// Error says when to come back and what was counted.
+// Error returns the Retry-After delay and the home's counts.
 func (r RetryAfter) Error() string {
 	if r.Home == "" {
-		return "come back in " + r.Wait.String()
+		return "retry after " + r.Wait.String()
 	}
 	if r.Throttled {
-		return fmt.Sprintf("come back in %s: home %s refuses most requests like this one", r.Wait, r.Home)
+		return fmt.Sprintf("retry after %s: home %s rejects most requests of this class", r.Wait, r.Home)
 	}
-	return fmt.Sprintf("come back in %s: home %s counts %d work units and %d permits of this router", r.Wait, r.Home, r.Work, r.Held)
+	return fmt.Sprintf("retry after %s: home %s counts %d work units and %d permits of this router", r.Wait, r.Home, r.Work, r.Held)
 }
--- a/internal/edge/route/evict_test.go
+++ b/internal/edge/route/evict_test.go
@@ -12,7 +12,7 @@
 	"valescale/internal/rule/policy"
 )
 
-// What is known of a target goes with the target.
+// The state of a target is evicted when the target is removed.
 func TestStateOfRemovedTargetsIsEvicted(t *testing.T) {
 	r := New(Self{ID: "edge"}, nil, func() time.Time { return time.Unix(1000, 0) })
 	kept, removed := ident.Target("stays").Hash(), ident.Target("goes").Hash()
@@ -33,11 +33,11 @@
 	}
 	r.Set(pool(kept), place.Assign(nil, nil))
 	if diff := cmp.Diff([2]int{1, 1}, [2]int{len(r.breakers), len(r.lastReceived)}); diff != "" {
-		t.Errorf("breakers and times: %s", diff)
+		t.Errorf("number of circuit breakers and of times: %s", diff)
 	}
 }
 
-// What was seen of a target is void once it has started anew, and only that.
+// A restart of a target evicts the state of its earlier incarnation, and no other state.
 func TestStateOfEarlierIncarnationIsEvicted(t *testing.T) {
 	now := time.Unix(1000, 0)
 	r := New(Self{ID: "edge", Region: "co"}, nil, func() time.Time { return now })
@@ -60,9 +60,9 @@
 	_, tripped := r.breakers[restarted]
 	_, lastReceived := r.lastReceived[restarted]
 	if tripped || lastReceived || !cmp.Equal(r.unsentFailures[id], []ident.TargetHash{kept}) {
-		t.Errorf("of the earlier start: breaker %v, answer %v, failures of %v", tripped, lastReceived, r.unsentFailures[id])
+		t.Errorf("kept of the earlier incarnation: breaker %v, answer %v, failures of %v", tripped, lastReceived, r.unsentFailures[id])
 	}
 	if r.breakers[kept] == nil || r.lastReceived[kept].IsZero() {
-		t.Error("what was seen of another target is gone too")
+		t.Error("the state of another target was evicted too")
 	}
 }
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -8,7 +8,7 @@
 	"valescale/internal/rule/retry"
 )
 
-// Report notes how a target did, for its breaker.
+// Report records the result of an attempt for the target's circuit breaker.
 func (r *Router) Report(target ident.TargetHash, ok bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -22,7 +22,8 @@
 	r.breaker(now, target).Report(now, ok)
 }
 
-// breaker returns a target's breaker, made on first use; the caller holds the lock.
+// breaker returns the circuit breaker of a target, which it creates on first use. The caller holds
+// the lock.
 func (r *Router) breaker(now time.Time, target ident.TargetHash) *retry.Breaker {
 	b, known := r.breakers[target]
 	if !known {
@@ -32,11 +33,11 @@
 	return b
 }
 
-// maxFailed bounds the failures kept for one home. More than that in the fraction of a
-// second between two requests for permits says nothing more.
+// maxUnsentFailures limits the failures kept for one home. More than that in the fraction of a
+// second between two permit requests carry no further information.
 const maxUnsentFailures = 64
 
-// complain keeps a target's failure for the home of its shard; the caller holds the lock.
+// recordFailure keeps a failure of a target for the home of its shard. The caller holds the lock.
 func (r *Router) recordFailure(target ident.TargetHash) {
 	id, known := r.shardOf(target)
 	if known && len(r.unsentFailures[id]) < maxUnsentFailures {
@@ -44,7 +45,7 @@
 	}
 }
 
-// shardOf finds the shard of a target of any pool; the caller holds the lock.
+// shardOf returns the shard of a target of any pool. The caller holds the lock.
 func (r *Router) shardOf(target ident.TargetHash) (place.ShardID, bool) {
 	for _, pools := range r.pools {
 		for _, p := range pools {
@@ -56,21 +57,21 @@
 	return place.ShardID{}, false
 }
 
-// shardOf is the shard of one of the pool's targets.
+// shardOf returns the shard of a target of the pool.
 func (p *pool) shardOf(target ident.TargetHash) place.ShardID {
 	return place.ShardID{Pool: p.Name, Shard: place.ShardOf(target, p.state.Shards())}
 }
 
-// Heard notes that bytes of an answer came from a target.
+// Heard records that bytes of an answer arrived from a target.
 func (r *Router) Heard(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastReceived[target] = r.clock()
 }
 
-// Silent notes that a request sent at some time has had no answer for too long. If
-// nothing at all came from its target since, the target gets no new work for a while.
-// It reports whether that is so.
+// Silent records that a request sent at the given time got no answer within the time limit. If
+// nothing at all has arrived from the target since then, its circuit breaker opens and Silent
+// returns true.
 func (r *Router) Silent(target ident.TargetHash, since time.Time) bool {
 	r.mu.Lock()
 	silent := r.lastReceived[target].Before(since)
@@ -81,8 +82,8 @@
 	return silent
 }
 
-// Unreachable notes that no connection to a target came about, or that another target
-// has its address: it gets no new work for a while.
+// Unreachable opens the circuit breaker of a target to which no connection could be made, or whose
+// address belongs to another target.
 func (r *Router) Unreachable(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -91,7 +92,7 @@
 	r.breaker(now, target).Trip(now)
 }
 
-// Cancelled notes that an attempt ended without telling anything of its target.
+// Cancelled records that an attempt ended without a result for the target's circuit breaker.
 func (r *Router) Cancelled(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/route/home.go
+++ b/internal/edge/route/home.go
@@ -10,7 +10,8 @@
 	"valescale/internal/share/home"
 )
 
-// Move tells new homes what this router holds, and the earlier ones that it moved.
+// Move sends the permits that this router holds to the new homes of shards, and withdraws them from
+// the earlier homes.
 func (r *Router) Move(ctx context.Context, moved []Move) {
 	for _, m := range moved {
 		r.syncPermits(ctx, m.id, m.old)
@@ -18,7 +19,8 @@
 	}
 }
 
-// homeOf is the home of a shard among the routers that answer; the caller holds the lock.
+// homeOf returns the home of a shard, or the standby while the home is skipped. The caller holds
+// the lock.
 func (r *Router) homeOf(id place.ShardID) ident.Router {
 	home := r.assigned.Home(id)
 	if until, skipped := r.skipped[home]; !skipped || !r.clock().Before(until) {
@@ -27,18 +29,18 @@
 	return r.assigned.Next(id, home)
 }
 
-// silentFor is how long a home that did not answer is passed over for the next in line.
+// homeSkipTime is how long the standby is used in place of a home that did not respond.
 const homeSkipTime = 3 * time.Second
 
-// Returned notes that a router has answered or started anew: it is no longer passed over.
+// Returned records that a router responded or restarted. It is no longer skipped.
 func (r *Router) Returned(router ident.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.skipped, router)
 }
 
-// passOver asks the next in line instead of a home that did not answer, until
-// membership knows whether it is gone.
+// skipHome uses the standby in place of a home that did not respond, until membership has
+// established whether the home has failed.
 func (r *Router) skipHome(ctx context.Context, home ident.Router) {
 	r.mu.Lock()
 	now := r.clock()
@@ -52,13 +54,13 @@
 	r.Move(ctx, moved)
 }
 
-// Move is a shard whose home is another than the one that gave the permits held here.
+// Move is a shard whose home differs from the one that granted the permits held here.
 type Move struct {
 	id  place.ShardID
 	old ident.Router
 }
 
-// movedShards lists the shards with permits here whose home has changed.
+// movedShards returns the shards with held permits whose home has changed.
 func (r *Router) movedShards() []Move {
 	var out []Move
 	for id := range r.held {
@@ -69,8 +71,9 @@
 	return out
 }
 
-// follow notes the home that counts the permits held in a shard from now on, and reports whether it
-// is another one, which must be told of them; the caller holds the lock.
+// updateCountingHome records the current home of a shard as the one that counts the held permits.
+// It returns true if it is another one than before, to which the permits must be sent. The caller
+// holds the lock.
 func (r *Router) updateCountingHome(id place.ShardID, current ident.Router) (Move, bool) {
 	old := r.countingHome[id]
 	if len(r.held[id]) == 0 || current == old {
@@ -81,7 +84,8 @@
 	return Move{id: id, old: old}, true
 }
 
-// forgetHome has the next request tell the shard's new home what the others said.
+// resetSentLoads makes the next permit request include all shard loads, since the shard's new home
+// has none of them.
 func (r *Router) resetSentLoads(id place.ShardID) {
 	for _, pools := range r.pools {
 		for _, p := range pools {
@@ -92,27 +96,27 @@
 	}
 }
 
-// debt is a withdrawal that an earlier home has not confirmed.
+// withdrawal is a withdrawal of permits that an earlier home has not confirmed.
 type withdrawal struct {
 	id   place.ShardID
 	home ident.Router
 }
 
-// owe notes that a home may count permits of this router that another counts now; the
-// caller holds the lock.
+// queueWithdrawal records that a home may count permits of this router that another home counts
+// now. The caller holds the lock.
 func (r *Router) queueWithdrawal(id place.ShardID, to ident.Router) {
 	if to != "" && to != r.self.ID {
 		r.pendingWithdrawals[withdrawal{id, to}] = r.permit
 	}
 }
 
-// payOwed tries the withdrawals again that were not confirmed.
+// retryWithdrawals retries the unconfirmed withdrawals.
 func (r *Router) retryWithdrawals(ctx context.Context) {
 	r.mu.Lock()
 	var due []Move
 	for w := range r.pendingWithdrawals {
 		if r.homeOf(w.id) == w.home {
-			// It is home again and has been told what this router holds.
+			// The router is home of the shard again and has received the held permits.
 			delete(r.pendingWithdrawals, w)
 			continue
 		}
@@ -124,8 +128,8 @@
 	}
 }
 
-// withdraw tells a shard's earlier home that this router's permits are counted
-// elsewhere now. If that router still believes to be home, they would count twice.
+// withdraw notifies the earlier home of a shard that another home counts this router's permits.
+// Without it the permits would be counted twice if the earlier home still acts as home.
 func (r *Router) withdraw(ctx context.Context, m Move) {
 	if m.old == "" {
 		return
@@ -137,7 +141,7 @@
 	err := r.homes.Withdraw(ctx, m.old, m.id, upto)
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	// A router that membership has forgotten counts nothing any more.
+	// A router that was removed from membership counts no permits.
 	if err == nil || fault.KindOf[home.Kind](err) == home.Unknown {
 		delete(r.pendingWithdrawals, withdrawal{m.id, m.old})
 	}
--- a/internal/edge/route/leaving_test.go
+++ b/internal/edge/route/leaving_test.go
@@ -9,7 +9,8 @@
 	"valescale/internal/rule/place"
 )
 
-// leaves has the router know that a target leaves, as its own answers told, which no home has heard yet.
+// markLeaving marks a target as leaving in this router's pool, as its own answers reported. The
+// homes do not have this state.
 func (f *fleet) markLeaving(target ident.Target) {
 	p := f.pools[0]
 	leaver, _ := p.Roster.Engine(target.Hash())
@@ -18,15 +19,11 @@
 	f.pools[0] = p
 }
 
-// Seen: requests reached a target that had said in its answers that it leaves, from the router that had
-// passed such an answer on (platform, TestTargetThatLeavesByItsAnswersOnly).
-//
-// How: that router knows, but the home of the target's shard, at another router, may not for a while, or for
-// as long as a cut lasts; it gives the target's places out, and the router took them.
-//
-// Cause: what a home grants was not held against what the router itself knows.
-//
-// Proof: here no home ever hears of it.
+// Guards against requests that are sent to a leaving target by a router that has received the
+// target's leaving header. The home of the
+// target's shard, on another router, may not have this state for as long as a network partition
+// lasts, and still grants permits on the target. The router must check granted permits against its
+// own state. Here the homes never receive the state.
 func TestLeavingTargetUnknownToHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	f.markLeaving("engine-1")
@@ -34,20 +31,20 @@
 	for key := range ident.ChatKey(10) {
 		p := acquire(t, r, key)
 		if p.Target.ID == "engine-1" {
-			t.Errorf("chat %d was sent to the target that leaves", key)
+			t.Errorf("chat %d was sent to the leaving target", key)
 		}
 		p.Release()
 	}
 	f.runDeferred()
 	if got := f.permits(assigned.Home(id)); got != 0 {
-		t.Errorf("%d places are still counted at the home, want all given back", got)
+		t.Errorf("the home still counts %d permits, want all released", got)
 	}
 }
 
-// Found by reading: the pools of a box that is short of processor time follow the view when their loop gets its
-// turn, which at a fifth of 0.4 cores may be seconds after the answer that told of leaving was passed on. A router
-// that has passed it on sends the target nothing more, whatever its pools say; nor once they say it, nor if
-// the target goes and comes back; another start of it is another target.
+// Guards against requests to a leaving target between its answer and the next update of the pools.
+// On a box short of processor time, at a fifth of 0.4 cores, that update may follow seconds after
+// the answer. The router sends the target nothing more in between, nor after the update, nor if the
+// target is removed and returns. A new incarnation is not affected.
 func TestLeavingAppliesBeforePoolUpdate(t *testing.T) {
 	f, r, assigned := newFleet()
 	leaver, _ := f.pools[0].Target(ident.Target("engine-1").Hash())
@@ -67,12 +64,12 @@
 		return count
 	}
 	if got := sent(); got != 0 {
-		t.Errorf("%d of 10 requests were sent to a target that had said that it leaves", got)
+		t.Errorf("%d of 10 requests were sent to a target that had reported that it is leaving", got)
 	}
-	// Pools that were made of what was known before change nothing.
+	// Pools that are built from older state change nothing.
 	r.Set(f.pools, assigned)
 	if got := sent(); got != 0 {
-		t.Errorf("%d of 10 requests were sent there after pools that did not know it yet", got)
+		t.Errorf("%d of 10 requests were sent there after an update with older pools", got)
 	}
 	restarted := f.pools[0]
 	engines := restarted.Roster.Engines()
@@ -82,13 +79,14 @@
 	restarted.Roster = place.NewRoster(1, engines)
 	r.Set([]route.Pool{restarted}, assigned)
 	if got := sent(); got == 0 {
-		t.Error("a target that has started anew gets nothing")
+		t.Error("a target that has restarted gets no requests")
 	}
 }
 
-// Found while the incident of targets that ask for backoff was looked at: a target that could not be reached gets
-// one request on trial; if that ends without a verdict, since the target turns it away or its caller leaves,
-// the trial never ended, and the router sent the target nothing for as long as both lived.
+// Guards against a target that never gets another request. A target that was unreachable gets one
+// probe request from its half-open circuit breaker. If the probe ends without a result, because the
+// target rejects it or the caller disconnects, the probe must still end, so that the breaker allows
+// the next one.
 func TestProbeWithoutResult(t *testing.T) {
 	f, r, _ := newFleet()
 	r.Unreachable(ident.Target("engine-1").Hash())
@@ -99,11 +97,11 @@
 		if p.Target.ID == "engine-1" {
 			probes++
 		}
-		// Nobody reports how it went.
+		// No result is reported for the request.
 		p.Release()
 		f.runDeferred()
 	}
 	if probes < 2 {
-		t.Errorf("the target got %d trials in 20 requests, want more while none brings a verdict", probes)
+		t.Errorf("the target got %d probes in 20 requests, want more while none has a result", probes)
 	}
 }
--- a/internal/edge/route/limit.go
+++ b/internal/edge/route/limit.go
@@ -11,8 +11,8 @@
 	"valescale/internal/rule/quota"
 )
 
-// Admit keeps a workspace within its rate. It uses tokens that the workspace's
-// home granted to this router, and asks for more when they are used up.
+// Admit enforces the rate limit of a workspace. It uses tokens that the workspace's home has
+// granted to this router, and requests more when they are used up.
 func (r *Router) Admit(ctx context.Context, w policy.Workspace) error {
 	const op = "route.Admit"
 	if w.Rate <= 0 {
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// WorkspaceHome returns the router that keeps a workspace's rate.
+// WorkspaceHome returns the router that keeps the token bucket of a workspace.
 func WorkspaceHome(w ident.Workspace, routers []ident.Router) ident.Router {
 	return place.OwnerOf("workspace/"+string(w), routers)
 }
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -11,10 +11,12 @@
 	"valescale/internal/share/home"
 )
 
-// saturatedFor is how long a pool without free engines is not asked around.
+// saturationTTL is how long a pool without free engines is treated as saturated: requests do not
+// search all of its shards in that time.
 const saturationTTL = 200 * time.Millisecond
 
-// askAround asks the shards for a permit; again is set when a home moved meanwhile.
+// searchShards requests a permit from the homes of the pool's shards, in the order of the search.
+// It returns retry as true if a shard's home changed in the meantime.
 func (r *Router) searchShards(ctx context.Context, p *pool, request Ask) (placement *Placement, retry bool, err error) {
 	r.mu.Lock()
 	search := p.state.NewSearch(request.Key, r.clock().Before(p.saturatedUntil))
@@ -32,7 +34,7 @@
 		}
 		resp, placement, unknown, err := r.requestKnownTarget(ctx, p, step, request)
 		if err != nil && !failedOver && ctx.Err() == nil {
-			// The next in line knows what the silent home counted a second ago.
+			// The standby has the counts that the home had a second ago.
 			failedOver = true
 			resp, placement, unknown, err = r.requestKnownTarget(ctx, p, step, request)
 		}
@@ -46,23 +48,27 @@
 		case resp.Result == home.Moved:
 			return nil, true, nil
 		case step.Must && sawUnknown && resp.Result != home.Shed:
-			// Homes that know other targets than this router say nothing of those that it knows.
+			// A home that has other targets than this router cannot report whether this router's
+			// targets are free.
 			return r.placeWithoutHome(ctx, p, request, nil)
 		case step.Must:
 			return nil, false, r.rejectionError(ctx, p, step.Shard, resp)
 		}
 		if holder == 0 {
-			// The shard that the chat prefers is full; its engine may still be copied from.
+			// The preferred shard of the chat is full, but the cached prefix can still be copied
+			// from its engine.
 			holder = resp.Holder
 		}
 	}
 }
 
-// mostUnknown is how often a home is asked once more after it has offered a target that this router does not know.
+// maxUnknownRetries is how often a permit request is repeated after the home granted a permit on a
+// target that this router does not have.
 const maxUnknownRetries = 2
 
-// askKnown asks one home for a permit at a target that this router knows; unknown is set if the home offered another.
-// News of targets reaches the two up to a second apart, and either may be ahead.
+// requestKnownTarget requests a permit from one home, on a target that is in this router's pool. It
+// returns unknown as true if the home offered a target that is not. Changes of targets reach the
+// two routers up to a second apart, and either may be ahead.
 func (r *Router) requestKnownTarget(ctx context.Context, p *pool, step place.Step, request Ask) (
 	resp home.Answer, placement *Placement, unknown bool, err error,
 ) {
@@ -77,15 +83,15 @@
 	return resp, nil, true, nil
 }
 
-// next returns the shard that a search asks next.
+// nextShard returns the next step of a search.
 func (r *Router) nextShard(p *pool, search *place.Search) (place.Step, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return search.Next(r.clock(), p.state)
 }
 
-// nameHolder names an engine to copy from to one where the prompt is new, if the engine's
-// own home knew of none.
+// setHolder sets the cache holder to copy the prefix from, for a placement on an engine that has
+// not cached it and whose home reported no cache holder.
 func (r *Router) setHolder(p *pool, placement *Placement, holder ident.TargetHash) {
 	if placement.Holder != nil || placement.Warm {
 		return
@@ -96,14 +102,16 @@
 }
 
 const (
-	// cutAfter is how many calls in a row may fail, whatever home was asked, before this
-	// router counts as cut off from the others: two homes and their next in line.
+	// isolationThreshold is the number of consecutive failed calls, to whichever homes, after which
+	// this router is isolated from its peers: two homes and their standbys.
 	isolationThreshold = 4
-	// cutRetry is how often a router that is cut off asks a home all the same.
+	// isolatedRetryInterval is the interval at which an isolated router still sends a permit
+	// request to a home.
 	isolatedRetryInterval = 300 * time.Millisecond
 )
 
-// cutOff reports whether to decide alone without asking; the caller holds the lock.
+// isolated reports whether to place the request locally without a permit request. The caller holds
+// the lock.
 func (r *Router) isolated() bool {
 	if r.homeFailures < isolationThreshold {
 		return false
@@ -116,7 +124,7 @@
 	return false
 }
 
-// giveUp turns the last home's answer into an error.
+// rejectionError returns the error for the response of the last home.
 func (r *Router) rejectionError(ctx context.Context, p *pool, shard ident.Shard, resp home.Answer) error {
 	const op = "route.Acquire"
 	r.mu.Lock()
@@ -136,7 +144,7 @@
 	}
 }
 
-// withoutHome decides alone after a home did not answer.
+// placeWithoutHome places a request locally after a home did not respond.
 func (r *Router) placeWithoutHome(ctx context.Context, p *pool, request Ask, cause error) (*Placement, bool, error) {
 	if ctx.Err() != nil {
 		return nil, false, fault.New("route.Acquire", Gone, cause)
@@ -145,15 +153,15 @@
 	return placement, false, err
 }
 
-// ask asks one home for a permit. An answer that gives one without a placement is for a target that this router does
-// not know.
+// request sends a permit request to one home. A response with result Placed but without a placement
+// means that the permit is for a target that this router does not have.
 func (r *Router) request(ctx context.Context, p *pool, step place.Step, request Ask) (home.Answer, *Placement, error) {
 	id := place.ShardID{Pool: p.Name, Shard: step.Shard}
 	now := r.clock()
 	to, placeRequest, released, backoffs := r.preparePermitRequest(p, id, step, request, now)
 	resp, err := r.homes.Place(ctx, to, placeRequest, released)
 	if err == nil && resp.Result == home.Empty && r.hasEngines(p, step.Shard) {
-		// A router that has just started is home already and knows no engines yet.
+		// A router that has just started may be home of a shard before it has the shard's engines.
 		err = fault.New("route.Acquire", NoTarget, nil)
 	}
 	homeFault := err != nil && ctx.Err() == nil && fault.KindOf[home.Kind](err) != home.HeldUp
@@ -183,7 +191,8 @@
 	return r.acceptPermit(p, id, to, placeRequest, resp)
 }
 
-// prepare makes the request for a permit, with the permits that go back and the backoffs that are told on the way.
+// preparePermitRequest returns the permit request with the released permits and the backoffs that
+// are sent with it.
 func (r *Router) preparePermitRequest(p *pool, id place.ShardID, step place.Step, request Ask, now time.Time) (
 	to ident.Router, placeRequest home.Ask, released []uint64, backoffs map[ident.TargetHash]backoff,
 ) {
@@ -192,7 +201,8 @@
 	r.permit++
 	to = r.homeOf(id)
 	if m, moved := r.updateCountingHome(id, to); moved {
-		// A home that was passed over is asked again: it counts from now on what the stand-in did.
+		// Requests go to a home again that was skipped. It needs the permits that the standby has
+		// counted.
 		r.self.AfterFunc(0, func() { r.Move(context.Background(), []Move{m}) })
 	}
 	released = r.pendingReleases[id]
@@ -220,7 +230,7 @@
 	return to, placeRequest, released, backoffs
 }
 
-// request is what an ask says of the place it needs; the caller holds the lock.
+// placeRequest returns the placement constraints of a request. The caller holds the lock.
 func (r *Router) placeRequest(p *pool, request Ask) place.Request {
 	return place.Request{
 		Edge: r.self.ID, Key: request.Key, Work: request.Work, Zone: r.self.Zone,
@@ -228,14 +238,14 @@
 	}
 }
 
-// unanswered notes that a home did not answer, and whether that is the home's fault; the
-// caller holds the lock.
+// recordNoResponse records that a home did not respond, and counts it as a failure of the home if
+// homeFault is set. The caller holds the lock.
 func (r *Router) recordNoResponse(homeFault bool, id place.ShardID, to ident.Router, permit uint64, released []uint64) {
 	if homeFault {
 		r.recordHomeFailure()
 	}
-	// The permit may have been given; say that it is not used, to that home too if
-	// another one is asked from now on.
+	// The home may have granted the permit. Release it, also at that home if the shard has another
+	// home now.
 	r.queueRelease(id, append(released, permit)...)
 	if to != r.homeOf(id) {
 		r.queueWithdrawal(id, to)
@@ -243,7 +253,7 @@
 	}
 }
 
-// noteSums keeps the shards' work that came with an answer.
+// updateShardLoads records the shard loads of a permit response.
 func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.Answer) {
 	p.state.NoteSum(now, place.Sum{Shard: shard, Work: resp.Work})
 	for _, sum := range resp.Sums {
@@ -251,15 +261,17 @@
 	}
 }
 
-// placed makes a placement of a permit; the caller holds the lock.
-func (r *Router) acceptPermit(p *pool, id place.ShardID, to ident.Router, placeRequest home.Ask, resp home.Answer) (home.Answer, *Placement, error) {
+// acceptPermit returns the placement for a granted permit. The caller holds the lock.
+func (r *Router) acceptPermit(p *pool, id place.ShardID, to ident.Router,
+	placeRequest home.Ask, resp home.Answer) (home.Answer, *Placement, error) {
 	target, ok := p.Target(resp.Engine)
 	if !ok {
 		r.queueRelease(id, placeRequest.Permit)
 		return resp, nil, nil
 	}
 	r.countingHome[id] = to
-	placement := r.holdPermit(p, id, place.Permit{Edge: r.self.ID, ID: placeRequest.Permit, Engine: resp.Engine, Work: placeRequest.Work}, target)
+	placement := r.holdPermit(p, id, place.Permit{Edge: r.self.ID, ID: placeRequest.Permit,
+		Engine: resp.Engine, Work: placeRequest.Work}, target)
 	placement.Home = to
 	placement.Holder = r.holder(p, resp.Holder)
 	placement.Warm = resp.Warm
@@ -272,14 +284,14 @@
 	return resp, placement, nil
 }
 
-// remember notes where a chat went, unless it does not come back.
+// recordPlacement records the engine of a chat, unless the chat consists of one request.
 func (p *pool) recordPlacement(request place.Request, engine ident.TargetHash) {
 	if !request.Once {
 		p.state.Remember(request.Key, engine)
 	}
 }
 
-// hasEngines reports whether this router knows usable engines of a shard.
+// hasEngines reports whether this router has usable engines of a shard.
 func (r *Router) hasEngines(p *pool, shard ident.Shard) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -10,23 +10,24 @@
 	"valescale/internal/rule/retry"
 )
 
-// Placement is one request's place at a target.
+// Placement is the place of one request on a target.
 type Placement struct {
 	Target Target
 	Hash   ident.TargetHash
-	// Warm means that the chat ran there before.
+	// Warm means that the chat ran on the target before.
 	Warm bool
-	// Holder is another target that has the chat's prefix cached, or nil.
+	// Holder is another target that is a cache holder of the chat's prefix, or nil.
 	Holder *Target
-	// Home is the router that gave the place, empty if this one decided alone.
+	// Home is the router that granted the permit, or empty if this router placed the request
+	// locally.
 	Home ident.Router
-	// Basis is what the place was decided from.
+	// Basis is the state on which the placement was decided.
 	Basis   place.Basis
 	release func()
 	once    sync.Once
 }
 
-// Release gives the place back; calling it again does nothing.
+// Release returns the permit. Further calls do nothing.
 func (s *Placement) Release() {
 	s.once.Do(func() {
 		if s.release != nil {
@@ -35,8 +36,8 @@
 	})
 }
 
-// sit records a permit as held; the caller holds the lock. An empty shard means
-// that no home counts it.
+// holdPermit records a permit as held. An empty shard means that no home counts it. The caller
+// holds the lock.
 func (r *Router) holdPermit(p *pool, id place.ShardID, permit place.Permit, target Target) *Placement {
 	p.state.Begin(permit.Engine, permit.Work)
 	r.stats.Placed++
@@ -62,9 +63,9 @@
 	}}
 }
 
-// beginTrial returns the breaker for which a request at a target is the trial, or nil. The trial ends with the
-// request's place at the latest: a target that turned its trial away, or whose caller left, would get no
-// other; the caller holds the lock.
+// beginProbe returns the circuit breaker for which a request on a target is the half-open probe, or
+// nil. The probe ends at the latest when the placement is released: without that, a target that
+// rejected the probe, or whose caller disconnected, would get no other. The caller holds the lock.
 func (r *Router) beginProbe(target ident.TargetHash) *retry.Breaker {
 	b, known := r.breakers[target]
 	if !known || !b.Allow(r.clock()) || b.State() != retry.HalfOpen {
@@ -73,10 +74,10 @@
 	return b
 }
 
-// flushAfter is how long permits given back wait for another message to travel with.
+// releaseFlushDelay is how long released permits wait for another message that can carry them.
 const releaseFlushDelay = 10 * time.Millisecond
 
-// giveBack notes permits to be returned; the caller holds the lock.
+// queueRelease queues permits to be returned to their home. The caller holds the lock.
 func (r *Router) queueRelease(id place.ShardID, permits ...uint64) {
 	r.pendingReleases[id] = append(r.pendingReleases[id], permits...)
 	if r.flushScheduled {
@@ -86,7 +87,7 @@
 	r.self.AfterFunc(releaseFlushDelay, r.flushReleases)
 }
 
-// flush returns all permits that are still waiting for it.
+// flushReleases sends all queued releases.
 func (r *Router) flushReleases() {
 	r.mu.Lock()
 	r.flushScheduled = false
@@ -98,17 +99,18 @@
 	}
 	r.mu.Unlock()
 	for id, permits := range pendingReleases {
-		// A lost return shows as drift at the next request and is mended by a sync.
+		// A lost release shows as drift in the next permit response, and a sync corrects it.
 		_ = r.homes.Release(context.Background(), homes[id], id, permits)
 	}
 }
 
-// driftLimit is how many answers in a row may miscount this router's permits
-// before it sends the home its list; calls that cross explain a few.
+// driftLimit is the number of consecutive responses with a wrong count of this router's permits
+// after which the router sends the home its list. Messages that cross in transit explain a few
+// wrong counts.
 const driftLimit = 3
 
-// watchDrift compares the home's count of this router's permits with the true
-// one; the caller holds the lock.
+// checkDrift compares the home's count of this router's permits with the actual one. The caller
+// holds the lock.
 func (r *Router) checkDrift(id place.ShardID, homeCount int) {
 	r.homeCount[id] = homeCount
 	if homeCount == len(r.held[id])+len(r.pendingReleases[id]) {
@@ -123,13 +125,13 @@
 	r.self.AfterFunc(0, func() { r.syncPermits(context.Background(), id, "") })
 }
 
-// speakEvery is how often a home hears of a router that holds permits there, well
-// within the lease for which it counts them.
+// contactInterval is the maximum interval between messages to a home that counts permits of this
+// router, well within the lease of these permits.
 const contactInterval = 500 * time.Millisecond
 
-// Reconcile tells the homes whose last count of this router's permits was wrong, or that
-// have not heard of it for a while, all that it holds. A home that is full of permits
-// nobody holds gives no answers that would show it soon.
+// Reconcile sends all held permits to the homes whose last count of them was wrong or that have not
+// received a message for contactInterval. A home whose shard is full of permits that no router
+// holds sends no responses that would soon show the drift.
 func (r *Router) Reconcile(ctx context.Context) {
 	r.mu.Lock()
 	now := r.clock()
@@ -153,7 +155,8 @@
 	r.retryWithdrawals(ctx)
 }
 
-// sync tells a shard's home all permits held here, and which home counted them before.
+// syncPermits sends all permits held for a shard to its home, with the home that counted them
+// before.
 func (r *Router) syncPermits(ctx context.Context, id place.ShardID, from ident.Router) {
 	r.mu.Lock()
 	to := r.homeOf(id)
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -16,16 +16,16 @@
 	"valescale/internal/share/home"
 )
 
-// Homes asks the homes of shards and workspaces, here or at other routers.
+// Homes calls the homes of shards and workspaces, on this router or its peers.
 type Homes interface {
-	Place(ctx context.Context, home ident.Router, ask home.Ask, released []uint64) (home.Answer, error)
+	Place(ctx context.Context, home ident.Router, request home.Ask, released []uint64) (home.Answer, error)
 	Release(ctx context.Context, home ident.Router, id place.ShardID, released []uint64) error
 	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error
 	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, upto uint64) error
 	Grant(ctx context.Context, home ident.Router, workspace ident.Workspace, want int) (int, time.Duration, error)
 }
 
-// Target is what an attempt needs to know of the engine or replica it goes to.
+// Target is what an attempt needs of the engine or replica that it is sent to.
 type Target struct {
 	ID          ident.Target
 	Addr        string
@@ -33,25 +33,25 @@
 	Incarnation ident.Incarnation
 }
 
-// Pool describes one pool as the view and the configuration give it.
+// Pool is a pool as given by the membership view and the configuration.
 type Pool struct {
 	Name    ident.Pool
 	Region  ident.Region
 	Service policy.Service
-	// Bound is the load bound, also for a router that decides alone.
+	// Bound is the load bound, which also applies to local placements.
 	Bound place.Bound
-	// Roster are the pool's targets.
+	// Roster contains the targets of the pool.
 	Roster *place.Roster
 }
 
-// Self is what a router says of itself when it asks.
+// Self describes this router in permit requests.
 type Self struct {
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
 	// FirstPermit is above all permit ids of earlier processes of this router.
 	FirstPermit uint64
-	// AfterFunc runs a function after a while; nil means time.AfterFunc.
+	// AfterFunc calls a function after a delay; nil means time.AfterFunc.
 	AfterFunc func(time.Duration, func())
 }
 
@@ -63,19 +63,20 @@
 	Priority  int
 	Key       ident.ChatKey
 	Work      ident.Work
-	// Deadline is until when the request may wait.
+	// Deadline is the time until which the request may wait.
 	Deadline time.Time
-	// Avoid are targets that have just failed this request.
+	// Avoid contains the targets that have just failed this request.
 	Avoid []ident.TargetHash
 	// Once means that no other request has this key.
 	Once bool
-	// lost are targets that this router cannot reach.
+	// unreachable contains the targets that this router cannot reach.
 	unreachable []ident.TargetHash
-	// withheld are targets that were offered although this router knows that they take no new work.
+	// excluded contains the targets that were offered although they accept no new work according to
+	// this router's state.
 	excluded []ident.TargetHash
 }
 
-// Router finds targets.
+// Router finds targets for requests.
 type Router struct {
 	self     Self
 	homes    Homes
@@ -83,34 +84,39 @@
 	mu       sync.Mutex
 	pools    map[ident.Service][]*pool
 	assigned *place.Assignment
-	// silent are homes that did not answer lately, until when they are passed over.
+	// skipped contains the homes that did not respond recently, with the time until which they are
+	// skipped.
 	skipped         map[ident.Router]time.Time
 	permit          uint64
 	held            map[place.ShardID]map[uint64]place.Permit
 	countingHome    map[place.ShardID]ident.Router
 	pendingReleases map[place.ShardID][]uint64
 	driftCount      map[place.ShardID]int
-	// believed are the homes' latest counts of this router's permits.
+	// homeCount contains the homes' latest counts of this router's permits.
 	homeCount map[place.ShardID]int
-	// failures counts the calls to homes in a row that failed, tryAt is when one is
-	// tried again after too many.
+	// homeFailures is the number of consecutive failed calls to homes. isolatedUntil is when an
+	// isolated router calls a home again.
 	homeFailures  int
 	isolatedUntil time.Time
-	// heard is when bytes came last from each target.
+	// lastReceived is when the last bytes arrived from each target.
 	lastReceived map[ident.TargetHash]time.Time
-	// owed are withdrawals that were not confirmed, with the latest permit they are about.
+	// pendingWithdrawals contains the unconfirmed withdrawals with the latest permit id that they
+	// cover.
 	pendingWithdrawals map[withdrawal]uint64
-	// spoken is when each shard's home was last told of this router's permits.
+	// lastContact is when the home of each shard last received a message about this router's
+	// permits.
 	lastContact    map[place.ShardID]time.Time
 	flushScheduled bool
 	breakers       map[ident.TargetHash]*retry.Breaker
-	// backoffs are the targets that want no requests from this router for a while.
+	// backoffs contains the targets that accept no requests from this router for some time.
 	backoffs map[ident.TargetHash]backoff
-	// leaving are the starts of targets that leave, as they told this router, until the pools say it.
+	// leaving contains the incarnations of targets that are leaving according to their answers,
+	// until the pools show it.
 	leaving map[ident.TargetHash]ident.Incarnation
-	// untold are the backoffs that their shards' homes have not been told of.
+	// unsentBackoffs contains the backoffs that were not yet reported to the homes of their shards.
 	unsentBackoffs map[place.ShardID]map[ident.TargetHash]backoff
-	// failed are the targets that failed requests since their shards' homes were asked last.
+	// unsentFailures contains the targets that failed requests since the last permit request to the
+	// home of their shard.
 	unsentFailures map[place.ShardID][]ident.TargetHash
 	allowances     map[ident.Workspace]*quota.Allowance
 	stats          Stats
@@ -118,25 +124,26 @@
 	watcher Watcher
 }
 
-// pool is a pool as this router knows it.
+// pool is a pool with this router's own state of it.
 type pool struct {
 	Pool
-	// picture has the roster and what this router knows of its targets' work.
+	// state contains the roster and the work of its targets as counted by this router.
 	state *place.Pool
-	// saturated is until when asking around is thought useless.
+	// saturatedUntil is the time until which a search of all shards is not expected to find a free
+	// engine.
 	saturatedUntil time.Time
-	// throttles are kept by kind of request.
+	// throttles contains the throttle of each class of requests.
 	throttles map[requestClass]*throttle
 }
 
-// Stats counts how targets were found.
+// Stats counts the ways in which targets were found.
 type Stats struct {
 	Placed   uint64
 	Warm     uint64
 	Asked    uint64
 	Fallback uint64
 	Must     uint64
-	// Throttled counts the requests that were refused without asking a home.
+	// Throttled counts the requests rejected without a permit request.
 	Throttled uint64
 }
 
@@ -170,15 +177,15 @@
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the counts since the start.
 func (r *Router) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stats
 }
 
-// Set replaces pools and the assignment of homes, and returns the shards whose home
-// has changed, to be moved. A service's own region comes first among its pools.
+// Set replaces the pools and the assignment of homes, and returns the shards whose home has
+// changed, for Move. The pool of the own region comes first among the pools of a service.
 func (r *Router) Set(pools []Pool, assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	old := r.pools
@@ -201,7 +208,7 @@
 	return moved
 }
 
-// Reassign replaces the assignment of homes alone, and returns the shards whose home has changed.
+// Reassign replaces only the assignment of homes, and returns the shards whose home has changed.
 func (r *Router) Reassign(assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,26 +216,26 @@
 	return r.movedShards()
 }
 
-// Target returns one of a pool's targets.
+// Target returns a target of the pool.
 func (p Pool) Target(hash ident.TargetHash) (Target, bool) {
 	e, known := p.Roster.Engine(hash)
 	return TargetOf(e), known
 }
 
-// TargetOf is what an attempt needs to know of an engine.
+// TargetOf returns the target of an engine.
 func TargetOf(e place.Engine) Target {
 	return Target{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Incarnation: e.Incarnation}
 }
 
-// has reports whether a pool has a target.
+// has reports whether the pool contains a target.
 func (p Pool) has(hash ident.TargetHash) bool {
 	_, known := p.Roster.Engine(hash)
 	return known
 }
 
-// forgetRestarted drops what was seen of targets that have started anew since: it was of the earlier
-// start. What this router has in flight there counts on until it ends, since some of it may have
-// reached the new start already; the caller holds the lock.
+// removeRestarted removes the state of targets that have restarted, which belongs to their earlier
+// incarnation. Requests of this router in flight there are counted until they end, since some of
+// them may have reached the new incarnation already. The caller holds the lock.
 func (r *Router) removeRestarted(pools []Pool) {
 	restarted := func(hash ident.TargetHash) bool {
 		return slices.ContainsFunc(pools, func(p Pool) bool { return r.restarted(p, hash) })
@@ -240,8 +247,8 @@
 	}
 }
 
-// restarted reports whether a target is of another start in a pool than in the one that it replaces; the caller
-// holds the lock.
+// restarted reports whether a target has another incarnation in a pool than in the pool that it
+// replaces. The caller holds the lock.
 func (r *Router) restarted(next Pool, hash ident.TargetHash) bool {
 	now, known := next.Roster.Engine(hash)
 	if !known {
@@ -253,8 +260,7 @@
 	})
 }
 
-// forgetGone drops what is known of targets that no pool has any more; the caller holds
-// the lock.
+// removeGone removes the state of targets that are in no pool any more. The caller holds the lock.
 func (r *Router) removeGone(pools []Pool) {
 	gone := func(hash ident.TargetHash) bool {
 		return !slices.ContainsFunc(pools, func(p Pool) bool { return p.has(hash) })
@@ -265,14 +271,14 @@
 	r.removeStaleLeaving()
 	for id, unsentFailures := range r.unsentFailures {
 		if slices.ContainsFunc(unsentFailures, gone) {
-			// Its shard may be another by now, too.
+			// The remaining targets may be in another shard by now, too.
 			delete(r.unsentFailures, id)
 		}
 	}
 }
 
-// renew keeps what a pool's picture has counted when only its engines change, and what
-// this router has sent where in any case.
+// updatePool keeps the counted shard loads of a pool if only its engines change, and this router's
+// own placements in any case.
 func (r *Router) updatePool(old []*pool, p Pool) *pool {
 	i := slices.IndexFunc(old, func(o *pool) bool { return o.Name == p.Name })
 	if i >= 0 && old[i].state.Shards() == p.Roster.Shards() && old[i].Bound == p.Bound {
@@ -287,11 +293,13 @@
 	return &pool{Pool: p, state: state, throttles: map[requestClass]*throttle{}}
 }
 
-// mostOffers is how many places a request may be given at targets that take no new work, as this router
-// knows. After the first one the home is told of all of them; more come only if others say so meanwhile.
+// maxOffers is how many permits a request may be granted on targets that accept no new work
+// according to this router's state. After the first one the homes receive all such targets; further
+// ones follow only if targets reported it in the meantime.
 const maxOffers = 4
 
-// offersWait is when a request comes back that was offered nothing else: homes know by then.
+// offersRetryAfter is the Retry-After delay of a request that was offered no other targets. The
+// homes have the state of these targets by then.
 const offersRetryAfter = time.Second
 
 // Acquire finds a target and counts the request there until the placement is released.
@@ -316,7 +324,7 @@
 	return nil, fault.New(op, TimedOut, RetryAfter{Wait: offersRetryAfter})
 }
 
-// find finds a target in a pool, which homes may offer although this router knows better.
+// findInPool finds a target in a pool. A home may offer a target that this router must not use.
 func (r *Router) findInPool(ctx context.Context, p *pool, request Ask) (*Placement, error) {
 	request.Avoid, request.unreachable = r.avoidedTargets(p, request)
 	if p.Service.Balance == policy.Local {
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -16,25 +16,25 @@
 	"valescale/internal/share/home"
 )
 
-// fleet is the homes of some routers, called without a network.
+// fleet is a fake of the homes of some routers, which are called without a network.
 type fleet struct {
 	now   time.Time
 	homes map[ident.Router]*home.Homes
 	down  map[ident.Router]bool
-	// failed are the engines that asks named as failing.
+	// failures contains the engines that permit requests reported as failed.
 	failures []ident.TargetHash
-	// backoffs are what asks told of engines that want no requests.
+	// backoffs contains the backoffs that permit requests reported.
 	backoffs  []place.Backoff
 	requested []ident.Router
-	// loseAnswers has homes give permits whose answers do not arrive.
+	// dropResponses makes homes grant permits whose responses are lost.
 	dropResponses bool
-	// heldUp has the router notice too late whether its homes answered.
+	// heldUp makes the router process responses too late to tell whether the home was in time.
 	heldUp bool
 	// dropWithdrawals loses withdrawals.
 	dropWithdrawals bool
-	// dropReturns loses what is given back.
+	// dropReleases loses released permits.
 	dropReleases bool
-	// placing is called while a home decides.
+	// onPlace is called while a home handles a permit request.
 	onPlace  func()
 	deferred []func()
 	pools    []route.Pool
@@ -47,10 +47,10 @@
 	return f.homes[to], nil
 }
 
-func (f *fleet) Place(ctx context.Context, to ident.Router, ask home.Ask, released []uint64) (home.Answer, error) {
+func (f *fleet) Place(ctx context.Context, to ident.Router, request home.Ask, released []uint64) (home.Answer, error) {
 	f.requested = append(f.requested, to)
-	f.failures = append(f.failures, ask.Failed...)
-	f.backoffs = append(f.backoffs, ask.Backoffs...)
+	f.failures = append(f.failures, request.Failed...)
+	f.backoffs = append(f.backoffs, request.Backoffs...)
 	h, err := f.homeAt(to)
 	if err != nil {
 		return home.Answer{}, err
@@ -58,7 +58,7 @@
 	if f.dropReleases {
 		released = nil
 	}
-	a := h.Place(ctx, ask, released)
+	resp := h.Place(ctx, request, released)
 	if f.onPlace != nil {
 		f.onPlace()
 	}
@@ -68,7 +68,7 @@
 	if f.dropResponses {
 		return home.Answer{}, fault.New("test", home.Unreachable, nil)
 	}
-	return a, nil
+	return resp, nil
 }
 
 func (f *fleet) Release(_ context.Context, to ident.Router, id place.ShardID, released []uint64) error {
@@ -118,7 +118,7 @@
 	workspace = policy.Workspace{Name: "bogota", Rate: 10, Burst: 2}
 )
 
-// newFleet returns a router over three homes and a pool of two engines in one shard.
+// newFleet returns a router, three homes and a pool of two engines in one shard.
 func newFleet() (*fleet, *route.Router, *place.Assignment) {
 	f := &fleet{now: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), homes: map[ident.Router]*home.Homes{}, down: map[ident.Router]bool{}}
 	clock := func() time.Time { return f.now }
@@ -144,7 +144,7 @@
 	return f, r, assigned
 }
 
-// run runs what was put off.
+// runDeferred calls the deferred functions.
 func (f *fleet) runDeferred() {
 	for len(f.deferred) > 0 {
 		next := f.deferred[0]
@@ -178,11 +178,12 @@
 	p.Release()
 	f.runDeferred()
 	if f.permits(at) != 0 {
-		t.Errorf("%d permits counted after the return, want 0", f.permits(at))
+		t.Errorf("%d permits counted after the release, want 0", f.permits(at))
 	}
 }
 
-// What a router remembers of its requests outlives its homes and its pool's shards.
+// A router's record of placements survives the replacement of its homes and a change of the pool's
+// shard count.
 func TestPlacementsSurviveHomeChange(t *testing.T) {
 	f, r, assigned := newFleet()
 	const keys = 20
@@ -205,7 +206,7 @@
 		p := acquire(t, r, key)
 		got[key] = p.Target.ID
 		if p.Holder != nil {
-			// It can at least be copied.
+			// The prefix can at least be copied from there.
 			got[key] = p.Holder.ID
 		}
 		p.Release()
@@ -216,7 +217,7 @@
 	}
 }
 
-// The next request for a permit tells the home of targets that failed, once.
+// The next permit request reports failed targets to the home, once.
 func TestFailuresAreReportedToHome(t *testing.T) {
 	f, r, _ := newFleet()
 	one, two := ident.Target("engine-1").Hash(), ident.Target("engine-2").Hash()
@@ -233,8 +234,8 @@
 	}
 }
 
-// A router that is held up itself, as when its box has no processor time left, keeps to its
-// homes: were each such router to take another, several would count one shard.
+// A router that is itself delayed, as when its box has no processor time left, keeps its homes. If
+// each such router used the standby instead, several routers would count the same shard.
 func TestDelayedRouterKeepsItsHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	f.heldUp = true
@@ -249,7 +250,7 @@
 	}
 }
 
-// Failures that a silent home did not hear of are told with the next request.
+// Failures that were in a permit request without a response are sent again with the next one.
 func TestFailuresAreResentAfterHomeFailure(t *testing.T) {
 	f, r, assigned := newFleet()
 	one := ident.Target("engine-1").Hash()
@@ -279,7 +280,7 @@
 	}
 }
 
-// Permits that are lost while a pool is full must not keep it full for ever.
+// Lost releases while a pool is full must not keep it full for ever.
 func TestLostReleasesOfFullPool(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
@@ -304,18 +305,18 @@
 	}
 }
 
-// A home that gave a permit too late to be heard gets it back, not the next in line.
+// A permit whose response was lost is returned to the home that granted it, not to the standby.
 func TestPermitOfLostResponseIsReleased(t *testing.T) {
 	f, r, assigned := newFleet()
 	f.dropResponses = true
 	acquire(t, r, 1)
 	f.runDeferred()
 	if got := f.permits(assigned.Home(id)); got != 0 {
-		t.Errorf("%d permits counted of answers that nobody got", got)
+		t.Errorf("%d permits counted whose responses were lost", got)
 	}
 }
 
-// An earlier home that could not be told is told later that its permits moved.
+// The withdrawal of permits from an earlier home is retried until it is confirmed.
 func TestUnconfirmedWithdrawalIsRetried(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
@@ -324,7 +325,7 @@
 	others := slices.DeleteFunc(slices.Clone(routers), func(r ident.Router) bool { return r == at })
 	r.Move(context.Background(), r.Set(f.pools, place.Assign([]place.ShardID{id}, others)))
 	if got := f.permits(at); got != 1 {
-		t.Fatalf("the earlier home counts %d permits, want 1 that it was not told of", got)
+		t.Fatalf("the earlier home counts %d permits, want 1 whose withdrawal was lost", got)
 	}
 	f.dropWithdrawals = false
 	r.Reconcile(context.Background())
@@ -345,19 +346,19 @@
 		t.Error(diff)
 	}
 	if got := f.permits(next); got != 3 {
-		t.Errorf("the next in line counts %d permits, want all 3", got)
+		t.Errorf("the standby counts %d permits, want all 3", got)
 	}
 	first.Release()
 	f.runDeferred()
 	if got := f.permits(next); got != 2 {
-		t.Errorf("the next in line counts %d permits after one came back, want 2", got)
+		t.Errorf("the standby counts %d permits after one was released, want 2", got)
 	}
 	if got := r.Stats().Fallback; got != 0 {
-		t.Errorf("%d decided without a home", got)
+		t.Errorf("%d requests placed without a home", got)
 	}
 }
 
-// A router that has just started may be home before it knows any engine.
+// A router that has just started may be home of a shard before it has the shard's engines.
 func TestHomeWithoutEngines(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
@@ -376,10 +377,10 @@
 	}
 	one, two := acquire(t, r, 1), acquire(t, r, 1)
 	if one.Hash == two.Hash {
-		t.Error("both requests at one engine, although the other is idle")
+		t.Error("both requests on one engine although the other is idle")
 	}
 	if got := r.Stats().Fallback; got != 2 {
-		t.Errorf("%d decided without a home, want 2", got)
+		t.Errorf("%d requests placed without a home, want 2", got)
 	}
 }
 
@@ -392,7 +393,7 @@
 	failing.Release()
 	for range 4 {
 		if p := acquire(t, r, 1); p.Hash == failing.Hash {
-			t.Fatal("a target whose answers fail gets new work")
+			t.Fatal("a failing target gets new work")
 		}
 	}
 }
@@ -420,7 +421,8 @@
 	}
 }
 
-// A router that no home answers decides alone at once, and asks again now and then.
+// A router that no home responds to places requests locally without delay, and retries the homes at
+// intervals.
 func TestIsolatedRouterDoesNotWaitForHomes(t *testing.T) {
 	f, r, _ := newFleet()
 	for _, name := range routers {
@@ -431,7 +433,7 @@
 	}
 	requested := len(f.requested)
 	if requested > 4 {
-		t.Errorf("%d homes were asked in vain for 10 requests, want at most 4", requested)
+		t.Errorf("%d permit requests failed for 10 requests, want at most 4", requested)
 	}
 	for _, name := range routers {
 		f.down[name] = false
@@ -442,6 +444,6 @@
 		acquire(t, r, key).Release()
 	}
 	if got := r.Stats().Fallback - fallbacks; got != 0 {
-		t.Errorf("%d of 10 requests were placed alone although homes answer again", got)
+		t.Errorf("%d of 10 requests were placed locally although homes respond again", got)
 	}
 }
--- a/internal/edge/route/throttle.go
+++ b/internal/edge/route/throttle.go
@@ -12,49 +12,50 @@
 )
 
 const (
-	// askedPerGrant is how many permits a router asks for with each that it gets while it
-	// is being refused. Homes then decide twice as many requests as their engines can run,
-	// however many callers press. Asking for everything kept a home's box of 0.4 cores too busy to answer in
-	// time: at four times the traffic a fifth fewer answers came in time.
+	// requestsPerGrant is how many permits a router requests for each one granted while homes
+	// reject requests. Homes then decide twice as many requests as their engines can run, at any
+	// number of callers. With a permit request for every request, a home on a box of 0.4 cores was
+	// too busy to respond in time: at four times the traffic a fifth fewer answers arrived in time.
 	requestsPerGrant = 2
-	// throttleHalfLife is after how long what was asked and granted counts half: with some
-	// ten requests a second of a workspace a share of them can be told.
+	// throttleHalfLife is the half-life of the counted requests and grants. At about ten requests a
+	// second of a workspace it is long enough to measure a ratio of them.
 	throttleHalfLife = 500 * time.Millisecond
-	// throttleSlack is how many refusals pass before any request is refused without asking.
+	// throttleSlack is the number of rejections before any request is rejected without a permit
+	// request.
 	throttleSlack = 3
-	// askAtLeast is how long a router refuses requests of one kind without asking about any: the
-	// fleet's 295 routers together ask some 3,000 times a second then, a third of what its eight
-	// homes are asked in a surge anyway, and a router that sees nine requests a second learns
-	// with the first or second of them that a surge is over.
+	// throttleProbeInterval is the maximum time for which a router rejects all requests of one
+	// class without a permit request. The 295 routers of a fleet then send about 3,000 permit
+	// requests a second, a third of what their eight homes receive in a surge anyway, and a router
+	// that gets nine requests a second detects the end of a surge with the first or second of them.
 	throttleProbeInterval = 100 * time.Millisecond
-	// maxThrottles bounds the kinds of requests of which a pool remembers how they did.
+	// maxThrottles limits the number of request classes for which a pool keeps a throttle.
 	maxThrottles = 4096
 )
 
-// demand names the requests that homes treat alike.
+// requestClass identifies the requests that homes treat alike.
 type requestClass struct {
 	workspace ident.Workspace
 	priority  int
 }
 
-// throttle refuses requests of one kind that a home would refuse, so that neither they
-// nor the home spend time on asking. It follows the home's own refusals: with all
-// requests granted it never acts.
+// throttle rejects requests of one class that a home would reject, which saves the permit request
+// on both sides. It follows the home's own rejections: while all requests are granted it has no
+// effect.
 type throttle struct {
-	// ended counts the requests that were granted or refused, here or by a home; granted
-	// those among them that got a permit. What is still being asked for counts as neither.
+	// decided counts the requests that were granted or rejected, by this router or by a home;
+	// granted counts those that got a permit. Requests that are still pending count as neither.
 	decided   float64
 	granted   float64
 	decayedAt time.Time
-	// asked is when a home was asked last.
+	// lastRequest is when a permit request was last sent to a home.
 	lastRequest time.Time
-	// owed is the part of a question to the home that the requests refused so far add up to.
+	// credit is the fraction of a permit request that the rejected requests have accumulated.
 	credit float64
-	// refusal is the latest of a home, to be passed on.
+	// lastRejection is the latest rejection by a home, whose delay is returned to callers.
 	lastRejection RetryAfter
 }
 
-// decay lets what was counted earlier count less.
+// decay reduces the weight of earlier requests.
 func (t *throttle) decay(now time.Time) {
 	kept := decay.Kept(now.Sub(t.decayedAt), throttleHalfLife)
 	t.decided *= kept
@@ -62,10 +63,10 @@
 	t.decayedAt = now
 }
 
-// admits reports whether to ask a home for a request.
+// allow reports whether to send a permit request for a request.
 func (t *throttle) allow(now time.Time) bool {
 	t.decay(now)
-	// Of the requests beyond what may be asked an even part goes through.
+	// Of the requests above the limit an even share is sent.
 	t.credit += min((requestsPerGrant*t.granted+throttleSlack)/(t.decided+1), 1)
 	if t.credit < 1 && now.Sub(t.lastRequest) < throttleProbeInterval {
 		t.decided++
@@ -76,7 +77,7 @@
 	return true
 }
 
-// learn counts a request that a home has granted or refused.
+// recordOutcome counts a request that a home has granted or rejected.
 func (t *throttle) recordOutcome(now time.Time, granted bool) {
 	t.decay(now)
 	t.decided++
@@ -85,16 +86,17 @@
 	}
 }
 
-// spread is the latest refusal with a time to come back up to twice as late: a home tells
-// each caller a time of its own, and those refused here must not all return at one of them.
+// jitteredRejection returns the latest rejection with its Retry-After delay increased by up to
+// 100%. A home sets a different delay for each caller, and the callers rejected here must not all
+// return at one of these times.
 func (t *throttle) jitteredRejection() RetryAfter {
 	retryAfter := t.lastRejection
 	retryAfter.Wait += rand.N(retryAfter.Wait + 1)
 	return retryAfter
 }
 
-// throttleOf returns what is known of an ask's kind, made on first use; the caller holds
-// the lock.
+// throttleOf returns the throttle of a request's class, which it creates on first use. The caller
+// holds the lock.
 func (p *pool) throttleOf(request Ask) *throttle {
 	key := requestClass{workspace: request.Workspace, priority: request.Priority}
 	t, known := p.throttles[key]
@@ -108,7 +110,7 @@
 	return t
 }
 
-// throttled refuses an ask that a home would refuse.
+// checkThrottle returns an error for a request that a home would reject.
 func (r *Router) checkThrottle(p *pool, request Ask) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -120,17 +122,17 @@
 	return fault.New("route.Acquire", Shed, t.jitteredRejection())
 }
 
-// unthrottle forgets that homes have refused requests, since one of them has room again: while
-// requests wait for a shard, none of its slots stays free. At 295 routers, each of which sees a
-// few requests a second, 29 in 100 requests of the half second after a surge were refused for
-// what homes had answered before, and 10 of the next.
+// resetThrottles removes the recorded rejections, since a shard has room again: while requests wait
+// for a shard, none of its slots stays free. At 295 routers, each with a few requests a second,
+// earlier rejections by homes otherwise caused 29 in 100 requests to be rejected in the half second
+// after a surge, and 10 in 100 in the next.
 func (p *pool) resetThrottles() {
 	clear(p.throttles)
 	p.saturatedUntil = time.Time{}
 }
 
-// learn takes in how an ask ended. Whatever did not end in a home's refusal speaks for
-// asking on.
+// recordOutcome records the outcome of a request in its throttle. Every outcome but a rejection by
+// a home counts as granted.
 func (r *Router) recordOutcome(p *pool, request Ask, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -139,7 +141,7 @@
 	rejected := kind == Shed || kind == TimedOut
 	t.recordOutcome(r.clock(), !rejected)
 	if rejected {
-		// Without a time in the error there is none to pass on.
+		// An error without a Retry-After delay leaves the latest one unchanged.
 		_ = errors.As(err, &t.lastRejection)
 		t.lastRejection.Throttled = true
 	}
--- a/internal/edge/route/throttle_test.go
+++ b/internal/edge/route/throttle_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// many asks n times at one moment and returns how many may go to a home; each is granted
-// or refused at once if answered says so.
+// simulate makes n requests at one time and returns how many of them may be sent to a home. If
+// decided is set, each of them is granted or rejected at once.
 func (t *throttle) simulate(now time.Time, n int, decided, granted bool) int {
 	allowed := 0
 	for range n {
@@ -21,24 +21,24 @@
 	return allowed
 }
 
-// While homes refuse nothing, every request goes to them, however many are on their way.
+// While homes reject nothing, every request is sent to them, however many are pending.
 func TestNoThrottlingWithoutRejections(t *testing.T) {
 	now := time.Unix(1000, 0)
 	var undecided, granted throttle
 	if got := undecided.simulate(now, 500, false, false); got != 500 {
-		t.Errorf("%d of 500 requests are asked for while none is answered", got)
+		t.Errorf("%d of 500 requests were sent to the home while none is decided", got)
 	}
 	if got := granted.simulate(now, 500, true, true); got != 500 {
-		t.Errorf("%d of 500 requests are asked for while all are granted", got)
+		t.Errorf("%d of 500 requests were sent to the home while all are granted", got)
 	}
 }
 
-// Under overload a home is asked for a few times what it can grant, which is still used in
-// full, and for everything soon after it has room again.
+// Under overload a home receives a few times as many requests as it can grant, which is enough to
+// use all of its capacity. Soon after it has room again it receives all requests.
 func TestRejectionsThrottle(t *testing.T) {
 	const (
 		msPerSecond = 1000
-		// room is how often the home can grant a request, in milliseconds.
+		// grantIntervalMS is the interval at which the home can grant a request, in milliseconds.
 		grantIntervalMS = 10
 	)
 	now := time.Unix(1000, 0)
@@ -58,10 +58,10 @@
 		}
 	}
 	if requested > 4*msPerSecond/2 {
-		t.Errorf("a home that can grant %d of %d requests was asked for %d", 4*msPerSecond/grantIntervalMS, 4*msPerSecond, requested)
+		t.Errorf("a home that can grant %d of %d requests received %d", 4*msPerSecond/grantIntervalMS, 4*msPerSecond, requested)
 	}
 	if granted < 4*msPerSecond/grantIntervalMS*9/10 {
-		t.Errorf("of the %d requests that a home could grant it was asked for %d", 4*msPerSecond/grantIntervalMS, granted)
+		t.Errorf("of the %d requests that the home could grant it granted %d", 4*msPerSecond/grantIntervalMS, granted)
 	}
 	lateRejections := 0
 	for i := range 2 * msPerSecond {
@@ -73,6 +73,6 @@
 		}
 	}
 	if lateRejections > 0 {
-		t.Errorf("%d requests were refused without asking one and a half seconds after the last refusal", lateRejections)
+		t.Errorf("%d requests were rejected without a permit request 1.5 s after the last rejection", lateRejections)
 	}
 }
--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -6,25 +6,26 @@
 	"valescale/internal/plat/ident"
 )
 
-// Watcher is told what a router comes to believe of homes and targets. It may be called with
-// the router's lock held and must not call the router.
+// Watcher receives the changes of a router's state of homes and targets. Its methods may be called
+// with the router's lock held and must not call the router.
 type Watcher interface {
-	// Noticed says what a target said of itself.
+	// Noticed receives the state that a target reported in an answer.
 	Noticed(target Target, n Notice)
-	// PassedOver says that a home did not answer and for how long the next in line is asked.
+	// PassedOver receives a home that did not respond, and for how long its standby is used.
 	PassedOver(home ident.Router, wait time.Duration)
-	// CutOff says that this router decides alone from now on, or that a home has answered again.
+	// CutOff receives true when this router becomes isolated and places requests locally, and false
+	// when a home responds again.
 	CutOff(cut bool)
 }
 
-// Watch has a watcher told from now on.
+// Watch sets the watcher.
 func (r *Router) Watch(w Watcher) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.watcher = w
 }
 
-// noteFailure counts a call to a home that failed; the caller holds the lock.
+// recordHomeFailure counts a failed call to a home. The caller holds the lock.
 func (r *Router) recordHomeFailure() {
 	r.homeFailures++
 	r.isolatedUntil = r.clock().Add(isolatedRetryInterval)
@@ -33,7 +34,7 @@
 	}
 }
 
-// noteAnswer notes that a home has answered; the caller holds the lock.
+// recordHomeResponse records that a home responded. The caller holds the lock.
 func (r *Router) recordHomeResponse() {
 	if r.homeFailures >= isolationThreshold && r.watcher != nil {
 		r.watcher.CutOff(false)
