--- a/internal/edge/relay/backoff.go
+++ b/internal/edge/relay/backoff.go
@@ -6,18 +6,19 @@
 	"time"
 )
 
-// maxBackoff bounds for how long a target is believed that it wants nothing: a slip of its, in
-// milliseconds say, must not cost the service a target until that starts anew.
+// maxBackoff limits the accepted backoff of a target, so that a wrong value, such as one in
+// milliseconds, does not remove the target from service until it restarts.
 const maxBackoff = 10 * time.Minute
 
-// BackoffOf is for how long a target wants no more requests from this router, as it said when it turned
-// one away; zero if it did not say. Only a 503 speaks of the target, other refusals of the request.
+// BackoffOf returns how long a target accepts no more requests from this router according to its
+// Retry-After header, or zero. Only a 503 describes the target; other rejections are about the
+// request.
 func BackoffOf(status int, h http.Header, now time.Time) time.Duration {
 	if status != http.StatusServiceUnavailable {
 		return 0
 	}
 	value := h.Get("Retry-After")
-	// A fraction of a second goes beyond the standard, but some targets tell one.
+	// Fractions of a second are not in the standard, but some targets send them.
 	if seconds, err := strconv.ParseFloat(value, 64); err == nil {
 		return clampBackoff(seconds)
 	}
@@ -27,7 +28,8 @@
 	return 0
 }
 
-// backoffFor is a backoff of some seconds within its bounds; what is no number is none.
+// clampBackoff returns a backoff of the given seconds within its limit. Values that are not
+// positive numbers give zero.
 func clampBackoff(seconds float64) time.Duration {
 	if !(seconds > 0) {
 		return 0
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -20,39 +20,39 @@
 type Exchange struct {
 	Addr   string
 	Method string
-	// Path is the request's path with its query, as the caller sent it.
+	// Path is the path of the request with its query, as sent by the caller.
 	Path   string
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Owns reports by an answer's header whether the answer belongs to this request.
+	// Owns reports by an answer's header whether the answer is to this request.
 	Owns func(http.Header) bool
-	// Fresh is how long a connection may have been idle to be used again.
+	// Fresh is the maximum idle time of a connection that is reused.
 	Fresh time.Duration
-	// Keep is how many idle connections the target may be left with; zero leaves it to the
-	// limits of all targets.
+	// Keep is the maximum number of idle connections to the target; zero means the limit for all
+	// targets.
 	Keep int
 }
 
-// Answer is the head of an answer; it must be closed.
+// Answer is the head of an answer. It must be closed.
 type Answer struct {
 	Status int
 	Header http.Header
 	// Length is the length of the body in bytes, or -1.
 	Length int64
-	// Framed says that the answer's end can be told from a cut connection.
+	// Framed means that the end of the answer can be distinguished from a broken connection.
 	Framed bool
 	body   io.ReadCloser
 	conn   *conn
 	conns  *Conns
-	// unwatch ends the watch on the context and reports whether it had not closed the
-	// connection by then.
+	// stopContextWatch stops closing the connection at the end of the context, and returns false if
+	// the connection was closed already.
 	stopContextWatch func() bool
-	// sent tells when all of the request is written.
+	// written receives the result once the whole request is written.
 	written <-chan error
-	// whole is set once the body was read to its end.
+	// complete is set once the body has been read to its end.
 	complete bool
-	// closing says that the target closes the connection after this answer.
+	// closesConn means that the target closes the connection after this answer.
 	closesConn bool
 }
 
@@ -62,26 +62,26 @@
 	addr    string
 	reader  *bufio.Reader
 	limited *limitedConn
-	// header is the largest header of an answer, in bytes.
+	// maxHeader is the maximum size of an answer's header, in bytes.
 	maxHeader int64
-	// since is when the connection became idle, keep for how long it may be used again.
+	// idleSince is when the connection became idle, keepIdle for how long it may be reused.
 	idleSince time.Time
 	keepIdle  time.Duration
-	// mates is how many idle connections its target may have, this one included; zero
-	// leaves it to the limits of all targets.
+	// maxIdle is the maximum number of idle connections to the target, including this one; zero
+	// means the limit for all targets.
 	maxIdle int
 }
 
-// boundedReader ends a connection that sends more than it may.
+// limitedConn fails reads beyond the remaining number of bytes.
 type limitedConn struct {
 	net.Conn
 	remaining int64
 }
 
-// errHeaderTooLarge ends the reading of an answer's head.
-var errHeaderTooLarge = errors.New("the answer's header is too large")
+// errHeaderTooLarge fails the reading of an answer's head.
+var errHeaderTooLarge = errors.New("answer header too large")
 
-// Read reads at most what is left.
+// Read reads at most the remaining number of bytes.
 func (b *limitedConn) Read(p []byte) (int, error) {
 	if b.remaining <= 0 {
 		return 0, errHeaderTooLarge
@@ -94,17 +94,17 @@
 	return n, err
 }
 
-// readBuffer holds a header and the first events, in bytes.
+// readBufferBytes is enough for a header and the first events.
 const readBufferBytes = 4 << 10
 
-// newConn returns a connection whose answers have headers of at most some bytes.
+// newConn returns a connection whose answers have headers of at most maxHeader bytes.
 func newConn(addr string, raw net.Conn, maxHeader int64) *conn {
 	limited := &limitedConn{Conn: raw, remaining: maxHeader}
 	return &conn{Conn: raw, addr: addr, limited: limited, reader: bufio.NewReaderSize(limited, readBufferBytes), maxHeader: maxHeader}
 }
 
-// Send makes an attempt and returns once the answer's head is there. An error tells by
-// StepOf how far the attempt got. The context's end closes the connection.
+// Send makes an attempt and returns once the answer's head is read. StepOf returns from an error
+// how far the attempt got. The end of the context closes the connection.
 func (c *Conns) Send(ctx context.Context, e Exchange) (*Answer, error) {
 	const op = "relay.Send"
 	cn := c.takeIdle(e.Addr, time.Now(), e.Fresh)
@@ -139,13 +139,13 @@
 	}, nil
 }
 
-// nothingWritten is an error before the first byte left.
+// writeNotStarted is an error before the first byte was written.
 type writeNotStarted struct{ error }
 
 // Unwrap returns the cause.
 func (n writeNotStarted) Unwrap() error { return n.error }
 
-// stepOfWrite is how far an attempt got whose request could not be written.
+// writeErrorStep returns the step of an attempt whose request could not be written.
 func writeErrorStep(err error) retry.Step {
 	var n writeNotStarted
 	if errors.As(err, &n) {
@@ -154,10 +154,10 @@
 	return retry.Sending
 }
 
-// errCrossed ends an attempt that got only answers to earlier requests.
-var errCrossed = errors.New("only answers to other requests came")
+// errCrossed fails an attempt that received only answers to earlier requests.
+var errCrossed = errors.New("received only answers to other requests")
 
-// kindOfRead is why no head of an answer was read.
+// readErrorKind returns the kind of an error from reading the answer's head.
 func readErrorKind(err error) Kind {
 	if errors.Is(err, errCrossed) {
 		return Crossed
@@ -165,12 +165,12 @@
 	return Broken
 }
 
-// inline is the largest request that is written before the answer is awaited, in
-// bytes: it fits into a new connection's send buffer, so that the write does not wait
-// for the target. A target may answer before it has read a longer one.
+// maxInlineRequestBytes is the largest request that is written in full before the answer is read.
+// It fits into the send buffer of a new connection, so that the write does not block. A target may
+// answer a longer request before it has read all of it.
 const maxInlineRequestBytes = 8 << 10
 
-// write sends a request; sent tells when all of it is written.
+// write sends a request. The returned channel receives the result once all of it is written.
 func (c *conn) write(e Exchange) (written <-chan error, err error) {
 	head := encodeHead(e)
 	done := make(chan error, 1)
@@ -190,11 +190,11 @@
 	return done, nil
 }
 
-// headSize is what a request's line and header usually fit in, in bytes.
+// headBufferBytes is the usual maximum size of a request line and header.
 const headBufferBytes = 1 << 10
 
-// encodeHead returns the request line and the header. It names the body's length, and
-// that of an empty body if requests of the method have one.
+// encodeHead returns the request line and the header. It includes the length of the body, also of
+// an empty one if requests of the method have a body.
 func encodeHead(e Exchange) []byte {
 	var b bytes.Buffer
 	b.Grow(headBufferBytes)
@@ -204,7 +204,7 @@
 	b.WriteString(" HTTP/1.1\r\nHost: ")
 	b.WriteString(e.Host)
 	b.WriteString("\r\n")
-	// A buffer takes every write.
+	// Writes to a buffer do not fail.
 	_ = e.Header.Write(&b)
 	if len(e.Body) > 0 || hasBody(e.Method) {
 		b.WriteString("Content-Length: ")
@@ -215,20 +215,20 @@
 	return b.Bytes()
 }
 
-// hasBody reports whether requests of a method have a body, if only an empty one.
+// hasBody reports whether requests of a method have a body, even an empty one.
 func hasBody(method string) bool {
 	return method == http.MethodPost || method == http.MethodPut || method == http.MethodPatch
 }
 
 const (
-	// maxForeign is how many answers to earlier requests are skipped on a connection: a
-	// late and a surplus one.
+	// maxForeignResponses is how many answers to earlier requests are skipped on a connection: one
+	// late and one surplus answer.
 	maxForeignResponses = 2
-	// maxForeignBody bounds the body of an answer that is skipped, in bytes.
+	// maxForeignBodyBytes limits the body of a skipped answer.
 	maxForeignBodyBytes = 1 << 20
 )
 
-// readOwn reads heads until one belongs to the request.
+// readMatchingHead reads heads until one belongs to the request.
 func (c *conn) readMatchingHead(e Exchange) (*http.Response, error) {
 	request := &http.Request{Method: e.Method}
 	for range maxForeignResponses + 1 {
@@ -247,7 +247,7 @@
 	return nil, errCrossed
 }
 
-// readHead reads one head, without those that only announce another.
+// readHead reads one head and skips informational (1xx) ones.
 func (c *conn) readHead(request *http.Request) (*http.Response, error) {
 	for {
 		c.limited.remaining = c.maxHeader
@@ -262,7 +262,7 @@
 	}
 }
 
-// Read reads the body; io.EOF means that the answer is whole.
+// Read reads the body. It returns io.EOF only at the end of a complete answer.
 func (a *Answer) Read(p []byte) (int, error) {
 	n, err := a.body.Read(p)
 	if err == io.EOF {
@@ -271,8 +271,8 @@
 	return n, err
 }
 
-// Close ends the attempt. The connection is used again only after a whole answer and
-// a whole request, without a byte to spare.
+// Close ends the attempt. The connection is reused only after a complete answer and a complete
+// request, with no unread bytes.
 func (a *Answer) Close() {
 	active := a.stopContextWatch()
 	if !active || !a.reusable() {
@@ -282,7 +282,7 @@
 	a.conns.keepIdle(a.conn, a.Header, time.Now())
 }
 
-// reusable reports whether nothing of this exchange is left on the connection.
+// reusable reports whether no bytes of this exchange remain on the connection.
 func (a *Answer) reusable() bool {
 	if !a.complete || a.closesConn || a.conn.reader.Buffered() > 0 {
 		return false
--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -17,46 +17,46 @@
 	"valescale/internal/rule/retry"
 )
 
-// ConnLimits bound connections to targets.
+// ConnLimits are the limits of connections to targets.
 type ConnLimits struct {
-	// Dial bounds the making of a connection.
+	// Dial is the timeout for making a connection.
 	Dial time.Duration
-	// Idle is how long a connection without requests is kept when its target names no time.
+	// Idle is how long an idle connection is kept if its target sends no keep-alive timeout.
 	Idle time.Duration
-	// PerTarget is how many idle connections one target gets at most.
+	// PerTarget is the maximum number of idle connections to one target.
 	PerTarget int
-	// Header is the largest header of an answer, in bytes.
+	// Header is the maximum size of an answer's header, in bytes.
 	Header int64
 }
 
-// DefaultConnLimits suit targets that are a few milliseconds away: a connection that
-// is not there after a quarter of a second will not be in time for an interactive request.
+// DefaultConnLimits are for targets a few milliseconds away: a connection that takes longer than a
+// quarter of a second is too late for an interactive request.
 var DefaultConnLimits = ConnLimits{Dial: 250 * time.Millisecond, Idle: 4 * time.Second, PerTarget: 16, Header: 64 << 10}
 
-// Conns makes attempts over connections of its own. Unlike the standard transport it
-// never sends a request twice by itself, and it tells by each answer's header whether
-// the answer belongs to the request, so that late and surplus answers are skipped.
+// Conns makes attempts over its own connections. Unlike the standard transport it never resends a
+// request by itself, and it checks by the header of each answer whether the answer is to the
+// request, so that late and surplus answers are skipped.
 type Conns struct {
 	limits ConnLimits
 	dialer net.Dialer
 	dialed atomic.Uint64
 
 	mu sync.Mutex
-	// idle are the connections without a request by address, the latest used last.
+	// idle contains the idle connections by address, the most recently used last.
 	idle   map[string][]*conn
 	closed bool
 }
 
-// NewConns returns connections and the function that closes the idle ones for good.
+// NewConns returns a connection pool and the function that closes it.
 func NewConns(limits ConnLimits) (*Conns, func()) {
 	c := &Conns{limits: limits, dialer: net.Dialer{Timeout: limits.Dial, KeepAlive: -1}, idle: map[string][]*conn{}}
 	return c, c.close
 }
 
-// Dialed is the number of connections made so far.
+// Dialed returns the number of connections made so far.
 func (c *Conns) Dialed() uint64 { return c.dialed.Load() }
 
-// close closes the idle connections; those in use follow as their answers are closed.
+// close closes the idle connections. Active ones are closed with their answers.
 func (c *Conns) close() {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -67,7 +67,7 @@
 	}
 }
 
-// Sweep closes the connections that may not be used again.
+// Sweep closes the idle connections that have expired.
 func (c *Conns) Sweep(now time.Time) {
 	var expired []*conn
 	c.mu.Lock()
@@ -86,28 +86,28 @@
 	closeAll(expired)
 }
 
-// closeAll closes connections. One that cannot be closed is closed already.
+// closeAll closes connections. An error means that the connection is closed already.
 func closeAll(list []*conn) {
 	for _, cn := range list {
 		_ = cn.Close()
 	}
 }
 
-// silentAfter is after how long without a byte of an answer the idle connections to its
-// target are not used again: several times what a target takes to its first byte.
+// silenceTimeout is the time without a byte of an answer after which the idle connections to the
+// target are closed. It is several times the usual time to the first byte of a target.
 const silenceTimeout = 500 * time.Millisecond
 
-// distrust closes the idle connections to an address where a request was not answered for a
-// while. Connections may fall silent for good without a reset, all of a target's at once,
-// and each would cost a request to find out.
+// closeSilent closes the idle connections to an address where a request was not answered within
+// silenceTimeout. All connections to a target may become silent at once without a reset, and each
+// would cost a failed request to detect.
 func (c *Conns) closeSilent(addr string, silence time.Duration) {
 	if silence >= silenceTimeout {
 		c.Forget(addr)
 	}
 }
 
-// Forget closes the idle connections to an address, as when its target has started anew: they end
-// at the earlier process, or nowhere.
+// Forget closes the idle connections to an address, as after a restart of its target: they lead to
+// the earlier process, or nowhere.
 func (c *Conns) Forget(addr string) {
 	c.mu.Lock()
 	list := c.idle[addr]
@@ -116,7 +116,7 @@
 	closeAll(list)
 }
 
-// take returns an idle connection that was used within fresh, the latest first, or nil.
+// takeIdle returns the most recently used idle connection whose idle time is at most fresh, or nil.
 func (c *Conns) takeIdle(addr string, now time.Time, fresh time.Duration) *conn {
 	for {
 		found, expired := c.popIdle(addr, now, fresh)
@@ -128,7 +128,8 @@
 	}
 }
 
-// pick takes the latest idle connection out, or nil, and those that it found expired.
+// popIdle removes and returns the most recently used idle connection, or nil, and the expired ones
+// that it found.
 func (c *Conns) popIdle(addr string, now time.Time, fresh time.Duration) (found *conn, expired []*conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
@@ -141,7 +142,7 @@
 		} else if idle <= fresh {
 			found = last
 		} else {
-			// The others have been idle for longer still.
+			// The remaining connections have been idle for longer.
 			break
 		}
 		list = list[:len(list)-1]
@@ -150,7 +151,7 @@
 	return found, expired
 }
 
-// put replaces an address's idle connections; the caller holds the lock.
+// setIdle replaces the idle connections to an address. The caller holds the lock.
 func (c *Conns) setIdle(addr string, list []*conn) {
 	if len(list) == 0 {
 		delete(c.idle, addr)
@@ -159,7 +160,7 @@
 	c.idle[addr] = list
 }
 
-// keep makes a connection idle until its target's own limit, or closes it.
+// keepIdle makes a connection idle for at most the keep-alive timeout of its target, or closes it.
 func (c *Conns) keepIdle(cn *conn, header http.Header, now time.Time) {
 	idle := c.limits.Idle
 	if advertised, ok := keepAlive(header); ok {
@@ -182,11 +183,11 @@
 	c.mu.Unlock()
 }
 
-// keepAliveMargin is how long before its target would close it a connection is given
-// up: a request must not cross the close. A round trip is a few milliseconds.
+// keepAliveMargin is how long before the target's keep-alive timeout a connection expires, so that
+// no request crosses the close in transit. A round trip takes a few milliseconds.
 const keepAliveMargin = 300 * time.Millisecond
 
-// keepAlive reads how long a target keeps an idle connection.
+// keepAlive returns how long a target keeps idle connections, from its Keep-Alive header.
 func keepAlive(header http.Header) (time.Duration, bool) {
 	for _, part := range strings.Split(header.Get("Keep-Alive"), ",") {
 		name, value, _ := strings.Cut(strings.TrimSpace(part), "=")
@@ -213,20 +214,21 @@
 	return newConn(addr, raw, c.limits.Header), nil
 }
 
-// Gone reports whether nothing listens at a target's address any more, as after its process has
-// ended. A box that does not answer within the time to connect tells neither.
+// Gone reports whether nothing listens at a target's address any more, as after the end of its
+// process. A box that does not respond within the dial timeout gives no result and counts as not
+// gone.
 func (c *Conns) Gone(ctx context.Context, addr string) bool { return gone(ctx, c.dialer, addr) }
 
-// gone makes a connection only to see whether it is refused.
+// gone makes a connection to check whether it is refused.
 func gone(ctx context.Context, dialer net.Dialer, addr string) bool {
 	raw, err := dialer.DialContext(ctx, "tcp", addr)
 	if err == nil {
-		// It has served its purpose; that it cannot be closed changes nothing.
+		// Only the result of the dial matters; an error of the close is ignored.
 		_ = raw.Close()
 	}
 	return errors.Is(err, syscall.ECONNREFUSED)
 }
 
-// quiet reports whether an idle connection is still open and holds no unread bytes:
-// bytes that came without a request belong to none.
+// usable reports whether an idle connection is still open and has no unread bytes: bytes that
+// arrive without a request belong to none.
 func (c *conn) usable() bool { return c.reader.Buffered() == 0 && Peek(c.Conn) == Quiet }
--- a/internal/edge/relay/conns_test.go
+++ b/internal/edge/relay/conns_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// idleConns returns connections of which one is idle at each of some times.
+// newIdleConns returns connections of which one became idle at each of the given times.
 func newIdleConns(t *testing.T, idleTimes ...time.Time) *Conns {
 	t.Helper()
 	c, closeConns := NewConns(DefaultConnLimits)
@@ -26,17 +26,17 @@
 	return len(c.idle["a"])
 }
 
-// Expired connections go even if nobody asks for their target again.
+// Sweep closes expired connections even if no request is sent to their target.
 func TestSweepClosesExpiredConnections(t *testing.T) {
 	now := time.Unix(1000, 0)
 	c := newIdleConns(t, now, now.Add(time.Second), now.Add(5*time.Second))
 	c.Sweep(now.Add(DefaultConnLimits.Idle + 2*time.Second))
 	if got := c.idleCount(); got != 1 {
-		t.Errorf("%d idle connections are left, want the one that has not expired", got)
+		t.Errorf("%d idle connections remain, want the one that has not expired", got)
 	}
 }
 
-// A target that takes few connections is left with few idle ones.
+// A target with a low connection limit keeps few idle connections.
 func TestIdleConnectionLimit(t *testing.T) {
 	c := newIdleConns(t)
 	for range 5 {
--- a/internal/edge/relay/dial_test.go
+++ b/internal/edge/relay/dial_test.go
@@ -11,7 +11,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// What this box lacks, or notices late, says nothing of a target.
+// Exhausted resources and delays of this box are not failures of a target.
 func TestLocalDialFailures(t *testing.T) {
 	of := func(err error) error { return &net.OpError{Op: "dial", Err: os.NewSyscallError("socket", err)} }
 	refused := of(syscall.ECONNREFUSED)
--- a/internal/edge/relay/doc.go
+++ b/internal/edge/relay/doc.go
@@ -1,8 +1,7 @@
-// Package relay makes one attempt at one target: it sends the request, reads the
-// answer or the stream, and says how far the attempt got, from which follows
-// whether the request may have run.
+// Package relay makes one attempt at one target. It sends the request, reads the answer or the
+// stream, and reports how far the attempt got, which determines whether the request may have run.
 //
-// An answer counts as whole only with its framing complete: an announced length
-// that was reached, a closed chunked body, or a stream's end mark. A connection
-// with anything unread is closed, never used again.
+// An answer is complete only if its framing is: an announced length that was reached, a terminated
+// chunked body, or the end mark of a stream. A connection with unread bytes is closed and never
+// reused.
 package relay
--- a/internal/edge/relay/error.go
+++ b/internal/edge/relay/error.go
@@ -9,34 +9,34 @@
 	"valescale/internal/rule/retry"
 )
 
-// Kind tells this package's errors apart.
+// Kind is the kind of an error of this package.
 type Kind string
 
 const (
-	// Connect means that no connection to the target came about.
+	// Connect means that no connection to the target could be made.
 	Connect Kind = "connect"
-	// Exhausted means that this box has no descriptor, port or memory left for a connection,
-	// which says nothing of the target.
+	// Exhausted means that this box has no descriptor, port or memory left for a connection. It is
+	// no failure of the target.
 	Exhausted Kind = "exhausted"
-	// HeldUp means that this router noticed too late that its time to connect was over, so that it
-	// cannot tell whether the target would have answered.
+	// HeldUp means that this router detected the end of the dial timeout too late to determine
+	// whether the target would have responded.
 	HeldUp Kind = "held_up"
 	// Broken means that the connection broke, or the target was too slow.
 	Broken Kind = "broken"
-	// Framing means that the answer's end cannot be told from a cut.
+	// Framing means that the end of the answer cannot be distinguished from a broken connection.
 	Framing Kind = "framing"
-	// Crossed means that the answer names another attempt.
+	// Crossed means that the answer is to another attempt.
 	Crossed Kind = "crossed"
 	// TooLarge means that the answer exceeds the limit.
 	TooLarge Kind = "too_large"
-	// BadToken means that a resume token is not one that this fleet gave to this workspace.
+	// BadToken means that a resume token was not issued by this fleet to this workspace.
 	BadToken Kind = "bad_token"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// failure joins an error with the step at which the attempt ended.
+// failure is an error with the step at which the attempt ended.
 type failure struct {
 	error
 	step retry.Step
@@ -49,12 +49,12 @@
 	return &failure{error: fault.New(op, kind, err), step: step}
 }
 
-// HeldUpAfter is how late the end of a time-out may be noticed before this router counts as held up
-// itself: frozen, or short of processor time.
+// HeldUpAfter is the delay in detecting the end of a timeout above which this router itself counts
+// as held up: suspended, or short of processor time.
 const HeldUpAfter = 100 * time.Millisecond
 
-// dialKind tells what this box lacks from a target that cannot be reached, given how long after
-// the time to connect a dial failed.
+// dialErrorKind distinguishes exhausted resources and delays of this box from an unreachable
+// target. The argument late is how long after the dial timeout the dial failed.
 func dialErrorKind(err error, late time.Duration) Kind {
 	switch {
 	case fault.OwnLack(err):
@@ -66,14 +66,14 @@
 	}
 }
 
-// Blameless reports whether an attempt failed for what this router lacks or noticed late, so
-// that its target is not to be blamed.
+// Blameless reports whether an attempt failed because of exhausted resources or a delay of this
+// router, which is no failure of the target.
 func Blameless(err error) bool {
 	kind := fault.KindOf[Kind](err)
 	return kind == Exhausted || kind == HeldUp
 }
 
-// StepOf returns how far an attempt got; an error without a step counts as sent.
+// StepOf returns how far an attempt got. An error without a step counts as sent.
 func StepOf(err error) retry.Step {
 	var f *failure
 	if errors.As(err, &f) {
--- a/internal/edge/relay/fuzz_test.go
+++ b/internal/edge/relay/fuzz_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// scripted is a connection whose other end says what was given, whatever it is asked.
+// scriptedConn is a connection whose reads return a given text, whatever is written.
 type scriptedConn struct {
 	net.Conn
 	script *bytes.Reader
@@ -19,9 +19,9 @@
 func (s scriptedConn) Write(p []byte) (int, error) { return len(p), nil }
 func (s scriptedConn) Close() error                { return nil }
 
-// FuzzAnswers reads two exchanges' answers off a connection on which anything may come: cut, extra,
-// crossed or without a length. An answer is only taken if it names its request, and
-// a connection is only used again when no byte is left on it.
+// FuzzAnswers reads the answers to two exchanges from a connection with arbitrary content: cut,
+// surplus, crossed or without a length. An answer is accepted only if it is to the request, and a
+// connection is reused only if it has no unread bytes.
 func FuzzAnswers(f *testing.F) {
 	whole := "HTTP/1.1 200 OK\r\nId: %s\r\nContent-Length: 2\r\n\r\nok"
 	f.Add([]byte("HTTP/1.1 200 OK\r\nId: 1\r\nContent-Length: 2\r\n\r\nokHTTP/1.1 200 OK\r\nId: 2\r\nContent-Length: 2\r\n\r\nok"))
@@ -35,14 +35,14 @@
 				return
 			}
 			if got := resp.Header.Get("Id"); got != id {
-				t.Fatalf("request %s got the answer to %q", id, got)
+				t.Fatalf("request %s received the answer to %q", id, got)
 			}
 			written := make(chan error, 1)
 			written <- nil
 			a := &Answer{Status: resp.StatusCode, Header: resp.Header, Length: resp.ContentLength, body: resp.Body, conn: c, written: written, closesConn: resp.Close}
 			_, err = io.Copy(io.Discard, a)
 			if a.reusable() && (err != nil || c.reader.Buffered() > 0) {
-				t.Fatalf("a connection with %d bytes left, %v, would be used again", c.reader.Buffered(), err)
+				t.Fatalf("a connection with %d unread bytes, %v, would be reused", c.reader.Buffered(), err)
 			}
 			if !a.reusable() {
 				return
@@ -51,7 +51,7 @@
 	})
 }
 
-// FuzzKeepAlive checks that no header makes a connection be kept for less than no time.
+// FuzzKeepAlive checks that no header gives a negative keep-alive timeout.
 func FuzzKeepAlive(f *testing.F) {
 	f.Add("timeout=5, max=100")
 	f.Add("TIMEOUT = 99999999999999999999")
--- a/internal/edge/relay/idle_test.go
+++ b/internal/edge/relay/idle_test.go
@@ -13,7 +13,8 @@
 	"valescale/internal/fake/listen"
 )
 
-// When the connections to a target fall silent, one request finds out for all of them.
+// If all connections to a target become silent, only one request fails before all of them are
+// closed.
 func TestSilentIdleConnectionsAreClosed(t *testing.T) {
 	var silent atomic.Bool
 	addr := listen.Conns(t, func(c net.Conn) { serveUntilSilent(c, &silent, silent.Load()) })
@@ -41,16 +42,16 @@
 	}
 	silent.Store(true)
 	if _, err := send(silenceTimeout + 50*time.Millisecond); err == nil {
-		t.Error("a request over a silent connection was answered")
+		t.Error("a request over a silent connection got an answer")
 	}
 	a, err := send(time.Second)
 	if err != nil {
-		t.Fatalf("the request after one that was not answered: %v", err)
+		t.Fatalf("request after an unanswered one: %v", err)
 	}
 	a.Close()
 }
 
-// Idle connections to a target that has started anew are not used again, though they seem open.
+// Idle connections to a target that has restarted are not reused, even if they appear open.
 func TestForgetClosesIdleConnections(t *testing.T) {
 	var opened atomic.Int32
 	var never atomic.Bool
@@ -75,11 +76,12 @@
 		a.Close()
 	}
 	if got := opened.Load(); got != 2 {
-		t.Errorf("%d connections, want one of each start", got)
+		t.Errorf("%d connections, want one per incarnation", got)
 	}
 }
 
-// answerUntil answers requests on a connection; one that was open before falls silent.
+// serveUntilSilent answers the requests on a connection. Once silent is set, connections that were
+// opened before stop answering.
 func serveUntilSilent(c net.Conn, silent *atomic.Bool, silentAtStart bool) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
--- a/internal/edge/relay/peek.go
+++ b/internal/edge/relay/peek.go
@@ -5,20 +5,20 @@
 	"syscall"
 )
 
-// Pending is what waits to be read on a connection.
+// Pending is the state of a connection's unread input.
 type Pending int
 
 const (
-	// Quiet means that the connection is open and nothing waits.
+	// Quiet means that the connection is open and has no unread bytes.
 	Quiet Pending = iota
-	// Readable means that bytes wait.
+	// Readable means that there are unread bytes.
 	Readable
-	// Ended means that the other side has closed the connection, or it has failed.
+	// Ended means that the peer has closed the connection, or that it has failed.
 	Ended
 )
 
-// Peek looks at what waits on a connection without reading it, also while another
-// goroutine reads. A connection that is no socket looks quiet.
+// Peek returns the state of a connection's input without reading it, also while another goroutine
+// reads. A connection that is not a socket is reported as Quiet.
 func Peek(c net.Conn) Pending {
 	sys, ok := c.(syscall.Conn)
 	if !ok {
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -20,21 +20,21 @@
 	"valescale/internal/rule/retry"
 )
 
-// Limits bound an attempt.
+// Limits are the limits of an attempt.
 type Limits struct {
-	// Answer is the largest whole answer, in bytes.
+	// Answer is the maximum size of a whole answer, in bytes.
 	Answer int64
-	// Event is the largest event of a stream, in bytes.
+	// Event is the maximum size of an event of a stream, in bytes.
 	Event int
-	// Dial bounds the making of a connection.
+	// Dial is the timeout for making a connection.
 	Dial time.Duration
-	// Idle is how long a connection without requests is kept.
+	// Idle is how long an idle connection is kept.
 	Idle time.Duration
-	// PerTarget is how many idle connections one target gets at most.
+	// PerTarget is the maximum number of idle connections to one target.
 	PerTarget int
 }
 
-// DefaultLimits suit chat completions and small services.
+// DefaultLimits are for chat completions and small services.
 var DefaultLimits = Limits{
 	Answer: 8 << 20, Event: 1 << 20, Dial: 2 * time.Second, Idle: 30 * time.Second, PerTarget: 64,
 }
@@ -49,20 +49,20 @@
 	Body    []byte
 	Attempt ident.Attempt
 	Key     ident.ChatKey
-	// HTTP2 targets are spoken to in HTTP/2 over clear text.
+	// HTTP2 means that the target is called by HTTP/2 over clear text.
 	HTTP2 bool
-	// Echoes says that the target returns the attempt's id with each answer. Only then
-	// can a connection be used again: a late answer on it is told apart by its id.
+	// Echoes means that the target returns the attempt's id with each answer. Only then can a
+	// connection be reused, since a late answer on it is identified by its id.
 	Echoes bool
-	// Once attempts must not be sent twice, whatever happens to the connection.
+	// Once means that the request must not be sent twice, even if the connection fails.
 	Once bool
-	// Fence is the fencing token for targets that check one; zero is none.
+	// Fence is the fencing token for targets that check one; zero means none.
 	Fence ident.Epoch
-	// Timeout bounds the attempt as a whole.
+	// Timeout is the timeout of the whole attempt.
 	Timeout time.Duration
 }
 
-// Reply is the head of an answer; its body must be read whole or closed.
+// Reply is the head of an answer. Its body must be read to the end or closed.
 type Reply struct {
 	Status   int
 	Header   http.Header
@@ -78,8 +78,8 @@
 	limits    Limits
 	pooled    http.RoundTripper
 	singleUse http.RoundTripper
-	// streams carries HTTP/2, whose requests share connections without following
-	// each other on them.
+	// http2 is the transport for HTTP/2, whose requests share connections without following one
+	// another on them.
 	http2 http.RoundTripper
 }
 
@@ -88,9 +88,9 @@
 	pooled := newTransport(limits, false)
 	singleUse := newTransport(limits, false)
 	http2 := newTransport(limits, true)
-	// The transport sends a request again by itself when a kept-alive connection
-	// turns out dead, and may take bytes that a target sent too much for the answer
-	// to the next request. A fresh connection for each attempt does neither.
+	// The transport resends a request by itself if a kept-alive connection turns out to be closed,
+	// and may treat surplus bytes from a target as the answer to the next request. A new connection
+	// for each attempt prevents both.
 	singleUse.DisableKeepAlives = true
 	r := &Relay{limits: limits, pooled: pooled, singleUse: singleUse, http2: http2}
 	return r, func() {
@@ -113,17 +113,17 @@
 	}
 }
 
-// hopHeaders belong to one connection and are not passed on.
+// hopByHopHeaders apply to one connection and are not forwarded.
 var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// callerHeaders are for the router and must not reach a target.
+// routerHeaders are for the router and must not be forwarded to a target.
 var routerHeaders = []string{"Authorization", "Cookie", "Last-Event-Id", engine.AttemptHeader, engine.CacheHeader, engine.FenceHeader}
 
-// EndToEnd copies headers without those that belong to one connection: the known ones
-// and those that the Connection header names.
+// EndToEnd returns a copy of headers without those that apply to one connection: the standard ones
+// and those listed in the Connection header.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -137,7 +137,7 @@
 	return out
 }
 
-// CleanRequest removes what must not reach a target.
+// CleanRequest returns the request headers that may be forwarded to a target.
 func CleanRequest(h http.Header) http.Header {
 	out := EndToEnd(h)
 	for _, name := range routerHeaders {
@@ -146,7 +146,7 @@
 	return out
 }
 
-// CleanReply removes what must not reach a caller.
+// CleanReply returns the answer headers that may be forwarded to a caller.
 func CleanReply(h http.Header) http.Header {
 	out := EndToEnd(h)
 	for _, name := range []string{engine.AttemptHeader, engine.LeavingHeader, engine.StreamHeader} {
@@ -155,13 +155,13 @@
 	return out
 }
 
-// once hides a body's type, so that the transport cannot rewind and send it again.
+// singleUseBody hides the type of a body, so that the transport cannot rewind and resend it.
 type singleUseBody struct{ io.Reader }
 
 // Close does nothing.
 func (singleUseBody) Close() error { return nil }
 
-// Send makes an attempt and returns once the answer's head is there.
+// Send makes an attempt and returns once the answer's head is read.
 func (r *Relay) Send(ctx context.Context, call Call) (*Reply, error) {
 	const op = "relay.Send"
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
@@ -191,7 +191,7 @@
 	if echo := resp.Header.Get(engine.AttemptHeader); echo != string(call.Attempt) && (echo != "" || call.Echoes) {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, newFailure(op, Crossed, retry.Answering, errors.Errorf("attempt %s got the answer to %q", call.Attempt, echo))
+		return nil, newFailure(op, Crossed, retry.Answering, errors.Errorf("attempt %s received the answer to attempt %q", call.Attempt, echo))
 	}
 	return &Reply{
 		Status:   resp.StatusCode,
@@ -228,12 +228,12 @@
 	return req, nil
 }
 
-// unframed is a body whose end cannot be told from a cut connection.
+// unframedBody is a body whose end cannot be distinguished from a broken connection.
 type unframedBody struct{ io.ReadCloser }
 
-var errUnframed = errors.New("the answer has neither a length nor chunks")
+var errUnframed = errors.New("answer has neither a content length nor chunked encoding")
 
-// Read turns the end of the connection into an error.
+// Read returns an error at the end of the connection.
 func (u unframedBody) Read(p []byte) (int, error) {
 	n, err := u.ReadCloser.Read(p)
 	if err == io.EOF {
@@ -242,7 +242,8 @@
 	return n, err
 }
 
-// framed guards against bodies that merely end with the connection.
+// requireFraming returns the body of an answer, which fails at its end if only the end of the
+// connection marks it.
 func requireFraming(resp *http.Response) io.ReadCloser {
 	if !isFramed(resp) {
 		return unframedBody{resp.Body}
@@ -250,17 +251,18 @@
 	return resp.Body
 }
 
-// isFramed reports whether an answer has a length, or chunks whose last is marked.
+// isFramed reports whether an answer has a length or a terminated chunked body.
 func isFramed(resp *http.Response) bool {
 	return resp.ProtoMajor != 1 || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// Gone reports whether nothing listens at a target's address any more, as after its process has ended.
+// Gone reports whether nothing listens at a target's address any more, as after the end of its
+// process.
 func (r *Relay) Gone(ctx context.Context, addr string) bool {
 	return gone(ctx, net.Dialer{Timeout: r.limits.Dial}, addr)
 }
 
-// Close drops an answer; what is unread closes the connection.
+// Close discards the answer. If bytes are unread, it closes the connection.
 func (r *Reply) Close() {
 	r.cancel()
 	_ = r.body.Close()
@@ -278,7 +280,7 @@
 		return nil, newFailure(op, Broken, retry.Answering, err)
 	}
 	if int64(len(data)) > r.limits.Answer {
-		return nil, newFailure(op, TooLarge, retry.Answering, errors.Errorf("over %d bytes", r.limits.Answer))
+		return nil, newFailure(op, TooLarge, retry.Answering, errors.Errorf("answer exceeds %d bytes", r.limits.Answer))
 	}
 	return data, nil
 }
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -21,11 +21,11 @@
 	"valescale/internal/rule/retry"
 )
 
-// hostile is a target that answers each request with raw bytes and then does as told.
+// fakeTarget is a target that answers each request with raw bytes.
 type fakeTarget struct {
 	addr   string
 	answer string
-	// keep leaves the connection open after the answer.
+	// keepOpen leaves the connection open after the answer.
 	keepOpen     bool
 	mu           sync.Mutex
 	requestCount int
@@ -111,7 +111,7 @@
 				t.Errorf("got step %d, want %d", relay.StepOf(err), c.step)
 			}
 			if h.requests() != 1 {
-				t.Errorf("the target got the request %d times", h.requests())
+				t.Errorf("the target received the request %d times, want once", h.requests())
 			}
 		})
 	}
@@ -126,9 +126,9 @@
 	return string(body), err
 }
 
-// A second answer on the same connection must never become that of the next
-// request. Whether the transport notices it in time is chance, so a connection is
-// used again only when answers say which attempt they belong to.
+// A surplus answer on a connection must never become the answer to the next request. Whether the
+// transport detects it in time is a matter of timing, so a connection is reused only if answers
+// identify their attempt.
 func TestSurplusResponseIsNotMismatched(t *testing.T) {
 	one := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\n"
 	for _, echoes := range []bool{true, false} {
@@ -140,7 +140,7 @@
 				call.Echoes = echoes
 				call.Attempt = ident.Attempt(fmt.Sprint("attempt-", i))
 				if body, err := attempt(r, call); err == nil && body != "ok" {
-					t.Fatalf("request %d got the late answer %q", i, body)
+					t.Fatalf("request %d received the surplus answer %q", i, body)
 				}
 			}
 		})
@@ -156,8 +156,8 @@
 	}
 }
 
-// The transport sends a request with an Idempotency-Key again by itself when a
-// kept-alive connection dies. That must not happen to any request of ours.
+// The standard transport resends a request with an Idempotency-Key by itself when a kept-alive
+// connection is closed. That must not happen to any request of a relay.
 func TestTransportDoesNotResend(t *testing.T) {
 	for _, once := range []bool{true, false} {
 		t.Run(fmt.Sprint("once ", once), func(t *testing.T) {
@@ -168,7 +168,7 @@
 			if _, err := attempt(r, call); err != nil {
 				t.Fatal(err)
 			}
-			// From now on the target reads a request and closes the connection.
+			// From here on the target reads a request and closes the connection.
 			h.mu.Lock()
 			h.answer = ""
 			h.mu.Unlock()
@@ -177,7 +177,7 @@
 				t.Errorf("got %v", err)
 			}
 			if got := h.requests(); got != 2 {
-				t.Errorf("the target got %d requests, want 2", got)
+				t.Errorf("the target received %d requests, want 2", got)
 			}
 		})
 	}
@@ -207,7 +207,7 @@
 	}{
 		{"whole", chunk("data: a\n\ndata: b\ndata: c\n\ndata: [DONE]\n\n") + "0\r\n\r\n", []string{"a", "b\nc"}, ""},
 		{"carriage returns and comments", chunk(": x\r\n\r\nid: 1\r\ndata:a\r\n\r\ndata: [DONE]\r\n\r\n") + "0\r\n\r\n", []string{"a"}, ""},
-		{"ends without its mark", chunk("data: a\n\n") + "0\r\n\r\n", []string{"a"}, relay.Broken},
+		{"no end mark", chunk("data: a\n\n") + "0\r\n\r\n", []string{"a"}, relay.Broken},
 		{"cut", chunk("data: a\n\ndata: b"), []string{"a"}, relay.Broken},
 		{"event too large", chunk("data: " + strings.Repeat("x", 300) + "\n\n"), nil, relay.TooLarge},
 	}
@@ -253,7 +253,7 @@
 		"cut":               func() error { _, err := relay.Keys{old}.Open("bogota", text[:8]); return err },
 	} {
 		if open() == nil {
-			t.Errorf("%s opens the token", name)
+			t.Errorf("token accepted: %s", name)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	})
 }
 
-// FuzzEvents checks that events survive being written out and read again.
+// FuzzEvents checks that events that are written and parsed again are the same.
 func FuzzEvents(f *testing.F) {
 	f.Add("data: a\n\ndata: [DONE]\n\n")
 	f.Add("id: 1\r\nevent: x\r\ndata: a\r\ndata: b\r\n\r\n")
--- a/internal/edge/relay/stream.go
+++ b/internal/edge/relay/stream.go
@@ -19,7 +19,7 @@
 	Data string
 }
 
-// EndMark is the data of the event that ends a chat completion's stream.
+// EndMark is the data of the last event of a chat completion's stream.
 const EndMark = "[DONE]"
 
 // ParseEvents yields the events of a text until its end or the first error.
@@ -42,7 +42,7 @@
 	ended   bool
 }
 
-// Events starts reading an answer as a stream.
+// Events returns the stream of an answer's events.
 func (r *Reply) Events() *Stream {
 	return &Stream{reply: r, scanner: newScanner(r.body, r.limits.Event)}
 }
@@ -55,10 +55,10 @@
 	return s
 }
 
-var errNoEndMark = errors.New("the stream ended without its end mark")
+var errNoEndMark = errors.New("stream ended without an end mark")
 
-// Next returns the next event. After the end mark it returns io.EOF; a stream that
-// just stops is an error.
+// Next returns the next event. After the end mark it returns io.EOF. A stream that ends without the
+// mark is an error.
 func (s *Stream) Next() (Event, error) {
 	const op = "relay.Next"
 	if s.ended {
@@ -80,11 +80,11 @@
 	return e, nil
 }
 
-// Close drops the rest of the stream.
+// Close discards the rest of the stream.
 func (s *Stream) Close() { s.reply.Close() }
 
-// readEvent reads one event by the rules of the EventSource standard; an event
-// that the end of the data cuts off is dropped.
+// readEvent reads one event according to the EventSource standard. An event that is cut off by the
+// end of the data is discarded.
 func readEvent(scanner *bufio.Scanner) (Event, error) {
 	var e Event
 	var data []string
@@ -121,5 +121,5 @@
 	return Event{}, io.EOF
 }
 
-// maxEvent bounds an event of many lines, in bytes.
+// maxEventBytes limits the size of an event of several lines.
 const maxEventBytes = 4 << 20
--- a/internal/edge/relay/suspend_test.go
+++ b/internal/edge/relay/suspend_test.go
@@ -9,8 +9,8 @@
 	"valescale/internal/fake/asleep"
 )
 
-// A connection that was idle while the box was suspended may have been closed by its target: it is as old
-// as the time of day says, not as the steady clock does.
+// A target may have closed a connection that was idle while the box was suspended. The idle time of
+// a connection follows the wall clock, since the monotonic clock stops during a suspension.
 func TestIdleTimeIncludesSuspension(t *testing.T) {
 	conns, closeConns := NewConns(DefaultConnLimits)
 	defer closeConns()
@@ -21,9 +21,9 @@
 		conns.keepIdle(newConn("a", near, 1), http.Header{}, now)
 	}
 	if found, _ := conns.popIdle("a", now, time.Second); found == nil {
-		t.Error("a connection that has just been used is not used again")
+		t.Error("a connection that was just used is not reused")
 	}
 	if found, expired := conns.popIdle("a", asleep.For(now, 10), time.Second); found != nil || len(expired) != 1 {
-		t.Errorf("a connection from before a suspension is used; %d expired", len(expired))
+		t.Errorf("a connection from before the suspension is reused; %d expired", len(expired))
 	}
 }
--- a/internal/edge/relay/token.go
+++ b/internal/edge/relay/token.go
@@ -10,21 +10,22 @@
 	"valescale/internal/plat/ident"
 )
 
-// Token names a place in a stream, so that any router can resume it.
+// Token is a position in a stream with which any router can resume it.
 type Token struct {
 	Target      ident.Target
 	Incarnation ident.Incarnation
 	Stream      string
-	// Offset is how many events of the stream the caller has.
+	// Offset is the number of events of the stream that the caller has received.
 	Offset uint64
 }
 
-// Keys seal tokens. Sealing uses the first key, opening tries all, so that keys can be changed.
+// Keys are the keys that authenticate tokens. Seal uses the first key and Open tries all of them,
+// so that keys can be rotated.
 type Keys [][]byte
 
 const macBytes = 16
 
-// Seal returns the token's text, which only its workspace can use.
+// Seal returns the text of a token, which is valid for its workspace only.
 func (k Keys) Seal(workspace ident.Workspace, t Token) string {
 	body := appendField(nil, string(t.Target))
 	body = appendField(body, t.Stream)
@@ -33,7 +34,7 @@
 	return base64.RawURLEncoding.EncodeToString(append(mac(k[0], workspace, body), body...))
 }
 
-// Open reads a token's text.
+// Open verifies and decodes the text of a token.
 func (k Keys) Open(workspace ident.Workspace, text string) (Token, error) {
 	const op = "relay.Open"
 	raw, err := base64.RawURLEncoding.DecodeString(text)
