--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -231,4 +231,4 @@
 
 // usable reports whether an idle connection is still open and has no unread bytes: bytes that
 // arrive without a request belong to none.
-func (c *conn) usable() bool { return c.reader.Buffered() == 0 && Peek(c.Conn) == Quiet }
+func (c *conn) usable() bool { return c.reader.Buffered() == 0 && Peek(c.Conn) == Empty }
--- a/internal/edge/relay/peek.go
+++ b/internal/edge/relay/peek.go
@@ -9,8 +9,8 @@
 type Pending int
 
 const (
-	// Quiet means that the connection is open and has no unread bytes.
-	Quiet Pending = iota
+	// Empty means that the connection is open and has no unread bytes.
+	Empty Pending = iota
 	// Readable means that there are unread bytes.
 	Readable
 	// Ended means that the peer has closed the connection, or that it has failed.
@@ -18,11 +18,11 @@
 )
 
 // Peek returns the state of a connection's input without reading it, also while another goroutine
-// reads. A connection that is not a socket is reported as Quiet.
+// reads. A connection that is not a socket is reported as Empty.
 func Peek(c net.Conn) Pending {
 	sys, ok := c.(syscall.Conn)
 	if !ok {
-		return Quiet
+		return Empty
 	}
 	raw, err := sys.SyscallConn()
 	if err != nil {
@@ -34,7 +34,7 @@
 		n, _, err := syscall.Recvfrom(int(fd), one[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
 		switch {
 		case err == syscall.EAGAIN:
-			pending = Quiet
+			pending = Empty
 		case err == nil && n > 0:
 			pending = Readable
 		}
--- a/internal/edge/route/evict_test.go
+++ b/internal/edge/route/evict_test.go
@@ -15,7 +15,7 @@
 // The state of a target is evicted when the target is removed.
 func TestStateOfRemovedTargetsIsEvicted(t *testing.T) {
 	r := New(Self{ID: "edge"}, nil, func() time.Time { return time.Unix(1000, 0) })
-	kept, removed := ident.Target("stays").Hash(), ident.Target("goes").Hash()
+	kept, removed := ident.Target("kept").Hash(), ident.Target("removed").Hash()
 	pool := func(hashes ...ident.TargetHash) []Pool {
 		p := Pool{Name: "p"}
 		p.Service.Shards = 1
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -28,7 +28,7 @@
 	requested []ident.Router
 	// dropResponses makes homes grant permits whose responses are lost.
 	dropResponses bool
-	// heldUp makes the router process responses too late to tell whether the home was in time.
+	// heldUp makes the router process responses too late to determine whether the home was in time.
 	heldUp bool
 	// dropWithdrawals loses withdrawals.
 	dropWithdrawals bool
@@ -103,8 +103,8 @@
 	if err != nil {
 		return 0, 0, err
 	}
-	granted, later, _ := h.Grant(w, want)
-	return granted, later, nil
+	granted, wait, _ := h.Grant(w, want)
+	return granted, wait, nil
 }
 
 const (
--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -15,7 +15,7 @@
 	PassedOver(home ident.Router, wait time.Duration)
 	// CutOff receives true when this router becomes isolated and places requests locally, and false
 	// when a home responds again.
-	CutOff(cut bool)
+	CutOff(isolated bool)
 }
 
 // Watch sets the watcher.
