--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -20,21 +20,21 @@
 	"valescale/internal/rule/retry"
 )
 
-// Limits bound an attempt.
+// Limits are the limits of an attempt.
 type Limits struct {
-	// Answer is the largest whole answer, in bytes.
+	// Answer is the maximum size of a whole answer, in bytes.
 	Answer int64
-	// Event is the largest event of a stream, in bytes.
+	// Event is the maximum size of an event of a stream, in bytes.
 	Event int
-	// Dial bounds the making of a connection.
+	// Dial is the timeout for making a connection.
 	Dial time.Duration
-	// Idle is how long a connection without requests is kept.
+	// Idle is how long an idle connection is kept.
 	Idle time.Duration
-	// PerTarget is how many idle connections one target gets at most.
+	// PerTarget is the maximum number of idle connections to one target.
 	PerTarget int
 }
 
-// DefaultLimits suit chat completions and small services.
+// DefaultLimits are for chat completions and small services.
 var DefaultLimits = Limits{
 	Answer: 8 << 20, Event: 1 << 20, Dial: 2 * time.Second, Idle: 30 * time.Second, PerTarget: 64,
 }
@@ -49,20 +49,20 @@
 	Body    []byte
 	Attempt ident.Attempt
 	Key     ident.ChatKey
-	// HTTP2 targets are spoken to in HTTP/2 over clear text.
+	// HTTP2 means that the target is called by HTTP/2 over clear text.
 	HTTP2 bool
-	// Echoes says that the target returns the attempt's id with each answer. Only then
-	// can a connection be used again: a late answer on it is told apart by its id.
+	// Echoes means that the target returns the attempt's id with each answer. Only then can a
+	// connection be reused, since a late answer on it is identified by its id.
 	Echoes bool
-	// Once attempts must not be sent twice, whatever happens to the connection.
+	// Once means that the request must not be sent twice, even if the connection fails.
 	Once bool
-	// Fence is the fencing token for targets that check one; zero is none.
+	// Fence is the fencing token for targets that check one; zero means none.
 	Fence ident.Epoch
-	// Timeout bounds the attempt as a whole.
+	// Timeout is the timeout of the whole attempt.
 	Timeout time.Duration
 }
 
-// Reply is the head of an answer; its body must be read whole or closed.
+// Reply is the head of an answer. Its body must be read to the end or closed.
 type Reply struct {
 	Status   int
 	Header   http.Header
@@ -75,32 +75,32 @@
 
 // Relay sends attempts.
 type Relay struct {
-	limits Limits
-	shared http.RoundTripper
-	single http.RoundTripper
-	// streams carries HTTP/2, whose requests share connections without following
-	// each other on them.
-	streams http.RoundTripper
+	limits    Limits
+	pooled    http.RoundTripper
+	singleUse http.RoundTripper
+	// http2 is the transport for HTTP/2, whose requests share connections without following one
+	// another on them.
+	http2 http.RoundTripper
 }
 
 // New returns a relay and the function that closes its idle connections.
 func New(limits Limits) (*Relay, func()) {
-	shared := transport(limits, false)
-	single := transport(limits, false)
-	streams := transport(limits, true)
-	// The transport sends a request again by itself when a kept-alive connection
-	// turns out dead, and may take bytes that a target sent too much for the answer
-	// to the next request. A fresh connection for each attempt does neither.
-	single.DisableKeepAlives = true
-	r := &Relay{limits: limits, shared: shared, single: single, streams: streams}
+	pooled := newTransport(limits, false)
+	singleUse := newTransport(limits, false)
+	http2 := newTransport(limits, true)
+	// The transport resends a request by itself if a kept-alive connection turns out to be closed,
+	// and may treat surplus bytes from a target as the answer to the next request. A new connection
+	// for each attempt prevents both.
+	singleUse.DisableKeepAlives = true
+	r := &Relay{limits: limits, pooled: pooled, singleUse: singleUse, http2: http2}
 	return r, func() {
-		streams.CloseIdleConnections()
-		shared.CloseIdleConnections()
-		single.CloseIdleConnections()
+		http2.CloseIdleConnections()
+		pooled.CloseIdleConnections()
+		singleUse.CloseIdleConnections()
 	}
 }
 
-func transport(limits Limits, http2 bool) *http.Transport {
+func newTransport(limits Limits, http2 bool) *http.Transport {
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(!http2)
 	protocols.SetUnencryptedHTTP2(http2)
@@ -113,17 +113,17 @@
 	}
 }
 
-// hopHeaders belong to one connection and are not passed on.
-var hopHeaders = []string{
+// hopByHopHeaders apply to one connection and are not forwarded.
+var hopByHopHeaders = []string{
 	"Connection", "Keep-Alive", "Proxy-Connection", "Proxy-Authenticate", "Proxy-Authorization",
 	"Te", "Trailer", "Transfer-Encoding", "Upgrade", "Content-Length", "Expect",
 }
 
-// callerHeaders are for the router and must not reach a target.
-var callerHeaders = []string{"Authorization", "Cookie", "Last-Event-Id", engine.AttemptHeader, engine.CacheHeader, engine.FenceHeader}
+// routerHeaders are for the router and must not be forwarded to a target.
+var routerHeaders = []string{"Authorization", "Cookie", "Last-Event-Id", engine.AttemptHeader, engine.CacheHeader, engine.FenceHeader}
 
-// EndToEnd copies headers without those that belong to one connection: the known ones
-// and those that the Connection header names.
+// EndToEnd returns a copy of headers without those that apply to one connection: the standard ones
+// and those listed in the Connection header.
 func EndToEnd(h http.Header) http.Header {
 	out := h.Clone()
 	for _, line := range h["Connection"] {
@@ -131,22 +131,22 @@
 			out.Del(strings.TrimSpace(name))
 		}
 	}
-	for _, name := range hopHeaders {
+	for _, name := range hopByHopHeaders {
 		delete(out, name)
 	}
 	return out
 }
 
-// CleanRequest removes what must not reach a target.
+// CleanRequest returns the request headers that may be forwarded to a target.
 func CleanRequest(h http.Header) http.Header {
 	out := EndToEnd(h)
-	for _, name := range callerHeaders {
+	for _, name := range routerHeaders {
 		out.Del(name)
 	}
 	return out
 }
 
-// CleanReply removes what must not reach a caller.
+// CleanReply returns the answer headers that may be forwarded to a caller.
 func CleanReply(h http.Header) http.Header {
 	out := EndToEnd(h)
 	for _, name := range []string{engine.AttemptHeader, engine.LeavingHeader, engine.StreamHeader} {
@@ -155,13 +155,13 @@
 	return out
 }
 
-// once hides a body's type, so that the transport cannot rewind and send it again.
-type once struct{ io.Reader }
+// singleUseBody hides the type of a body, so that the transport cannot rewind and resend it.
+type singleUseBody struct{ io.Reader }
 
 // Close does nothing.
-func (once) Close() error { return nil }
+func (singleUseBody) Close() error { return nil }
 
-// Send makes an attempt and returns once the answer's head is there.
+// Send makes an attempt and returns once the answer's head is read.
 func (r *Relay) Send(ctx context.Context, call Call) (*Reply, error) {
 	const op = "relay.Send"
 	ctx, cancel := context.WithTimeout(ctx, call.Timeout)
@@ -170,35 +170,35 @@
 	req, err := r.request(httptrace.WithClientTrace(ctx, trace), call)
 	if err != nil {
 		cancel()
-		return nil, failed(op, Connect, retry.Placing, err)
+		return nil, newFailure(op, Connect, retry.Placing, err)
 	}
-	carrier := r.shared
+	roundTripper := r.pooled
 	switch {
 	case call.HTTP2:
-		carrier = r.streams
+		roundTripper = r.http2
 	case call.Once || !call.Echoes:
-		carrier = r.single
+		roundTripper = r.singleUse
 	}
-	began := time.Now()
-	resp, err := carrier.RoundTrip(req)
+	start := time.Now()
+	resp, err := roundTripper.RoundTrip(req)
 	if err != nil {
 		cancel()
 		if !connected.Load() {
-			return nil, failed(op, dialKind(err, time.Since(began)-r.limits.Dial), retry.Dialing, err)
+			return nil, newFailure(op, dialErrorKind(err, time.Since(start)-r.limits.Dial), retry.Dialing, err)
 		}
-		return nil, failed(op, Broken, retry.Sending, err)
+		return nil, newFailure(op, Broken, retry.Sending, err)
 	}
 	if echo := resp.Header.Get(engine.AttemptHeader); echo != string(call.Attempt) && (echo != "" || call.Echoes) {
 		cancel()
 		_ = resp.Body.Close()
-		return nil, failed(op, Crossed, retry.Answering, errors.Errorf("attempt %s got the answer to %q", call.Attempt, echo))
+		return nil, newFailure(op, Crossed, retry.Answering, errors.Errorf("attempt %s received the answer to attempt %q", call.Attempt, echo))
 	}
 	return &Reply{
 		Status:   resp.StatusCode,
 		Header:   resp.Header,
 		Leaving:  resp.Header.Get(engine.LeavingHeader) == "true",
 		StreamID: resp.Header.Get(engine.StreamHeader),
-		body:     framed(resp),
+		body:     requireFraming(resp),
 		limits:   r.limits,
 		cancel:   cancel,
 	}, nil
@@ -208,7 +208,7 @@
 	target := url.URL{Scheme: "http", Host: call.Addr, Path: call.Path, RawQuery: call.Query}
 	var body io.Reader
 	if len(call.Body) > 0 || call.Method == http.MethodPost || call.Method == http.MethodPut || call.Method == http.MethodPatch {
-		body = once{bytes.NewReader(call.Body)}
+		body = singleUseBody{bytes.NewReader(call.Body)}
 	}
 	req, err := http.NewRequestWithContext(ctx, call.Method, target.String(), body)
 	if err != nil {
@@ -228,13 +228,13 @@
 	return req, nil
 }
 
-// unframed is a body whose end cannot be told from a cut connection.
-type unframed struct{ io.ReadCloser }
+// unframedBody is a body whose end cannot be distinguished from a broken connection.
+type unframedBody struct{ io.ReadCloser }
 
-var errUnframed = errors.New("the answer has neither a length nor chunks")
+var errUnframed = errors.New("answer has neither a content length nor chunked encoding")
 
-// Read turns the end of the connection into an error.
-func (u unframed) Read(p []byte) (int, error) {
+// Read returns an error at the end of the connection.
+func (u unframedBody) Read(p []byte) (int, error) {
 	n, err := u.ReadCloser.Read(p)
 	if err == io.EOF {
 		err = errUnframed
@@ -242,25 +242,27 @@
 	return n, err
 }
 
-// framed guards against bodies that merely end with the connection.
-func framed(resp *http.Response) io.ReadCloser {
+// requireFraming returns the body of an answer, which fails at its end if only the end of the
+// connection marks it.
+func requireFraming(resp *http.Response) io.ReadCloser {
 	if !isFramed(resp) {
-		return unframed{resp.Body}
+		return unframedBody{resp.Body}
 	}
 	return resp.Body
 }
 
-// isFramed reports whether an answer has a length, or chunks whose last is marked.
+// isFramed reports whether an answer has a length or a terminated chunked body.
 func isFramed(resp *http.Response) bool {
 	return resp.ProtoMajor != 1 || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// Gone reports whether nothing listens at a target's address any more, as after its process has ended.
+// Gone reports whether nothing listens at a target's address any more, as after the end of its
+// process.
 func (r *Relay) Gone(ctx context.Context, addr string) bool {
 	return gone(ctx, net.Dialer{Timeout: r.limits.Dial}, addr)
 }
 
-// Close drops an answer; what is unread closes the connection.
+// Close discards the answer. If bytes are unread, it closes the connection.
 func (r *Reply) Close() {
 	r.cancel()
 	_ = r.body.Close()
@@ -272,13 +274,13 @@
 	defer r.Close()
 	data, err := io.ReadAll(io.LimitReader(r.body, r.limits.Answer+1))
 	if errors.Is(err, errUnframed) {
-		return nil, failed(op, Framing, retry.Answering, err)
+		return nil, newFailure(op, Framing, retry.Answering, err)
 	}
 	if err != nil {
-		return nil, failed(op, Broken, retry.Answering, err)
+		return nil, newFailure(op, Broken, retry.Answering, err)
 	}
 	if int64(len(data)) > r.limits.Answer {
-		return nil, failed(op, TooLarge, retry.Answering, errors.Errorf("over %d bytes", r.limits.Answer))
+		return nil, newFailure(op, TooLarge, retry.Answering, errors.Errorf("answer exceeds %d bytes", r.limits.Answer))
 	}
 	return data, nil
 }
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -21,24 +21,24 @@
 	"valescale/internal/rule/retry"
 )
 
-// hostile is a target that answers each request with raw bytes and then does as told.
-type hostile struct {
+// fakeTarget is a target that answers each request with raw bytes.
+type fakeTarget struct {
 	addr   string
 	answer string
-	// keep leaves the connection open after the answer.
-	keep bool
-	mu   sync.Mutex
-	seen int
+	// keepOpen leaves the connection open after the answer.
+	keepOpen     bool
+	mu           sync.Mutex
+	requestCount int
 }
 
-func newHostile(t *testing.T, answer string, keep bool) *hostile {
+func newFakeTarget(t *testing.T, answer string, keepOpen bool) *fakeTarget {
 	t.Helper()
-	h := &hostile{answer: answer, keep: keep}
+	h := &fakeTarget{answer: answer, keepOpen: keepOpen}
 	h.addr = listen.Conns(t, h.serve)
 	return h
 }
 
-func (h *hostile) serve(c net.Conn) {
+func (h *fakeTarget) serve(c net.Conn) {
 	defer c.Close()
 	reader := bufio.NewReader(c)
 	for {
@@ -48,25 +48,25 @@
 		}
 		_, _ = io.Copy(io.Discard, req.Body)
 		h.mu.Lock()
-		h.seen++
+		h.requestCount++
 		h.mu.Unlock()
 		if h.answer == "" {
 			return
 		}
 		_, _ = io.WriteString(c, strings.ReplaceAll(h.answer, "$ATTEMPT", req.Header.Get("X-Attempt-Id")))
-		if !h.keep {
+		if !h.keepOpen {
 			return
 		}
 	}
 }
 
-func (h *hostile) requests() int {
+func (h *fakeTarget) requests() int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.seen
+	return h.requestCount
 }
 
-func (h *hostile) call(once bool) relay.Call {
+func (h *fakeTarget) call(once bool) relay.Call {
 	return relay.Call{
 		Addr: h.addr, Method: http.MethodPost, Path: "/orders", Attempt: "attempt-1",
 		Header: http.Header{"Idempotency-Key": {"k"}}, Timeout: 5 * time.Second, Once: once,
@@ -82,7 +82,7 @@
 	return r
 }
 
-func TestHostileAnswers(t *testing.T) {
+func TestMalformedResponses(t *testing.T) {
 	cases := []struct {
 		name   string
 		answer string
@@ -102,7 +102,7 @@
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHostile(t, c.answer, false)
+			h := newFakeTarget(t, c.answer, false)
 			body, err := attempt(newRelay(t), h.call(true))
 			if kind := fault.KindOf[relay.Kind](err); kind != c.kind {
 				t.Fatalf("got %q and %v, want kind %q", body, err, c.kind)
@@ -111,7 +111,7 @@
 				t.Errorf("got step %d, want %d", relay.StepOf(err), c.step)
 			}
 			if h.requests() != 1 {
-				t.Errorf("the target got the request %d times", h.requests())
+				t.Errorf("the target received the request %d times, want once", h.requests())
 			}
 		})
 	}
@@ -126,21 +126,21 @@
 	return string(body), err
 }
 
-// A second answer on the same connection must never become that of the next
-// request. Whether the transport notices it in time is chance, so a connection is
-// used again only when answers say which attempt they belong to.
-func TestExtraBytesDoNotCross(t *testing.T) {
+// A surplus answer on a connection must never become the answer to the next request. Whether the
+// transport detects it in time is a matter of timing, so a connection is reused only if answers
+// identify their attempt.
+func TestSurplusResponseIsNotMismatched(t *testing.T) {
 	one := "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\n"
 	for _, echoes := range []bool{true, false} {
 		t.Run(fmt.Sprint("echoes ", echoes), func(t *testing.T) {
-			h := newHostile(t, one+"ok"+one+"no", true)
+			h := newFakeTarget(t, one+"ok"+one+"no", true)
 			r := newRelay(t)
 			for i := range 50 {
 				call := h.call(false)
 				call.Echoes = echoes
 				call.Attempt = ident.Attempt(fmt.Sprint("attempt-", i))
 				if body, err := attempt(r, call); err == nil && body != "ok" {
-					t.Fatalf("request %d got the late answer %q", i, body)
+					t.Fatalf("request %d received the surplus answer %q", i, body)
 				}
 			}
 		})
@@ -148,7 +148,7 @@
 }
 
 func TestMissingEcho(t *testing.T) {
-	h := newHostile(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
+	h := newFakeTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
 	call := h.call(false)
 	call.Echoes = true
 	if _, err := attempt(newRelay(t), call); fault.KindOf[relay.Kind](err) != relay.Crossed {
@@ -156,19 +156,19 @@
 	}
 }
 
-// The transport sends a request with an Idempotency-Key again by itself when a
-// kept-alive connection dies. That must not happen to any request of ours.
-func TestTransportDoesNotSendAgain(t *testing.T) {
+// The standard transport resends a request with an Idempotency-Key by itself when a kept-alive
+// connection is closed. That must not happen to any request of a relay.
+func TestTransportDoesNotResend(t *testing.T) {
 	for _, once := range []bool{true, false} {
 		t.Run(fmt.Sprint("once ", once), func(t *testing.T) {
-			h := newHostile(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\nok", true)
+			h := newFakeTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\nok", true)
 			r := newRelay(t)
 			call := h.call(once)
 			call.Echoes = true
 			if _, err := attempt(r, call); err != nil {
 				t.Fatal(err)
 			}
-			// From now on the target reads a request and closes the connection.
+			// From here on the target reads a request and closes the connection.
 			h.mu.Lock()
 			h.answer = ""
 			h.mu.Unlock()
@@ -177,13 +177,13 @@
 				t.Errorf("got %v", err)
 			}
 			if got := h.requests(); got != 2 {
-				t.Errorf("the target got %d requests, want 2", got)
+				t.Errorf("the target received %d requests, want 2", got)
 			}
 		})
 	}
 }
 
-func TestNothingListens(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -207,13 +207,13 @@
 	}{
 		{"whole", chunk("data: a\n\ndata: b\ndata: c\n\ndata: [DONE]\n\n") + "0\r\n\r\n", []string{"a", "b\nc"}, ""},
 		{"carriage returns and comments", chunk(": x\r\n\r\nid: 1\r\ndata:a\r\n\r\ndata: [DONE]\r\n\r\n") + "0\r\n\r\n", []string{"a"}, ""},
-		{"ends without its mark", chunk("data: a\n\n") + "0\r\n\r\n", []string{"a"}, relay.Broken},
+		{"no end mark", chunk("data: a\n\n") + "0\r\n\r\n", []string{"a"}, relay.Broken},
 		{"cut", chunk("data: a\n\ndata: b"), []string{"a"}, relay.Broken},
 		{"event too large", chunk("data: " + strings.Repeat("x", 300) + "\n\n"), nil, relay.TooLarge},
 	}
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			h := newHostile(t, head+c.body, false)
+			h := newFakeTarget(t, head+c.body, false)
 			reply, err := newRelay(t).Send(context.Background(), h.call(false))
 			if err != nil {
 				t.Fatal(err)
@@ -253,7 +253,7 @@
 		"cut":               func() error { _, err := relay.Keys{old}.Open("bogota", text[:8]); return err },
 	} {
 		if open() == nil {
-			t.Errorf("%s opens the token", name)
+			t.Errorf("token accepted: %s", name)
 		}
 	}
 }
@@ -268,7 +268,7 @@
 	})
 }
 
-// FuzzEvents checks that events survive being written out and read again.
+// FuzzEvents checks that events that are written and parsed again are the same.
 func FuzzEvents(f *testing.F) {
 	f.Add("data: a\n\ndata: [DONE]\n\n")
 	f.Add("id: 1\r\nevent: x\r\ndata: a\r\ndata: b\r\n\r\n")
--- a/internal/edge/route/limit.go
+++ b/internal/edge/route/limit.go
@@ -11,8 +11,8 @@
 	"valescale/internal/rule/quota"
 )
 
-// Admit keeps a workspace within its rate. It uses tokens that the workspace's
-// home granted to this router, and asks for more when they are used up.
+// Admit enforces the rate limit of a workspace. It uses tokens that the workspace's home has
+// granted to this router, and requests more when they are used up.
 func (r *Router) Admit(ctx context.Context, w policy.Workspace) error {
 	const op = "route.Admit"
 	if w.Rate <= 0 {
@@ -20,28 +20,28 @@
 	}
 	r.mu.Lock()
 	now := r.clock()
-	a := r.allowed[w.Name]
+	a := r.allowances[w.Name]
 	if a == nil {
 		a = &quota.Allowance{}
-		r.allowed[w.Name] = a
+		r.allowances[w.Name] = a
 	}
 	if a.Take(now) {
 		r.mu.Unlock()
 		return nil
 	}
-	if later, denied := a.Denied(now); denied {
+	if wait, denied := a.Denied(now); denied {
 		r.mu.Unlock()
-		return fault.New(op, Limited, RetryAfter{Wait: later})
+		return fault.New(op, Limited, RetryAfter{Wait: wait})
 	}
 	want := a.Ask(now)
 	routers := r.assigned.Routers()
 	to := WorkspaceHome(w.Name, routers)
 	r.mu.Unlock()
 	granted, retryAfter, err := r.homes.Grant(ctx, to, w.Name, want)
-	return r.granting(a, w, granted, retryAfter, err, len(routers))
+	return r.applyGrant(a, w, granted, retryAfter, err, len(routers))
 }
 
-func (r *Router) granting(a *quota.Allowance, w policy.Workspace, granted int, retryAfter time.Duration, err error, routers int) error {
+func (r *Router) applyGrant(a *quota.Allowance, w policy.Workspace, granted int, retryAfter time.Duration, err error, routers int) error {
 	const op = "route.Admit"
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -61,7 +61,7 @@
 	return nil
 }
 
-// WorkspaceHome returns the router that keeps a workspace's rate.
+// WorkspaceHome returns the router that keeps the token bucket of a workspace.
 func WorkspaceHome(w ident.Workspace, routers []ident.Router) ident.Router {
 	return place.OwnerOf("workspace/"+string(w), routers)
 }
--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -10,23 +10,24 @@
 	"valescale/internal/rule/retry"
 )
 
-// Placement is one request's place at a target.
+// Placement is the place of one request on a target.
 type Placement struct {
 	Target Target
 	Hash   ident.TargetHash
-	// Warm means that the chat ran there before.
+	// Warm means that the chat ran on the target before.
 	Warm bool
-	// Holder is another target that has the chat's prefix cached, or nil.
+	// Holder is another target that is a cache holder of the chat's prefix, or nil.
 	Holder *Target
-	// Home is the router that gave the place, empty if this one decided alone.
+	// Home is the router that granted the permit, or empty if this router placed the request
+	// locally.
 	Home ident.Router
-	// Basis is what the place was decided from.
+	// Basis is the state on which the placement was decided.
 	Basis   place.Basis
 	release func()
 	once    sync.Once
 }
 
-// Release gives the place back; calling it again does nothing.
+// Release returns the permit. Further calls do nothing.
 func (s *Placement) Release() {
 	s.once.Do(func() {
 		if s.release != nil {
@@ -35,10 +36,10 @@
 	})
 }
 
-// sit records a permit as held; the caller holds the lock. An empty shard means
-// that no home counts it.
-func (r *Router) hold(p *pool, id place.ShardID, permit place.Permit, target Target) *Placement {
-	p.picture.Begin(permit.Engine, permit.Work)
+// holdPermit records a permit as held. An empty shard means that no home counts it. The caller
+// holds the lock.
+func (r *Router) holdPermit(p *pool, id place.ShardID, permit place.Permit, target Target) *Placement {
+	p.state.Begin(permit.Engine, permit.Work)
 	r.stats.Placed++
 	counted := id != (place.ShardID{})
 	if counted {
@@ -47,25 +48,25 @@
 		}
 		r.held[id][permit.ID] = permit
 	}
-	trial := r.beginTrial(permit.Engine)
+	probe := r.beginProbe(permit.Engine)
 	return &Placement{Target: target, Hash: permit.Engine, release: func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		p.picture.End(permit.Engine, permit.Work)
-		if trial != nil {
-			trial.Cancelled()
+		p.state.End(permit.Engine, permit.Work)
+		if probe != nil {
+			probe.Cancelled()
 		}
 		if counted {
 			delete(r.held[id], permit.ID)
-			r.giveBack(id, permit.ID)
+			r.queueRelease(id, permit.ID)
 		}
 	}}
 }
 
-// beginTrial returns the breaker for which a request at a target is the trial, or nil. The trial ends with the
-// request's place at the latest: a target that turned its trial away, or whose caller left, would get no
-// other; the caller holds the lock.
-func (r *Router) beginTrial(target ident.TargetHash) *retry.Breaker {
+// beginProbe returns the circuit breaker for which a request on a target is the half-open probe, or
+// nil. The probe ends at the latest when the placement is released: without that, a target that
+// rejected the probe, or whose caller disconnected, would get no other. The caller holds the lock.
+func (r *Router) beginProbe(target ident.TargetHash) *retry.Breaker {
 	b, known := r.breakers[target]
 	if !known || !b.Allow(r.clock()) || b.State() != retry.HalfOpen {
 		return nil
@@ -73,88 +74,90 @@
 	return b
 }
 
-// flushAfter is how long permits given back wait for another message to travel with.
-const flushAfter = 10 * time.Millisecond
+// releaseFlushDelay is how long released permits wait for another message that can carry them.
+const releaseFlushDelay = 10 * time.Millisecond
 
-// giveBack notes permits to be returned; the caller holds the lock.
-func (r *Router) giveBack(id place.ShardID, permits ...uint64) {
-	r.pending[id] = append(r.pending[id], permits...)
-	if r.flushing {
+// queueRelease queues permits to be returned to their home. The caller holds the lock.
+func (r *Router) queueRelease(id place.ShardID, permits ...uint64) {
+	r.pendingReleases[id] = append(r.pendingReleases[id], permits...)
+	if r.flushScheduled {
 		return
 	}
-	r.flushing = true
-	r.self.AfterFunc(flushAfter, r.flush)
+	r.flushScheduled = true
+	r.self.AfterFunc(releaseFlushDelay, r.flushReleases)
 }
 
-// flush returns all permits that are still waiting for it.
-func (r *Router) flush() {
+// flushReleases sends all queued releases.
+func (r *Router) flushReleases() {
 	r.mu.Lock()
-	r.flushing = false
-	pending := r.pending
-	r.pending = map[place.ShardID][]uint64{}
-	homes := make(map[place.ShardID]ident.Router, len(pending))
-	for id := range pending {
+	r.flushScheduled = false
+	pendingReleases := r.pendingReleases
+	r.pendingReleases = map[place.ShardID][]uint64{}
+	homes := make(map[place.ShardID]ident.Router, len(pendingReleases))
+	for id := range pendingReleases {
 		homes[id] = r.homeOf(id)
 	}
 	r.mu.Unlock()
-	for id, permits := range pending {
-		// A lost return shows as drift at the next request and is mended by a sync.
+	for id, permits := range pendingReleases {
+		// A lost release shows as drift in the next permit response, and a sync corrects it.
 		_ = r.homes.Release(context.Background(), homes[id], id, permits)
 	}
 }
 
-// driftLimit is how many answers in a row may miscount this router's permits
-// before it sends the home its list; calls that cross explain a few.
+// driftLimit is the number of consecutive responses with a wrong count of this router's permits
+// after which the router sends the home its list. Messages that cross in transit explain a few
+// wrong counts.
 const driftLimit = 3
 
-// watchDrift compares the home's count of this router's permits with the true
-// one; the caller holds the lock.
-func (r *Router) watchDrift(id place.ShardID, believed int) {
-	r.believed[id] = believed
-	if believed == len(r.held[id])+len(r.pending[id]) {
-		r.drift[id] = 0
+// checkDrift compares the home's count of this router's permits with the actual one. The caller
+// holds the lock.
+func (r *Router) checkDrift(id place.ShardID, homeCount int) {
+	r.homeCount[id] = homeCount
+	if homeCount == len(r.held[id])+len(r.pendingReleases[id]) {
+		r.driftCount[id] = 0
 		return
 	}
-	r.drift[id]++
-	if r.drift[id] < driftLimit {
+	r.driftCount[id]++
+	if r.driftCount[id] < driftLimit {
 		return
 	}
-	r.drift[id] = 0
-	r.self.AfterFunc(0, func() { r.sync(context.Background(), id, "") })
+	r.driftCount[id] = 0
+	r.self.AfterFunc(0, func() { r.syncPermits(context.Background(), id, "") })
 }
 
-// speakEvery is how often a home hears of a router that holds permits there, well
-// within the lease for which it counts them.
-const speakEvery = 500 * time.Millisecond
+// contactInterval is the maximum interval between messages to a home that counts permits of this
+// router, well within the lease of these permits.
+const contactInterval = 500 * time.Millisecond
 
-// Reconcile tells the homes whose last count of this router's permits was wrong, or that
-// have not heard of it for a while, all that it holds. A home that is full of permits
-// nobody holds gives no answers that would show it soon.
+// Reconcile sends all held permits to the homes whose last count of them was wrong or that have not
+// received a message for contactInterval. A home whose shard is full of permits that no router
+// holds sends no responses that would soon show the drift.
 func (r *Router) Reconcile(ctx context.Context) {
 	r.mu.Lock()
 	now := r.clock()
-	var wrong []place.ShardID
+	var outdated []place.ShardID
 	for id, permits := range r.held {
-		believed, told := r.believed[id]
-		drifted := told && believed != len(permits)+len(r.pending[id])
-		silent := len(permits) > 0 && now.Sub(r.spoken[id]) >= speakEvery
-		if drifted || silent {
-			wrong = append(wrong, id)
-			r.spoken[id] = now
+		homeCount, known := r.homeCount[id]
+		drifted := known && homeCount != len(permits)+len(r.pendingReleases[id])
+		overdue := len(permits) > 0 && now.Sub(r.lastContact[id]) >= contactInterval
+		if drifted || overdue {
+			outdated = append(outdated, id)
+			r.lastContact[id] = now
 		}
 	}
-	clear(r.believed)
+	clear(r.homeCount)
 	moved := r.movedShards()
 	r.mu.Unlock()
 	r.Move(ctx, moved)
-	for _, id := range wrong {
-		r.sync(ctx, id, "")
+	for _, id := range outdated {
+		r.syncPermits(ctx, id, "")
 	}
-	r.payOwed(ctx)
+	r.retryWithdrawals(ctx)
 }
 
-// sync tells a shard's home all permits held here, and which home counted them before.
-func (r *Router) sync(ctx context.Context, id place.ShardID, from ident.Router) {
+// syncPermits sends all permits held for a shard to its home, with the home that counted them
+// before.
+func (r *Router) syncPermits(ctx context.Context, id place.ShardID, from ident.Router) {
 	r.mu.Lock()
 	to := r.homeOf(id)
 	held := make([]place.Permit, 0, len(r.held[id]))
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -16,16 +16,16 @@
 	"valescale/internal/share/home"
 )
 
-// Homes asks the homes of shards and workspaces, here or at other routers.
+// Homes calls the homes of shards and workspaces, on this router or its peers.
 type Homes interface {
-	Place(ctx context.Context, home ident.Router, ask home.Ask, released []uint64) (home.Answer, error)
+	Place(ctx context.Context, home ident.Router, request home.Ask, released []uint64) (home.Answer, error)
 	Release(ctx context.Context, home ident.Router, id place.ShardID, released []uint64) error
 	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error
 	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, upto uint64) error
 	Grant(ctx context.Context, home ident.Router, workspace ident.Workspace, want int) (int, time.Duration, error)
 }
 
-// Target is what an attempt needs to know of the engine or replica it goes to.
+// Target is what an attempt needs of the engine or replica that it is sent to.
 type Target struct {
 	ID          ident.Target
 	Addr        string
@@ -33,25 +33,25 @@
 	Incarnation ident.Incarnation
 }
 
-// Pool describes one pool as the view and the configuration give it.
+// Pool is a pool as given by the membership view and the configuration.
 type Pool struct {
 	Name    ident.Pool
 	Region  ident.Region
 	Service policy.Service
-	// Bound is the load bound, also for a router that decides alone.
+	// Bound is the load bound, which also applies to local placements.
 	Bound place.Bound
-	// Roster are the pool's targets.
+	// Roster contains the targets of the pool.
 	Roster *place.Roster
 }
 
-// Self is what a router says of itself when it asks.
+// Self describes this router in permit requests.
 type Self struct {
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
 	// FirstPermit is above all permit ids of earlier processes of this router.
 	FirstPermit uint64
-	// AfterFunc runs a function after a while; nil means time.AfterFunc.
+	// AfterFunc calls a function after a delay; nil means time.AfterFunc.
 	AfterFunc func(time.Duration, func())
 }
 
@@ -63,19 +63,20 @@
 	Priority  int
 	Key       ident.ChatKey
 	Work      ident.Work
-	// Deadline is until when the request may wait.
+	// Deadline is the time until which the request may wait.
 	Deadline time.Time
-	// Avoid are targets that have just failed this request.
+	// Avoid contains the targets that have just failed this request.
 	Avoid []ident.TargetHash
 	// Once means that no other request has this key.
 	Once bool
-	// lost are targets that this router cannot reach.
-	lost []ident.TargetHash
-	// withheld are targets that were offered although this router knows that they take no new work.
-	withheld []ident.TargetHash
+	// unreachable contains the targets that this router cannot reach.
+	unreachable []ident.TargetHash
+	// excluded contains the targets that were offered although they accept no new work according to
+	// this router's state.
+	excluded []ident.TargetHash
 }
 
-// Router finds targets.
+// Router finds targets for requests.
 type Router struct {
 	self     Self
 	homes    Homes
@@ -83,60 +84,66 @@
 	mu       sync.Mutex
 	pools    map[ident.Service][]*pool
 	assigned *place.Assignment
-	// silent are homes that did not answer lately, until when they are passed over.
-	silent  map[ident.Router]time.Time
-	permit  uint64
-	held    map[place.ShardID]map[uint64]place.Permit
-	granted map[place.ShardID]ident.Router
-	pending map[place.ShardID][]uint64
-	drift   map[place.ShardID]int
-	// believed are the homes' latest counts of this router's permits.
-	believed map[place.ShardID]int
-	// failures counts the calls to homes in a row that failed, tryAt is when one is
-	// tried again after too many.
-	failures int
-	tryAt    time.Time
-	// heard is when bytes came last from each target.
-	heard map[ident.TargetHash]time.Time
-	// owed are withdrawals that were not confirmed, with the latest permit they are about.
-	owed map[debt]uint64
-	// spoken is when each shard's home was last told of this router's permits.
-	spoken   map[place.ShardID]time.Time
-	flushing bool
-	breakers map[ident.TargetHash]*retry.Breaker
-	// backoffs are the targets that want no requests from this router for a while.
+	// skipped contains the homes that did not respond recently, with the time until which they are
+	// skipped.
+	skipped         map[ident.Router]time.Time
+	permit          uint64
+	held            map[place.ShardID]map[uint64]place.Permit
+	countingHome    map[place.ShardID]ident.Router
+	pendingReleases map[place.ShardID][]uint64
+	driftCount      map[place.ShardID]int
+	// homeCount contains the homes' latest counts of this router's permits.
+	homeCount map[place.ShardID]int
+	// homeFailures is the number of consecutive failed calls to homes. isolatedUntil is when an
+	// isolated router calls a home again.
+	homeFailures  int
+	isolatedUntil time.Time
+	// lastReceived is when the last bytes arrived from each target.
+	lastReceived map[ident.TargetHash]time.Time
+	// pendingWithdrawals contains the unconfirmed withdrawals with the latest permit id that they
+	// cover.
+	pendingWithdrawals map[withdrawal]uint64
+	// lastContact is when the home of each shard last received a message about this router's
+	// permits.
+	lastContact    map[place.ShardID]time.Time
+	flushScheduled bool
+	breakers       map[ident.TargetHash]*retry.Breaker
+	// backoffs contains the targets that accept no requests from this router for some time.
 	backoffs map[ident.TargetHash]backoff
-	// leaving are the starts of targets that leave, as they told this router, until the pools say it.
+	// leaving contains the incarnations of targets that are leaving according to their answers,
+	// until the pools show it.
 	leaving map[ident.TargetHash]ident.Incarnation
-	// untold are the backoffs that their shards' homes have not been told of.
-	untold map[place.ShardID]map[ident.TargetHash]backoff
-	// failed are the targets that failed requests since their shards' homes were asked last.
-	failed  map[place.ShardID][]ident.TargetHash
-	allowed map[ident.Workspace]*quota.Allowance
-	stats   Stats
+	// unsentBackoffs contains the backoffs that were not yet reported to the homes of their shards.
+	unsentBackoffs map[place.ShardID]map[ident.TargetHash]backoff
+	// unsentFailures contains the targets that failed requests since the last permit request to the
+	// home of their shard.
+	unsentFailures map[place.ShardID][]ident.TargetHash
+	allowances     map[ident.Workspace]*quota.Allowance
+	stats          Stats
 	// watcher may be nil.
 	watcher Watcher
 }
 
-// pool is a pool as this router knows it.
+// pool is a pool with this router's own state of it.
 type pool struct {
 	Pool
-	// picture has the roster and what this router knows of its targets' work.
-	picture *place.Pool
-	// saturated is until when asking around is thought useless.
-	saturated time.Time
-	// throttles are kept by kind of request.
-	throttles map[demand]*throttle
+	// state contains the roster and the work of its targets as counted by this router.
+	state *place.Pool
+	// saturatedUntil is the time until which a search of all shards is not expected to find a free
+	// engine.
+	saturatedUntil time.Time
+	// throttles contains the throttle of each class of requests.
+	throttles map[requestClass]*throttle
 }
 
-// Stats counts how targets were found.
+// Stats counts the ways in which targets were found.
 type Stats struct {
 	Placed   uint64
 	Warm     uint64
 	Asked    uint64
 	Fallback uint64
 	Must     uint64
-	// Throttled counts the requests that were refused without asking a home.
+	// Throttled counts the requests rejected without a permit request.
 	Throttled uint64
 }
 
@@ -146,46 +153,46 @@
 		self.AfterFunc = func(d time.Duration, f func()) { time.AfterFunc(d, f) }
 	}
 	return &Router{
-		self:     self,
-		homes:    homes,
-		clock:    clock,
-		pools:    map[ident.Service][]*pool{},
-		permit:   self.FirstPermit,
-		assigned: place.Assign(nil, nil),
-		held:     map[place.ShardID]map[uint64]place.Permit{},
-		granted:  map[place.ShardID]ident.Router{},
-		pending:  map[place.ShardID][]uint64{},
-		drift:    map[place.ShardID]int{},
-		believed: map[place.ShardID]int{},
-		spoken:   map[place.ShardID]time.Time{},
-		owed:     map[debt]uint64{},
-		heard:    map[ident.TargetHash]time.Time{},
-		breakers: map[ident.TargetHash]*retry.Breaker{},
-		backoffs: map[ident.TargetHash]backoff{},
-		leaving:  map[ident.TargetHash]ident.Incarnation{},
-		untold:   map[place.ShardID]map[ident.TargetHash]backoff{},
-		failed:   map[place.ShardID][]ident.TargetHash{},
-		silent:   map[ident.Router]time.Time{},
-		allowed:  map[ident.Workspace]*quota.Allowance{},
+		self:               self,
+		homes:              homes,
+		clock:              clock,
+		pools:              map[ident.Service][]*pool{},
+		permit:             self.FirstPermit,
+		assigned:           place.Assign(nil, nil),
+		held:               map[place.ShardID]map[uint64]place.Permit{},
+		countingHome:       map[place.ShardID]ident.Router{},
+		pendingReleases:    map[place.ShardID][]uint64{},
+		driftCount:         map[place.ShardID]int{},
+		homeCount:          map[place.ShardID]int{},
+		lastContact:        map[place.ShardID]time.Time{},
+		pendingWithdrawals: map[withdrawal]uint64{},
+		lastReceived:       map[ident.TargetHash]time.Time{},
+		breakers:           map[ident.TargetHash]*retry.Breaker{},
+		backoffs:           map[ident.TargetHash]backoff{},
+		leaving:            map[ident.TargetHash]ident.Incarnation{},
+		unsentBackoffs:     map[place.ShardID]map[ident.TargetHash]backoff{},
+		unsentFailures:     map[place.ShardID][]ident.TargetHash{},
+		skipped:            map[ident.Router]time.Time{},
+		allowances:         map[ident.Workspace]*quota.Allowance{},
 	}
 }
 
-// Stats returns the counts so far.
+// Stats returns the counts since the start.
 func (r *Router) Stats() Stats {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.stats
 }
 
-// Set replaces pools and the assignment of homes, and returns the shards whose home
-// has changed, to be moved. A service's own region comes first among its pools.
+// Set replaces the pools and the assignment of homes, and returns the shards whose home has
+// changed, for Move. The pool of the own region comes first among the pools of a service.
 func (r *Router) Set(pools []Pool, assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	old := r.pools
-	r.forgetRestarted(pools)
+	r.removeRestarted(pools)
 	r.pools = map[ident.Service][]*pool{}
 	for _, p := range pools {
-		next := r.renew(old[p.Service.Name], p)
+		next := r.updatePool(old[p.Service.Name], p)
 		list := r.pools[p.Service.Name]
 		if p.Region == r.self.Region {
 			list = append([]*pool{next}, list...)
@@ -195,13 +202,13 @@
 		r.pools[p.Service.Name] = list
 	}
 	r.assigned = assigned
-	r.forgetGone(pools)
+	r.removeGone(pools)
 	moved := r.movedShards()
 	r.mu.Unlock()
 	return moved
 }
 
-// Reassign replaces the assignment of homes alone, and returns the shards whose home has changed.
+// Reassign replaces only the assignment of homes, and returns the shards whose home has changed.
 func (r *Router) Reassign(assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -209,39 +216,39 @@
 	return r.movedShards()
 }
 
-// Target returns one of a pool's targets.
+// Target returns a target of the pool.
 func (p Pool) Target(hash ident.TargetHash) (Target, bool) {
 	e, known := p.Roster.Engine(hash)
 	return TargetOf(e), known
 }
 
-// TargetOf is what an attempt needs to know of an engine.
+// TargetOf returns the target of an engine.
 func TargetOf(e place.Engine) Target {
 	return Target{ID: e.ID, Addr: e.Addr, Zone: e.Zone, Incarnation: e.Incarnation}
 }
 
-// has reports whether a pool has a target.
+// has reports whether the pool contains a target.
 func (p Pool) has(hash ident.TargetHash) bool {
 	_, known := p.Roster.Engine(hash)
 	return known
 }
 
-// forgetRestarted drops what was seen of targets that have started anew since: it was of the earlier
-// start. What this router has in flight there counts on until it ends, since some of it may have
-// reached the new start already; the caller holds the lock.
-func (r *Router) forgetRestarted(pools []Pool) {
+// removeRestarted removes the state of targets that have restarted, which belongs to their earlier
+// incarnation. Requests of this router in flight there are counted until they end, since some of
+// them may have reached the new incarnation already. The caller holds the lock.
+func (r *Router) removeRestarted(pools []Pool) {
 	restarted := func(hash ident.TargetHash) bool {
 		return slices.ContainsFunc(pools, func(p Pool) bool { return r.restarted(p, hash) })
 	}
 	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return restarted(hash) })
-	maps.DeleteFunc(r.heard, func(hash ident.TargetHash, _ time.Time) bool { return restarted(hash) })
-	for id, failed := range r.failed {
-		r.failed[id] = slices.DeleteFunc(failed, restarted)
+	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return restarted(hash) })
+	for id, unsentFailures := range r.unsentFailures {
+		r.unsentFailures[id] = slices.DeleteFunc(unsentFailures, restarted)
 	}
 }
 
-// restarted reports whether a target is of another start in a pool than in the one that it replaces; the caller
-// holds the lock.
+// restarted reports whether a target has another incarnation in a pool than in the pool that it
+// replaces. The caller holds the lock.
 func (r *Router) restarted(next Pool, hash ident.TargetHash) bool {
 	now, known := next.Roster.Engine(hash)
 	if !known {
@@ -253,82 +260,83 @@
 	})
 }
 
-// forgetGone drops what is known of targets that no pool has any more; the caller holds
-// the lock.
-func (r *Router) forgetGone(pools []Pool) {
+// removeGone removes the state of targets that are in no pool any more. The caller holds the lock.
+func (r *Router) removeGone(pools []Pool) {
 	gone := func(hash ident.TargetHash) bool {
 		return !slices.ContainsFunc(pools, func(p Pool) bool { return p.has(hash) })
 	}
 	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return gone(hash) })
-	maps.DeleteFunc(r.heard, func(hash ident.TargetHash, _ time.Time) bool { return gone(hash) })
-	r.forgetBackoffs()
-	r.forgetLeaving()
-	for id, failed := range r.failed {
-		if slices.ContainsFunc(failed, gone) {
-			// Its shard may be another by now, too.
-			delete(r.failed, id)
+	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return gone(hash) })
+	r.removeExpiredBackoffs()
+	r.removeStaleLeaving()
+	for id, unsentFailures := range r.unsentFailures {
+		if slices.ContainsFunc(unsentFailures, gone) {
+			// The remaining targets may be in another shard by now, too.
+			delete(r.unsentFailures, id)
 		}
 	}
 }
 
-// renew keeps what a pool's picture has counted when only its engines change, and what
-// this router has sent where in any case.
-func (r *Router) renew(old []*pool, p Pool) *pool {
+// updatePool keeps the counted shard loads of a pool if only its engines change, and this router's
+// own placements in any case.
+func (r *Router) updatePool(old []*pool, p Pool) *pool {
 	i := slices.IndexFunc(old, func(o *pool) bool { return o.Name == p.Name })
-	if i >= 0 && old[i].picture.Shards() == p.Roster.Shards() && old[i].Bound == p.Bound {
-		old[i].picture.SetRoster(p.Roster)
-		return &pool{Pool: p, picture: old[i].picture, saturated: old[i].saturated, throttles: old[i].throttles}
+	if i >= 0 && old[i].state.Shards() == p.Roster.Shards() && old[i].Bound == p.Bound {
+		old[i].state.SetRoster(p.Roster)
+		return &pool{Pool: p, state: old[i].state, saturatedUntil: old[i].saturatedUntil, throttles: old[i].throttles}
 	}
-	picture := place.NewPool(p.Name, p.Roster.Shards(), p.Bound)
+	state := place.NewPool(p.Name, p.Roster.Shards(), p.Bound)
 	if i >= 0 {
-		picture.Inherit(old[i].picture)
+		state.Inherit(old[i].state)
 	}
-	picture.SetRoster(p.Roster)
-	return &pool{Pool: p, picture: picture, throttles: map[demand]*throttle{}}
+	state.SetRoster(p.Roster)
+	return &pool{Pool: p, state: state, throttles: map[requestClass]*throttle{}}
 }
 
-// mostOffers is how many places a request may be given at targets that take no new work, as this router
-// knows. After the first one the home is told of all of them; more come only if others say so meanwhile.
-const mostOffers = 4
+// maxOffers is how many permits a request may be granted on targets that accept no new work
+// according to this router's state. After the first one the homes receive all such targets; further
+// ones follow only if targets reported it in the meantime.
+const maxOffers = 4
 
-// offersWait is when a request comes back that was offered nothing else: homes know by then.
-const offersWait = time.Second
+// offersRetryAfter is the Retry-After delay of a request that was offered no other targets. The
+// homes have the state of these targets by then.
+const offersRetryAfter = time.Second
 
 // Acquire finds a target and counts the request there until the placement is released.
-func (r *Router) Acquire(ctx context.Context, ask Ask) (*Placement, error) {
+func (r *Router) Acquire(ctx context.Context, request Ask) (*Placement, error) {
 	const op = "route.Acquire"
-	for range mostOffers {
-		p, err := r.poolFor(ask.Service)
+	for range maxOffers {
+		p, err := r.poolFor(request.Service)
 		if err != nil {
 			return nil, err
 		}
-		placement, err := r.find(ctx, p, ask)
+		placement, err := r.findInPool(ctx, p, request)
 		if err != nil {
 			return nil, err
 		}
-		withheld := r.withheld(p, placement)
-		if withheld == nil {
+		excluded := r.excluded(p, placement)
+		if excluded == nil {
 			return placement, nil
 		}
 		placement.Release()
-		ask.withheld = append(ask.withheld, withheld...)
+		request.excluded = append(request.excluded, excluded...)
 	}
-	return nil, fault.New(op, TimedOut, RetryAfter{Wait: offersWait})
+	return nil, fault.New(op, TimedOut, RetryAfter{Wait: offersRetryAfter})
 }
 
-// find finds a target in a pool, which homes may offer although this router knows better.
-func (r *Router) find(ctx context.Context, p *pool, ask Ask) (*Placement, error) {
-	ask.Avoid, ask.lost = r.troubled(p, ask)
+// findInPool finds a target in a pool. A home may offer a target that this router must not use.
+func (r *Router) findInPool(ctx context.Context, p *pool, request Ask) (*Placement, error) {
+	request.Avoid, request.unreachable = r.avoidedTargets(p, request)
 	if p.Service.Balance == policy.Local {
-		return r.local(p, ask)
+		return r.placeLocally(p, request)
 	}
-	if err := r.throttled(p, ask); err != nil {
+	if err := r.checkThrottle(p, request); err != nil {
 		return nil, err
 	}
 	for {
-		placement, again, err := r.askAround(ctx, p, ask)
-		if !again {
-			r.learn(p, ask, err)
+		placement, retry, err := r.searchShards(ctx, p, request)
+		if !retry {
+			r.recordOutcome(p, request, err)
 			return placement, err
 		}
 	}
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -16,71 +16,71 @@
 	"valescale/internal/share/home"
 )
 
-// fleet is the homes of some routers, called without a network.
+// fleet is a fake of the homes of some routers, which are called without a network.
 type fleet struct {
 	now   time.Time
 	homes map[ident.Router]*home.Homes
 	down  map[ident.Router]bool
-	// failed are the engines that asks named as failing.
-	failed []ident.TargetHash
-	// backoffs are what asks told of engines that want no requests.
-	backoffs []place.Backoff
-	asked    []ident.Router
-	// loseAnswers has homes give permits whose answers do not arrive.
-	loseAnswers bool
-	// heldUp has the router notice too late whether its homes answered.
+	// failures contains the engines that permit requests reported as failed.
+	failures []ident.TargetHash
+	// backoffs contains the backoffs that permit requests reported.
+	backoffs  []place.Backoff
+	requested []ident.Router
+	// dropResponses makes homes grant permits whose responses are lost.
+	dropResponses bool
+	// heldUp makes the router process responses too late to determine whether the home was in time.
 	heldUp bool
 	// dropWithdrawals loses withdrawals.
 	dropWithdrawals bool
-	// dropReturns loses what is given back.
-	dropReturns bool
-	// placing is called while a home decides.
-	placing func()
-	later   []func()
-	pools   []route.Pool
+	// dropReleases loses released permits.
+	dropReleases bool
+	// onPlace is called while a home handles a permit request.
+	onPlace  func()
+	deferred []func()
+	pools    []route.Pool
 }
 
-func (f *fleet) at(to ident.Router) (*home.Homes, error) {
+func (f *fleet) homeAt(to ident.Router) (*home.Homes, error) {
 	if f.down[to] || f.homes[to] == nil {
 		return nil, fault.New("test", home.Unreachable, nil)
 	}
 	return f.homes[to], nil
 }
 
-func (f *fleet) Place(ctx context.Context, to ident.Router, ask home.Ask, released []uint64) (home.Answer, error) {
-	f.asked = append(f.asked, to)
-	f.failed = append(f.failed, ask.Failed...)
-	f.backoffs = append(f.backoffs, ask.Backoffs...)
-	h, err := f.at(to)
+func (f *fleet) Place(ctx context.Context, to ident.Router, request home.Ask, released []uint64) (home.Answer, error) {
+	f.requested = append(f.requested, to)
+	f.failures = append(f.failures, request.Failed...)
+	f.backoffs = append(f.backoffs, request.Backoffs...)
+	h, err := f.homeAt(to)
 	if err != nil {
 		return home.Answer{}, err
 	}
-	if f.dropReturns {
+	if f.dropReleases {
 		released = nil
 	}
-	a := h.Place(ctx, ask, released)
-	if f.placing != nil {
-		f.placing()
+	resp := h.Place(ctx, request, released)
+	if f.onPlace != nil {
+		f.onPlace()
 	}
 	if f.heldUp {
 		return home.Answer{}, fault.New("test", home.HeldUp, nil)
 	}
-	if f.loseAnswers {
+	if f.dropResponses {
 		return home.Answer{}, fault.New("test", home.Unreachable, nil)
 	}
-	return a, nil
+	return resp, nil
 }
 
 func (f *fleet) Release(_ context.Context, to ident.Router, id place.ShardID, released []uint64) error {
-	h, err := f.at(to)
-	if err == nil && !f.dropReturns {
+	h, err := f.homeAt(to)
+	if err == nil && !f.dropReleases {
 		h.Release(id, edge, released)
 	}
 	return err
 }
 
 func (f *fleet) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if err == nil {
 		h.Sync(id, edge, held, upto, from)
 	}
@@ -88,7 +88,7 @@
 }
 
 func (f *fleet) Withdraw(_ context.Context, to ident.Router, id place.ShardID, upto uint64) error {
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if f.dropWithdrawals {
 		return fault.New("test", home.Unreachable, nil)
 	}
@@ -99,12 +99,12 @@
 }
 
 func (f *fleet) Grant(_ context.Context, to ident.Router, w ident.Workspace, want int) (int, time.Duration, error) {
-	h, err := f.at(to)
+	h, err := f.homeAt(to)
 	if err != nil {
 		return 0, 0, err
 	}
-	granted, later, _ := h.Grant(w, want)
-	return granted, later, nil
+	granted, wait, _ := h.Grant(w, want)
+	return granted, wait, nil
 }
 
 const (
@@ -118,7 +118,7 @@
 	workspace = policy.Workspace{Name: "bogota", Rate: 10, Burst: 2}
 )
 
-// newFleet returns a router over three homes and a pool of two engines in one shard.
+// newFleet returns a router, three homes and a pool of two engines in one shard.
 func newFleet() (*fleet, *route.Router, *place.Assignment) {
 	f := &fleet{now: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC), homes: map[ident.Router]*home.Homes{}, down: map[ident.Router]bool{}}
 	clock := func() time.Time { return f.now }
@@ -136,7 +136,7 @@
 		f.homes[r].SetPool(pool, place.DefaultBound, p.Roster)
 	}
 	r := route.New(route.Self{
-		ID: edge, Region: "co", AfterFunc: func(_ time.Duration, run func()) { f.later = append(f.later, run) },
+		ID: edge, Region: "co", AfterFunc: func(_ time.Duration, run func()) { f.deferred = append(f.deferred, run) },
 	}, f, clock)
 	assigned := place.Assign([]place.ShardID{id}, routers)
 	f.pools = []route.Pool{p}
@@ -144,11 +144,11 @@
 	return f, r, assigned
 }
 
-// run runs what was put off.
-func (f *fleet) run() {
-	for len(f.later) > 0 {
-		next := f.later[0]
-		f.later = f.later[1:]
+// runDeferred calls the deferred functions.
+func (f *fleet) runDeferred() {
+	for len(f.deferred) > 0 {
+		next := f.deferred[0]
+		f.deferred = f.deferred[1:]
 		next()
 	}
 }
@@ -167,7 +167,7 @@
 	return p
 }
 
-func TestPermitsComeBack(t *testing.T) {
+func TestReleaseReturnsPermit(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	p := acquire(t, r, 1)
@@ -176,14 +176,15 @@
 	}
 	p.Release()
 	p.Release()
-	f.run()
+	f.runDeferred()
 	if f.permits(at) != 0 {
-		t.Errorf("%d permits counted after the return, want 0", f.permits(at))
+		t.Errorf("%d permits counted after the release, want 0", f.permits(at))
 	}
 }
 
-// What a router remembers of its requests outlives its homes and its pool's shards.
-func TestPlacesOutliveHomes(t *testing.T) {
+// A router's record of placements survives the replacement of its homes and a change of the pool's
+// shard count.
+func TestPlacementsSurviveHomeChange(t *testing.T) {
 	f, r, assigned := newFleet()
 	const keys = 20
 	want := map[ident.ChatKey]ident.Target{}
@@ -192,7 +193,7 @@
 		want[key] = p.Target.ID
 		p.Release()
 	}
-	f.run()
+	f.runDeferred()
 	for _, name := range routers {
 		f.homes[name] = home.New(name, home.DefaultLimits, func() time.Time { return f.now }, noRates)
 		f.homes[name].SetPool(pool, place.DefaultBound, place.NewRoster(2, f.pools[0].Roster.Engines()))
@@ -205,19 +206,19 @@
 		p := acquire(t, r, key)
 		got[key] = p.Target.ID
 		if p.Holder != nil {
-			// It can at least be copied.
+			// The prefix can at least be copied from there.
 			got[key] = p.Holder.ID
 		}
 		p.Release()
-		f.run()
+		f.runDeferred()
 	}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// The next request for a permit tells the home of targets that failed, once.
-func TestFailuresReachTheHome(t *testing.T) {
+// The next permit request reports failed targets to the home, once.
+func TestFailuresAreReportedToHome(t *testing.T) {
 	f, r, _ := newFleet()
 	one, two := ident.Target("engine-1").Hash(), ident.Target("engine-2").Hash()
 	r.Report(one, false)
@@ -228,59 +229,59 @@
 		p := acquire(t, r, key)
 		p.Release()
 	}
-	if diff := cmp.Diff([]ident.TargetHash{one, two, one}, f.failed); diff != "" {
+	if diff := cmp.Diff([]ident.TargetHash{one, two, one}, f.failures); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// A router that is held up itself, as when its box has no processor time left, keeps to its
-// homes: were each such router to take another, several would count one shard.
-func TestRouterThatIsHeldUpBlamesNoHome(t *testing.T) {
+// A router that is itself delayed, as when its box has no processor time left, keeps its homes. If
+// each such router used the standby instead, several routers would count the same shard.
+func TestDelayedRouterKeepsItsHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	f.heldUp = true
 	for key := range ident.ChatKey(5) {
 		acquire(t, r, key).Release()
 	}
-	f.heldUp, f.asked = false, nil
-	f.run()
+	f.heldUp, f.requested = false, nil
+	f.runDeferred()
 	acquire(t, r, 9).Release()
-	if diff := cmp.Diff([]ident.Router{assigned.Home(id)}, f.asked); diff != "" {
+	if diff := cmp.Diff([]ident.Router{assigned.Home(id)}, f.requested); diff != "" {
 		t.Error(diff)
 	}
 }
 
-// Failures that a silent home did not hear of are told with the next request.
-func TestFailuresOutliveASilentHome(t *testing.T) {
+// Failures that were in a permit request without a response are sent again with the next one.
+func TestFailuresAreResentAfterHomeFailure(t *testing.T) {
 	f, r, assigned := newFleet()
 	one := ident.Target("engine-1").Hash()
 	r.Report(one, false)
 	at := assigned.Home(id)
 	f.down[at], f.down[assigned.Next(id, at)] = true, true
 	acquire(t, r, 1).Release()
-	f.failed = nil
+	f.failures = nil
 	clear(f.down)
 	acquire(t, r, 2).Release()
-	if diff := cmp.Diff([]ident.TargetHash{one}, f.failed); diff != "" {
+	if diff := cmp.Diff([]ident.TargetHash{one}, f.failures); diff != "" {
 		t.Error(diff)
 	}
 }
 
 func noRates(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false }
 
-func TestLostReturnsAreMended(t *testing.T) {
+func TestLostReleasesAreReconciled(t *testing.T) {
 	f, r, assigned := newFleet()
-	f.dropReturns = true
+	f.dropReleases = true
 	for key := range ident.ChatKey(5) {
 		acquire(t, r, key).Release()
-		f.run()
+		f.runDeferred()
 	}
 	if got := f.permits(assigned.Home(id)); got > 3 {
 		t.Errorf("%d permits counted of requests that have ended", got)
 	}
 }
 
-// Permits that are lost while a pool is full must not keep it full for ever.
-func TestLostReturnsOfAFullPool(t *testing.T) {
+// Lost releases while a pool is full must not keep it full for ever.
+func TestLostReleasesOfFullPool(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	var engines []place.Engine
@@ -288,35 +289,35 @@
 		engines = append(engines, place.Engine{ID: name, Hash: name.Hash(), Incarnation: 1, Slots: ident.OneRequest})
 	}
 	f.homes[at].SetPool(pool, place.DefaultBound, place.NewRoster(1, engines))
-	f.dropReturns = true
+	f.dropReleases = true
 	acquire(t, r, 1).Release()
 	acquire(t, r, 2).Release()
-	f.run()
-	f.dropReturns = false
+	f.runDeferred()
+	f.dropReleases = false
 	for range 4 {
 		if p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 3, Work: ident.OneRequest}); err == nil {
 			p.Release()
 		}
-		f.run()
+		f.runDeferred()
 	}
 	if got := f.permits(at); got != 0 {
 		t.Errorf("%d permits counted of requests that have ended", got)
 	}
 }
 
-// A home that gave a permit too late to be heard gets it back, not the next in line.
-func TestPermitOfALostAnswer(t *testing.T) {
+// A permit whose response was lost is returned to the home that granted it, not to the standby.
+func TestPermitOfLostResponseIsReleased(t *testing.T) {
 	f, r, assigned := newFleet()
-	f.loseAnswers = true
+	f.dropResponses = true
 	acquire(t, r, 1)
-	f.run()
+	f.runDeferred()
 	if got := f.permits(assigned.Home(id)); got != 0 {
-		t.Errorf("%d permits counted of answers that nobody got", got)
+		t.Errorf("%d permits counted whose responses were lost", got)
 	}
 }
 
-// An earlier home that could not be told is told later that its permits moved.
-func TestUnconfirmedWithdrawalIsRepeated(t *testing.T) {
+// The withdrawal of permits from an earlier home is retried until it is confirmed.
+func TestUnconfirmedWithdrawalIsRetried(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	acquire(t, r, 1)
@@ -324,7 +325,7 @@
 	others := slices.DeleteFunc(slices.Clone(routers), func(r ident.Router) bool { return r == at })
 	r.Move(context.Background(), r.Set(f.pools, place.Assign([]place.ShardID{id}, others)))
 	if got := f.permits(at); got != 1 {
-		t.Fatalf("the earlier home counts %d permits, want 1 that it was not told of", got)
+		t.Fatalf("the earlier home counts %d permits, want 1 whose withdrawal was lost", got)
 	}
 	f.dropWithdrawals = false
 	r.Reconcile(context.Background())
@@ -333,7 +334,7 @@
 	}
 }
 
-func TestSilentHome(t *testing.T) {
+func TestUnreachableHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	next := assigned.Next(id, at)
@@ -341,63 +342,63 @@
 	f.down[at] = true
 	acquire(t, r, 2)
 	acquire(t, r, 3)
-	if diff := cmp.Diff([]ident.Router{at, at, next, next}, f.asked); diff != "" {
+	if diff := cmp.Diff([]ident.Router{at, at, next, next}, f.requested); diff != "" {
 		t.Error(diff)
 	}
 	if got := f.permits(next); got != 3 {
-		t.Errorf("the next in line counts %d permits, want all 3", got)
+		t.Errorf("the standby counts %d permits, want all 3", got)
 	}
 	first.Release()
-	f.run()
+	f.runDeferred()
 	if got := f.permits(next); got != 2 {
-		t.Errorf("the next in line counts %d permits after one came back, want 2", got)
+		t.Errorf("the standby counts %d permits after one was released, want 2", got)
 	}
 	if got := r.Stats().Fallback; got != 0 {
-		t.Errorf("%d decided without a home", got)
+		t.Errorf("%d requests placed without a home", got)
 	}
 }
 
-// A router that has just started may be home before it knows any engine.
-func TestHomeThatKnowsNoEngines(t *testing.T) {
+// A router that has just started may be home of a shard before it has the shard's engines.
+func TestHomeWithoutEngines(t *testing.T) {
 	f, r, assigned := newFleet()
 	at := assigned.Home(id)
 	clock := func() time.Time { return f.now }
 	f.homes[at] = home.New(at, home.DefaultLimits, clock, func(ident.Workspace) (policy.Workspace, bool) { return workspace, true })
 	acquire(t, r, 1)
-	if diff := cmp.Diff([]ident.Router{at, assigned.Next(id, at)}, f.asked); diff != "" {
+	if diff := cmp.Diff([]ident.Router{at, assigned.Next(id, at)}, f.requested); diff != "" {
 		t.Error(diff)
 	}
 }
 
-func TestNoHomeAtAll(t *testing.T) {
+func TestNoReachableHome(t *testing.T) {
 	f, r, _ := newFleet()
 	for _, name := range routers {
 		f.down[name] = true
 	}
 	one, two := acquire(t, r, 1), acquire(t, r, 1)
 	if one.Hash == two.Hash {
-		t.Error("both requests at one engine, although the other is idle")
+		t.Error("both requests on one engine although the other is idle")
 	}
 	if got := r.Stats().Fallback; got != 2 {
-		t.Errorf("%d decided without a home, want 2", got)
+		t.Errorf("%d requests placed without a home, want 2", got)
 	}
 }
 
-func TestBrokenTargetIsPassedOver(t *testing.T) {
+func TestFailingTargetIsSkipped(t *testing.T) {
 	_, r, _ := newFleet()
-	bad := acquire(t, r, 1)
+	failing := acquire(t, r, 1)
 	for range 5 {
-		r.Report(bad.Hash, false)
+		r.Report(failing.Hash, false)
 	}
-	bad.Release()
+	failing.Release()
 	for range 4 {
-		if p := acquire(t, r, 1); p.Hash == bad.Hash {
-			t.Fatal("a target whose answers fail gets new work")
+		if p := acquire(t, r, 1); p.Hash == failing.Hash {
+			t.Fatal("a failing target gets new work")
 		}
 	}
 }
 
-func TestRateWithoutItsHome(t *testing.T) {
+func TestRateLimitWithoutHome(t *testing.T) {
 	f, r, _ := newFleet()
 	admitted := func() int {
 		n := 0
@@ -420,8 +421,9 @@
 	}
 }
 
-// A router that no home answers decides alone at once, and asks again now and then.
-func TestCutOffRouterDoesNotWaitForHomes(t *testing.T) {
+// A router that no home responds to places requests locally without delay, and retries the homes at
+// intervals.
+func TestIsolatedRouterDoesNotWaitForHomes(t *testing.T) {
 	f, r, _ := newFleet()
 	for _, name := range routers {
 		f.down[name] = true
@@ -429,9 +431,9 @@
 	for key := range ident.ChatKey(10) {
 		acquire(t, r, key).Release()
 	}
-	asked := len(f.asked)
-	if asked > 4 {
-		t.Errorf("%d homes were asked in vain for 10 requests, want at most 4", asked)
+	requested := len(f.requested)
+	if requested > 4 {
+		t.Errorf("%d permit requests failed for 10 requests, want at most 4", requested)
 	}
 	for _, name := range routers {
 		f.down[name] = false
@@ -442,6 +444,6 @@
 		acquire(t, r, key).Release()
 	}
 	if got := r.Stats().Fallback - fallbacks; got != 0 {
-		t.Errorf("%d of 10 requests were placed alone although homes answer again", got)
+		t.Errorf("%d of 10 requests were placed locally although homes respond again", got)
 	}
 }
--- a/internal/edge/route/throttle.go
+++ b/internal/edge/route/throttle.go
@@ -12,91 +12,93 @@
 )
 
 const (
-	// askedPerGrant is how many permits a router asks for with each that it gets while it
-	// is being refused. Homes then decide twice as many requests as their engines can run,
-	// however many callers press. Asking for everything kept a home's box of 0.4 cores too busy to answer in
-	// time: at four times the traffic a fifth fewer answers came in time.
-	askedPerGrant = 2
-	// throttleHalfLife is after how long what was asked and granted counts half: with some
-	// ten requests a second of a workspace a share of them can be told.
+	// requestsPerGrant is how many permits a router requests for each one granted while homes
+	// reject requests. Homes then decide twice as many requests as their engines can run, at any
+	// number of callers. With a permit request for every request, a home on a box of 0.4 cores was
+	// too busy to respond in time: at four times the traffic a fifth fewer answers arrived in time.
+	requestsPerGrant = 2
+	// throttleHalfLife is the half-life of the counted requests and grants. At about ten requests a
+	// second of a workspace it is long enough to measure a ratio of them.
 	throttleHalfLife = 500 * time.Millisecond
-	// throttleSlack is how many refusals pass before any request is refused without asking.
+	// throttleSlack is the number of rejections before any request is rejected without a permit
+	// request.
 	throttleSlack = 3
-	// askAtLeast is how long a router refuses requests of one kind without asking about any: the
-	// fleet's 295 routers together ask some 3,000 times a second then, a third of what its eight
-	// homes are asked in a surge anyway, and a router that sees nine requests a second learns
-	// with the first or second of them that a surge is over.
-	askAtLeast = 100 * time.Millisecond
-	// maxThrottles bounds the kinds of requests of which a pool remembers how they did.
+	// throttleProbeInterval is the maximum time for which a router rejects all requests of one
+	// class without a permit request. The 295 routers of a fleet then send about 3,000 permit
+	// requests a second, a third of what their eight homes receive in a surge anyway, and a router
+	// that gets nine requests a second detects the end of a surge with the first or second of them.
+	throttleProbeInterval = 100 * time.Millisecond
+	// maxThrottles limits the number of request classes for which a pool keeps a throttle.
 	maxThrottles = 4096
 )
 
-// demand names the requests that homes treat alike.
-type demand struct {
+// requestClass identifies the requests that homes treat alike.
+type requestClass struct {
 	workspace ident.Workspace
 	priority  int
 }
 
-// throttle refuses requests of one kind that a home would refuse, so that neither they
-// nor the home spend time on asking. It follows the home's own refusals: with all
-// requests granted it never acts.
+// throttle rejects requests of one class that a home would reject, which saves the permit request
+// on both sides. It follows the home's own rejections: while all requests are granted it has no
+// effect.
 type throttle struct {
-	// ended counts the requests that were granted or refused, here or by a home; granted
-	// those among them that got a permit. What is still being asked for counts as neither.
-	ended   float64
-	granted float64
-	at      time.Time
-	// asked is when a home was asked last.
-	asked time.Time
-	// owed is the part of a question to the home that the requests refused so far add up to.
-	owed float64
-	// refusal is the latest of a home, to be passed on.
-	refusal RetryAfter
+	// decided counts the requests that were granted or rejected, by this router or by a home;
+	// granted counts those that got a permit. Requests that are still pending count as neither.
+	decided   float64
+	granted   float64
+	decayedAt time.Time
+	// lastRequest is when a permit request was last sent to a home.
+	lastRequest time.Time
+	// credit is the fraction of a permit request that the rejected requests have accumulated.
+	credit float64
+	// lastRejection is the latest rejection by a home, whose delay is returned to callers.
+	lastRejection RetryAfter
 }
 
-// decay lets what was counted earlier count less.
+// decay reduces the weight of earlier requests.
 func (t *throttle) decay(now time.Time) {
-	kept := decay.Kept(now.Sub(t.at), throttleHalfLife)
-	t.ended *= kept
+	kept := decay.Kept(now.Sub(t.decayedAt), throttleHalfLife)
+	t.decided *= kept
 	t.granted *= kept
-	t.at = now
+	t.decayedAt = now
 }
 
-// admits reports whether to ask a home for a request.
-func (t *throttle) admits(now time.Time) bool {
+// allow reports whether to send a permit request for a request.
+func (t *throttle) allow(now time.Time) bool {
 	t.decay(now)
-	// Of the requests beyond what may be asked an even part goes through.
-	t.owed += min((askedPerGrant*t.granted+throttleSlack)/(t.ended+1), 1)
-	if t.owed < 1 && now.Sub(t.asked) < askAtLeast {
-		t.ended++
+	// Of the requests above the limit an even share is sent.
+	t.credit += min((requestsPerGrant*t.granted+throttleSlack)/(t.decided+1), 1)
+	if t.credit < 1 && now.Sub(t.lastRequest) < throttleProbeInterval {
+		t.decided++
 		return false
 	}
-	t.owed = max(t.owed-1, 0)
-	t.asked = now
+	t.credit = max(t.credit-1, 0)
+	t.lastRequest = now
 	return true
 }
 
-// learn counts a request that a home has granted or refused.
-func (t *throttle) learn(now time.Time, granted bool) {
+// recordOutcome counts a request that a home has granted or rejected.
+func (t *throttle) recordOutcome(now time.Time, granted bool) {
 	t.decay(now)
-	t.ended++
+	t.decided++
 	if granted {
 		t.granted++
 	}
 }
 
-// spread is the latest refusal with a time to come back up to twice as late: a home tells
-// each caller a time of its own, and those refused here must not all return at one of them.
-func (t *throttle) spread() RetryAfter {
-	later := t.refusal
-	later.Wait += rand.N(later.Wait + 1)
-	return later
+// jitteredRejection returns the latest rejection with its Retry-After delay increased by up to
+// 100%. A home sets a different delay for each caller, and the callers rejected here must not all
+// return at one of these times.
+func (t *throttle) jitteredRejection() RetryAfter {
+	retryAfter := t.lastRejection
+	retryAfter.Wait += rand.N(retryAfter.Wait + 1)
+	return retryAfter
 }
 
-// throttleOf returns what is known of an ask's kind, made on first use; the caller holds
-// the lock.
-func (p *pool) throttleOf(ask Ask) *throttle {
-	key := demand{workspace: ask.Workspace, priority: ask.Priority}
+// throttleOf returns the throttle of a request's class, which it creates on first use. The caller
+// holds the lock.
+func (p *pool) throttleOf(request Ask) *throttle {
+	key := requestClass{workspace: request.Workspace, priority: request.Priority}
 	t, known := p.throttles[key]
 	if !known {
 		if len(p.throttles) >= maxThrottles {
@@ -108,39 +110,39 @@
 	return t
 }
 
-// throttled refuses an ask that a home would refuse.
-func (r *Router) throttled(p *pool, ask Ask) error {
+// checkThrottle returns an error for a request that a home would reject.
+func (r *Router) checkThrottle(p *pool, request Ask) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := p.throttleOf(ask)
-	if t.admits(r.clock()) {
+	t := p.throttleOf(request)
+	if t.allow(r.clock()) {
 		return nil
 	}
 	r.stats.Throttled++
-	return fault.New("route.Acquire", Shed, t.spread())
+	return fault.New("route.Acquire", Shed, t.jitteredRejection())
 }
 
-// unthrottle forgets that homes have refused requests, since one of them has room again: while
-// requests wait for a shard, none of its slots stays free. At 295 routers, each of which sees a
-// few requests a second, 29 in 100 requests of the half second after a surge were refused for
-// what homes had answered before, and 10 of the next.
-func (p *pool) unthrottle() {
+// resetThrottles removes the recorded rejections, since a shard has room again: while requests wait
+// for a shard, none of its slots stays free. At 295 routers, each with a few requests a second,
+// earlier rejections by homes otherwise caused 29 in 100 requests to be rejected in the half second
+// after a surge, and 10 in 100 in the next.
+func (p *pool) resetThrottles() {
 	clear(p.throttles)
-	p.saturated = time.Time{}
+	p.saturatedUntil = time.Time{}
 }
 
-// learn takes in how an ask ended. Whatever did not end in a home's refusal speaks for
-// asking on.
-func (r *Router) learn(p *pool, ask Ask, err error) {
+// recordOutcome records the outcome of a request in its throttle. Every outcome but a rejection by
+// a home counts as granted.
+func (r *Router) recordOutcome(p *pool, request Ask, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	t := p.throttleOf(ask)
+	t := p.throttleOf(request)
 	kind := fault.KindOf[Kind](err)
-	refused := kind == Shed || kind == TimedOut
-	t.learn(r.clock(), !refused)
-	if refused {
-		// Without a time in the error there is none to pass on.
-		_ = errors.As(err, &t.refusal)
-		t.refusal.Throttled = true
+	rejected := kind == Shed || kind == TimedOut
+	t.recordOutcome(r.clock(), !rejected)
+	if rejected {
+		// An error without a Retry-After delay leaves the latest one unchanged.
+		_ = errors.As(err, &t.lastRejection)
+		t.lastRejection.Throttled = true
 	}
 }
