--- a/internal/share/home/blame.go
+++ b/internal/share/home/blame.go
@@ -19,25 +19,25 @@
 }
 
 // OnBlocked has a function told of each engine that is blocked; it must not call the homes.
-func (h *Homes) OnBlocked(tell func(Blocked)) {
+func (h *Homes) OnBlocked(notify func(Blocked)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.onBlocked = tell
+	h.onBlocked = notify
 }
 
 // blame takes in which engines failed an edge's requests, and which want none.
-func (h *Homes) blame(now time.Time, s *shard, ask Ask) {
-	for _, engine := range s.home.Blame(now, ask.Edge, ask.Zone, ask.Failed) {
-		h.tellBlocked(ask, engine, 0)
+func (h *Homes) recordEngineReports(now time.Time, s *shard, req Ask) {
+	for _, engine := range s.home.Blame(now, req.Edge, req.Zone, req.Failed) {
+		h.reportBlocked(req, engine, 0)
 	}
-	for _, backoff := range s.home.Backoffs(now, ask.Edge, ask.Zone, ask.Backoffs) {
-		h.tellBlocked(ask, backoff.Engine, backoff.Left)
+	for _, backoff := range s.home.Backoffs(now, req.Edge, req.Zone, req.Backoffs) {
+		h.reportBlocked(req, backoff.Engine, backoff.Left)
 	}
 }
 
 // tellBlocked tells of an engine that is blocked from an edge's word on.
-func (h *Homes) tellBlocked(ask Ask, engine ident.TargetHash, backoff time.Duration) {
+func (h *Homes) reportBlocked(req Ask, engine ident.TargetHash, backoff time.Duration) {
 	if h.onBlocked != nil {
-		h.onBlocked(Blocked{Shard: ask.Shard, Engine: engine, Edge: ask.Edge, Zone: ask.Zone, Backoff: backoff})
+		h.onBlocked(Blocked{Shard: req.Shard, Engine: engine, Edge: req.Edge, Zone: req.Zone, Backoff: backoff})
 	}
 }
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -13,7 +13,7 @@
 }
 
 // encodeAsk returns the wire form of a request, with permits counted from a base on.
-func encodeAsk(a Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
+func encodePermitRequest(a Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
 	return &peerpb.PlaceRequest{
 		Permit:    a.Permit - base,
 		Pool:      uint32(a.Shard.Pool.Hash()),
@@ -24,13 +24,13 @@
 		Priority:  int32(a.Priority),
 		WaitMs:    a.Wait.Milliseconds(),
 		Must:      a.Must,
-		Released:  shift(released, -base),
+		Released:  offsetPermits(released, -base),
 		Weight:    int32(a.Weight),
 		Avoid:     encodeHashes(a.Avoid),
 		Lost:      encodeHashes(a.Lost),
 		Last:      uint32(a.Last),
 		Once:      a.Once,
-		Sums:      encodeSums(a.Sums),
+		Sums:      encodeShardLoads(a.Sums),
 		Failed:    encodeHashes(a.Failed),
 		Backoffs:  encodeBackoffs(a.Backoffs),
 	}
@@ -68,7 +68,7 @@
 	return out
 }
 
-func encodeSums(sums []place.Sum) []*peerpb.Sum {
+func encodeShardLoads(sums []place.Sum) []*peerpb.Sum {
 	out := make([]*peerpb.Sum, 0, len(sums))
 	for _, s := range sums {
 		out = append(out, &peerpb.Sum{Shard: uint32(s.Shard), AgeMs: uint32(s.Age.Milliseconds()), Work: int64(s.Work)})
@@ -76,7 +76,7 @@
 	return out
 }
 
-func decodeSums(in []*peerpb.Sum) []place.Sum {
+func decodeShardLoads(in []*peerpb.Sum) []place.Sum {
 	out := make([]place.Sum, 0, len(in))
 	for _, s := range in {
 		out = append(out, place.Sum{
@@ -87,7 +87,7 @@
 }
 
 // decodeAsk reads a request but for what its link says of the edge.
-func decodeAsk(m *peerpb.PlaceRequest) Ask {
+func decodePermitRequest(m *peerpb.PlaceRequest) Ask {
 	return Ask{
 		Request: place.Request{
 			Permit: m.GetPermit(),
@@ -104,13 +104,13 @@
 		Weight:    int(m.GetWeight()),
 		Priority:  int(m.GetPriority()),
 		Wait:      time.Duration(m.GetWaitMs()) * time.Millisecond,
-		Sums:      decodeSums(m.GetSums()),
+		Sums:      decodeShardLoads(m.GetSums()),
 		Failed:    decodeHashes(m.GetFailed()),
 		Backoffs:  decodeBackoffs(m.GetBackoffs()),
 	}
 }
 
-func encodeAnswer(a Answer) *peerpb.PlaceReply {
+func encodePermitResponse(a Answer) *peerpb.PlaceReply {
 	rule, load, mean := encodeBasis(a.Basis)
 	return &peerpb.PlaceReply{
 		Result:       peerpb.PlaceResult(a.Result),
@@ -120,14 +120,14 @@
 		RetryAfterMs: a.RetryAfter.Milliseconds(),
 		Held:         uint32(a.Held),
 		Work:         int64(a.Work),
-		Sums:         encodeSums(a.Sums),
+		Sums:         encodeShardLoads(a.Sums),
 		Rule:         rule,
 		Load:         load,
 		Mean:         mean,
 	}
 }
 
-func decodeAnswer(m *peerpb.PlaceReply) Answer {
+func decodePermitResponse(m *peerpb.PlaceReply) Answer {
 	return Answer{
 		Result:     Result(m.GetResult()),
 		Engine:     ident.TargetHash(m.GetEngine()),
@@ -136,17 +136,17 @@
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
 		Held:       int(m.GetHeld()),
 		Work:       ident.Work(m.GetWork()),
-		Sums:       decodeSums(m.GetSums()),
+		Sums:       decodeShardLoads(m.GetSums()),
 		Basis:      decodeBasis(m),
 	}
 }
 
 // basisUnit is how fine a basis travels: it is for logs, and each byte is sent with every permit.
-const basisUnit = ident.OneRequest / 10
+const basisResolution = ident.OneRequest / 10
 
 // encodeBasis writes nothing for the usual rule and for answers without a placement.
 func encodeBasis(b place.Basis) (rule, load, mean uint32) {
-	return uint32(max(b.Rule, place.WithinBound) - place.WithinBound), uint32(b.Load / basisUnit), uint32(b.Mean / basisUnit)
+	return uint32(max(b.Rule, place.WithinBound) - place.WithinBound), uint32(b.Load / basisResolution), uint32(b.Mean / basisResolution)
 }
 
 func decodeBasis(m *peerpb.PlaceReply) place.Basis {
@@ -155,8 +155,8 @@
 	}
 	return place.Basis{
 		Rule: place.WithinBound + place.Rule(m.GetRule()),
-		Load: ident.Work(m.GetLoad()) * basisUnit,
-		Mean: ident.Work(m.GetMean()) * basisUnit,
+		Load: ident.Work(m.GetLoad()) * basisResolution,
+		Mean: ident.Work(m.GetMean()) * basisResolution,
 	}
 }
 
@@ -180,7 +180,7 @@
 	return out
 }
 
-func encodeLoad(d place.Digest) *peerpb.ShardLoad {
+func encodeDigest(d place.Digest) *peerpb.ShardLoad {
 	out := &peerpb.ShardLoad{
 		Pool: uint32(d.ID.Pool.Hash()), Shard: uint32(d.ID.Shard), Seq: d.Seq, Work: int64(d.Work),
 	}
@@ -213,7 +213,7 @@
 	return out
 }
 
-func decodeLoad(from ident.Router, pool ident.Pool, in *peerpb.ShardLoad) place.Digest {
+func decodeDigest(from ident.Router, pool ident.Pool, in *peerpb.ShardLoad) place.Digest {
 	d := place.Digest{
 		ID:   place.ShardID{Pool: pool, Shard: ident.Shard(in.GetShard())},
 		Home: from, Seq: in.GetSeq(), Work: ident.Work(in.GetWork()),
--- a/internal/share/home/codec_test.go
+++ b/internal/share/home/codec_test.go
@@ -11,18 +11,18 @@
 )
 
 // What a placement was decided from reaches the edge's log, to a tenth of a request.
-func TestBasisTravels(t *testing.T) {
+func TestBasisRoundTrip(t *testing.T) {
 	for _, rule := range []place.Rule{place.WithinBound, place.LeastLoaded, place.BeyondSlots} {
 		want := Answer{
 			Result: Placed, Engine: 7,
 			Basis: place.Basis{Rule: rule, Load: 12 * ident.OneRequest, Mean: 64 * ident.OneRequest / 10},
 		}
-		if diff := cmp.Diff(want, decodeAnswer(encodeAnswer(want)), cmpopts.EquateEmpty()); diff != "" {
+		if diff := cmp.Diff(want, decodePermitResponse(encodePermitResponse(want)), cmpopts.EquateEmpty()); diff != "" {
 			t.Error(diff)
 		}
 	}
-	refused := Answer{Result: Shed, Held: 3}
-	if diff := cmp.Diff(refused, decodeAnswer(encodeAnswer(refused)), cmpopts.EquateEmpty()); diff != "" {
+	rejected := Answer{Result: Shed, Held: 3}
+	if diff := cmp.Diff(rejected, decodePermitResponse(encodePermitResponse(rejected)), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
 }
--- a/internal/share/home/correct.go
+++ b/internal/share/home/correct.go
@@ -26,14 +26,14 @@
 }
 
 // happened reports whether anything was corrected.
-func (c *Correction) happened() bool {
+func (c *Correction) nonZero() bool {
 	return c.Listed != 0 || c.Withdrawn != 0 || c.Lapsed != 0 || c.Forgotten != 0
 }
 
 // changed returns by how many permits a change alters a shard's count.
-func (s *shard) changed(change func()) int {
+func (s *shard) permitCountChange(apply func()) int {
 	before := s.home.Len()
-	change()
+	apply()
 	return s.home.Len() - before
 }
 
@@ -43,11 +43,11 @@
 	defer h.mu.Unlock()
 	var out []Correction
 	for id, s := range h.shards {
-		if !s.corrected.happened() {
+		if !s.correction.nonZero() {
 			continue
 		}
-		c := s.corrected
-		s.corrected = Correction{}
+		c := s.correction
+		s.correction = Correction{}
 		c.Shard, c.Counted = id, s.home.Len()
 		c.Own, c.Foreign, c.Mean = s.home.Counts(h.clock())
 		out = append(out, c)
--- a/internal/share/home/fuzz_test.go
+++ b/internal/share/home/fuzz_test.go
@@ -15,10 +15,10 @@
 // FuzzLink has a home take whatever another router's link may bring, and checks that its count
 // comes right once that router says what it holds.
 func FuzzLink(f *testing.F) {
-	ask := Ask{Request: place.Request{Permit: 1, Key: 7, Work: ident.OneRequest}, Sums: []place.Sum{{Shard: 1, Work: 5}}}
+	req := Ask{Request: place.Request{Permit: 1, Key: 7, Work: ident.OneRequest}, Sums: []place.Sum{{Shard: 1, Work: 5}}}
 	message := &peerpb.LinkRequest{
-		Edge: "edge", Places: []*peerpb.PlaceRequest{encodeAsk(ask, []uint64{3}, 0)},
-		Loads: []*peerpb.ShardLoad{encodeLoad(place.Digest{Seq: 1, Work: 9, Loads: []place.EngineWork{{Engine: 1, Work: 9}}})},
+		Edge: "edge", Places: []*peerpb.PlaceRequest{encodePermitRequest(req, []uint64{3}, 0)},
+		Loads: []*peerpb.ShardLoad{encodeDigest(place.Digest{Seq: 1, Work: 9, Loads: []place.EngineWork{{Engine: 1, Work: 9}}})},
 	}
 	seed, err := proto.Marshal(message)
 	if err != nil {
@@ -37,14 +37,14 @@
 		})
 		h.SetPool(pool, place.DefaultBound, place.NewRoster(2, []place.Engine{{ID: "e", Hash: 1, Incarnation: 1}, {ID: "f", Hash: 2, Incarnation: 1}}))
 		for _, l := range m.GetLoads() {
-			h.Merge([]place.Digest{decodeLoad("other", pool, l)})
+			h.Merge([]place.Digest{decodeDigest("other", pool, l)})
 		}
 		shards := map[place.ShardID]bool{}
 		for _, p := range m.GetPlaces() {
-			ask := decodeAsk(p)
-			ask.Edge, ask.Shard.Pool, ask.Wait = edge, pool, 0
-			shards[ask.Shard] = true
-			h.Place(t.Context(), ask, p.GetReleased())
+			req := decodePermitRequest(p)
+			req.Edge, req.Shard.Pool, req.Wait = edge, pool, 0
+			shards[req.Shard] = true
+			h.Place(t.Context(), req, p.GetReleased())
 		}
 		for _, r := range m.GetReleases() {
 			h.Release(place.ShardID{Pool: pool, Shard: ident.Shard(r.GetShard())}, edge, r.GetReleased())
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -23,27 +23,27 @@
 
 // Homes holds what this router is home of.
 type Homes struct {
-	mu      sync.Mutex
-	self    ident.Router
-	limits  Limits
-	clock   ident.Clock
-	shards  map[place.ShardID]*shard
-	pools   map[ident.Pool]*poolInfo
-	names   map[ident.PoolHash]ident.Pool
-	loads   map[place.ShardID]map[ident.Router]heard
-	buckets map[ident.Workspace]*quota.Bucket
-	rates   func(ident.Workspace) (policy.Workspace, bool)
-	seq     uint64
+	mu          sync.Mutex
+	self        ident.Router
+	limits      Limits
+	clock       ident.Clock
+	shards      map[place.ShardID]*shard
+	pools       map[ident.Pool]*poolInfo
+	names       map[ident.PoolHash]ident.Pool
+	peerDigests map[place.ShardID]map[ident.Router]receivedDigest
+	buckets     map[ident.Workspace]*quota.Bucket
+	rates       func(ident.Workspace) (policy.Workspace, bool)
+	seq         uint64
 	// lastDigests say of shards that moved on that nothing is counted here any more.
-	lastDigests []place.Digest
+	finalDigests []place.Digest
 	// doubted are routers that may be gone.
-	doubted []ident.Router
+	suspectEdges []ident.Router
 	// replicas are the chat places of shards of which this router is next in line.
 	replicas map[place.ShardID]*place.Replica
 	// onBlocked is told of engines that get no new work for a while; it may be nil.
 	onBlocked func(Blocked)
 	// regrouped are chat places of shards that are not theirs any more.
-	regrouped []Transfer
+	resharded []Transfer
 	// urgent is signalled when a shard's count jumped and others should know at once.
 	urgent chan struct{}
 }
@@ -60,34 +60,34 @@
 	queue *quota.Queue
 	rate  releaseRate
 	// returns are the times that refused callers were told.
-	returns quota.Returns
-	sent    place.Digest
-	sentAt  time.Time
+	retryDelays quota.Returns
+	published   place.Digest
+	publishedAt time.Time
 	// jumped is set when permits came or went other than one by one.
-	jumped bool
+	urgent bool
 	// standby is the router next in line that has all chat places.
 	standby ident.Router
 	// movedTo is the router that has the chat places as the shard's home, empty while this one is.
 	movedTo ident.Router
 	// corrected are the corrections that nobody was told of yet.
-	corrected Correction
+	correction Correction
 }
 
 // New returns homes that hold nothing yet; rates gives a workspace's limits in force.
 func New(self ident.Router, limits Limits, clock ident.Clock, rates func(ident.Workspace) (policy.Workspace, bool)) *Homes {
 	return &Homes{
-		self:     self,
-		limits:   limits,
-		clock:    clock,
-		shards:   map[place.ShardID]*shard{},
-		pools:    map[ident.Pool]*poolInfo{},
-		names:    map[ident.PoolHash]ident.Pool{},
-		loads:    map[place.ShardID]map[ident.Router]heard{},
-		buckets:  map[ident.Workspace]*quota.Bucket{},
-		rates:    rates,
-		seq:      uint64(clock().UnixMilli()),
-		urgent:   make(chan struct{}, 1),
-		replicas: map[place.ShardID]*place.Replica{},
+		self:        self,
+		limits:      limits,
+		clock:       clock,
+		shards:      map[place.ShardID]*shard{},
+		pools:       map[ident.Pool]*poolInfo{},
+		names:       map[ident.PoolHash]ident.Pool{},
+		peerDigests: map[place.ShardID]map[ident.Router]receivedDigest{},
+		buckets:     map[ident.Workspace]*quota.Bucket{},
+		rates:       rates,
+		seq:         uint64(clock().UnixMilli()),
+		urgent:      make(chan struct{}, 1),
+		replicas:    map[place.ShardID]*place.Replica{},
 	}
 }
 
@@ -97,7 +97,7 @@
 	defer h.mu.Unlock()
 	h.names[name.Hash()] = name
 	if before := h.pools[name]; before != nil && before.roster.Shards() != roster.Shards() {
-		h.regroup(name, bound, roster)
+		h.reshard(name, bound, roster)
 	}
 	h.pools[name] = &poolInfo{roster: roster, bound: bound}
 	for id, s := range h.shards {
@@ -111,7 +111,7 @@
 }
 
 // at returns the home of a shard, made on first use.
-func (h *Homes) at(id place.ShardID) *shard {
+func (h *Homes) getOrCreate(id place.ShardID) *shard {
 	s, ok := h.shards[id]
 	if ok {
 		return s
@@ -128,19 +128,19 @@
 	if info != nil {
 		s.home.SetRoster(info.roster)
 	}
-	h.mergeHeard(s, bound.DigestLife)
+	h.mergeReceived(s, bound.DigestLife)
 	if replica, ok := h.replicas[id]; ok {
 		s.home.Adopt(replica)
 		delete(h.replicas, id)
 	}
-	s.home.Doubt(h.doubted)
+	s.home.Doubt(h.suspectEdges)
 	h.shards[id] = s
 	return s
 }
 
 // mergeHeard tells a new home what other homes have published within a digest's life.
-func (h *Homes) mergeHeard(s *shard, life time.Duration) {
-	for _, byHome := range h.loads {
+func (h *Homes) mergeReceived(s *shard, life time.Duration) {
+	for _, byHome := range h.peerDigests {
 		for _, l := range byHome {
 			if h.clock().Sub(l.at) <= life {
 				s.home.Merge(l.at, l.digest)
@@ -150,14 +150,14 @@
 }
 
 // unnamed is the pool of a request for a pool that is not known here.
-const unnamed ident.Pool = ""
+const unknownPool ident.Pool = ""
 
 // poolName returns the name of a pool by its hash.
-func (h *Homes) poolName(hash ident.PoolHash) ident.Pool {
+func (h *Homes) poolByHash(hash ident.PoolHash) ident.Pool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if name, ok := h.names[hash]; ok {
 		return name
 	}
-	return unnamed
+	return unknownPool
 }
--- a/internal/share/home/hopeless_test.go
+++ b/internal/share/home/hopeless_test.go
@@ -13,14 +13,14 @@
 
 // A request that would wait in vain is refused at once, with the time that the queue
 // takes; a more urgent one waits, and so does one while no rate is known.
-func TestHopelessRequestsAreRefusedAtOnce(t *testing.T) {
+func TestRequestsThatWouldExpireAreRejectedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := New("home", DefaultLimits, func() time.Time { return now }, func(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false })
 	engine := place.Engine{ID: "e", Hash: ident.Target("e").Hash(), Incarnation: 1, Slots: ident.OneRequest}
 	h.SetPool("p", place.DefaultBound, place.NewRoster(1, []place.Engine{engine}))
 	id := place.ShardID{Pool: "p"}
 	permit := uint64(0)
-	ask := func(priority int) (Answer, bool) {
+	request := func(priority int) (Answer, bool) {
 		permit++
 		a, w := h.placeOrQueue(Ask{
 			Request: place.Request{Edge: "edge", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, Must: true},
@@ -28,23 +28,23 @@
 		}, nil)
 		return a, w != nil
 	}
-	ask(0)
+	request(0)
 	for range 20 {
-		if a, waits := ask(0); !waits {
+		if a, queued := request(0); !queued {
 			t.Fatalf("without a rate: %+v", a)
 		}
 	}
 	s := h.shards[id]
-	steadily(&s.rate, now, 10, ident.OneRequest)
-	a, waits := ask(0)
-	if !near(a.RetryAfter, 2100*time.Millisecond) {
+	recordSteadyReleases(&s.rate, now, 10, ident.OneRequest)
+	a, queued := request(0)
+	if !withinTenth(a.RetryAfter, 2100*time.Millisecond) {
 		t.Errorf("20 waiting at 10 a second, come back after %v, want 2.1 s", a.RetryAfter)
 	}
 	a.RetryAfter = 0
-	if diff := cmp.Diff(Answer{Result: Shed, Held: 1, Work: ident.OneRequest}, a); diff != "" || waits {
-		t.Errorf("20 waiting at 10 a second, waits: %v: %s", waits, diff)
+	if diff := cmp.Diff(Answer{Result: Shed, Held: 1, Work: ident.OneRequest}, a); diff != "" || queued {
+		t.Errorf("20 waiting at 10 a second, waits: %v: %s", queued, diff)
 	}
-	if a, waits := ask(1); !waits {
+	if a, queued := request(1); !queued {
 		t.Errorf("a more urgent request: %+v", a)
 	}
 }
--- a/internal/share/home/lack_test.go
+++ b/internal/share/home/lack_test.go
@@ -15,19 +15,19 @@
 )
 
 // dialing gives the clients of routers that all have one address.
-type dialing struct {
+type fixedAddrClients struct {
 	clients *peer.Clients
 	addr    string
 }
 
-func (d dialing) Client(ident.Router) (peerpb.PeerServiceClient, error) {
+func (d fixedAddrClients) Client(ident.Router) (peerpb.PeerServiceClient, error) {
 	return d.clients.At(d.addr), nil
 }
 
-func (d dialing) Unanswered(ident.Router) {}
+func (d fixedAddrClients) Unanswered(ident.Router) {}
 
 // A router that cannot open a connection cannot tell whether the home would have answered.
-func TestOwnLackBlamesNoHome(t *testing.T) {
+func TestLocalDescriptorShortageIsNotUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -36,11 +36,11 @@
 	clients, closeClients := peer.NewClients(nil, &peer.Meter{})
 	t.Cleanup(closeClients)
 	local, _, _ := newHomes()
-	remote, closeLinks := home.NewRemote(home.Edge{ID: "router-a"}, local, dialing{clients, l.Addr().String()}, time.Second)
+	remote, closeLinks := home.NewRemote(home.Edge{ID: "router-a"}, local, fixedAddrClients{clients, l.Addr().String()}, time.Second)
 	t.Cleanup(closeLinks)
 	scarce.Descriptors(t)
-	ask := home.Ask{Shard: id, Request: place.Request{Edge: "router-a", Permit: 1, Key: 7, Work: ident.OneRequest}}
-	_, err = remote.Place(t.Context(), "router-b", ask, nil)
+	req := home.Ask{Shard: id, Request: place.Request{Edge: "router-a", Permit: 1, Key: 7, Work: ident.OneRequest}}
+	_, err = remote.Place(t.Context(), "router-b", req, nil)
 	if got := fault.KindOf[home.Kind](err); got != home.HeldUp {
 		t.Errorf("got %v, want a router that is held up itself", err)
 	}
--- a/internal/share/home/link.go
+++ b/internal/share/home/link.go
@@ -23,14 +23,14 @@
 	done   chan struct{}
 	mu     sync.Mutex
 	// waiting are the requests without an answer, by permit.
-	waiting map[uint64]chan Answer
+	pending map[uint64]chan Answer
 	closed  bool
 	// lack is set when the link broke for what this box lacks.
-	lack bool
+	localFailure bool
 	// base is taken off permits as they are written and added as they are read.
 	base uint64
 	// missed counts the answers in a row that did not come in time.
-	missed int
+	missedResponses int
 }
 
 // linkItem is one thing to be sent; exactly one field is set.
@@ -57,9 +57,9 @@
 
 const (
 	// linkBacklog bounds what waits to be sent; more than that means a dead link.
-	linkBacklog = 1024
+	maxLinkQueue = 1024
 	// linkBatch bounds what one message carries.
-	linkBatch = 64
+	maxLinkBatch = 64
 )
 
 // Edge is what a router says of itself once on each link.
@@ -74,15 +74,15 @@
 func openLink(client peerpb.PeerServiceClient, self Edge, ended func(*link)) *link {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &link{
-		cancel: cancel, out: make(chan linkItem, linkBacklog), done: make(chan struct{}),
-		waiting: map[uint64]chan Answer{}, base: self.Base,
+		cancel: cancel, out: make(chan linkItem, maxLinkQueue), done: make(chan struct{}),
+		pending: map[uint64]chan Answer{}, base: self.Base,
 	}
 	stream := client.Link(ctx)
 	go l.send(stream, self)
 	go func() {
 		l.receive(stream)
 		cancel()
-		l.fail()
+		l.failPending()
 		ended(l)
 	}()
 	return l
@@ -91,19 +91,19 @@
 // send writes what is queued, as much as fits in one message at a time.
 func (l *link) send(stream *connect.BidiStreamForClient[peerpb.LinkRequest, peerpb.LinkReply], self Edge) {
 	defer func() { _ = stream.CloseRequest() }()
-	hello := &peerpb.LinkRequest{Edge: string(self.ID), Base: self.Base, Zone: string(self.Zone)}
+	header := &peerpb.LinkRequest{Edge: string(self.ID), Base: self.Base, Zone: string(self.Zone)}
 	for {
 		select {
 		case <-l.done:
 			return
 		case first := <-l.out:
-			message := hello
-			hello = &peerpb.LinkRequest{}
-			l.gather(message, first)
+			message := header
+			header = &peerpb.LinkRequest{}
+			l.fillBatch(message, first)
 			if err := stream.Send(message); err != nil {
 				// The end of the stream means that receiving tells the cause; to cancel would hide it.
 				if !errors.Is(err, io.EOF) {
-					l.noteLack(err)
+					l.recordError(err)
 					l.cancel()
 				}
 				return
@@ -113,10 +113,10 @@
 }
 
 // gather puts an item and those that are queued after it into one message.
-func (l *link) gather(message *peerpb.LinkRequest, item linkItem) {
+func (l *link) fillBatch(message *peerpb.LinkRequest, item linkItem) {
 	for n := 1; ; n++ {
 		item.addTo(message)
-		if n == linkBatch {
+		if n == maxLinkBatch {
 			return
 		}
 		select {
@@ -132,69 +132,69 @@
 	for {
 		reply, err := stream.Receive()
 		if err != nil {
-			l.noteLack(err)
+			l.recordError(err)
 			return
 		}
 		for _, m := range reply.GetPlaces() {
-			l.deliver(m.GetPermit()+l.base, decodeAnswer(m))
+			l.deliver(m.GetPermit()+l.base, decodePermitResponse(m))
 		}
 	}
 }
 
 // noteLack notes whether the link broke for what this box lacks.
-func (l *link) noteLack(err error) {
+func (l *link) recordError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.lack = l.lack || fault.OwnLack(err)
+	l.localFailure = l.localFailure || fault.OwnLack(err)
 }
 
 // broken is the error of requests on a link that has ended.
-func (l *link) broken() error {
+func (l *link) closedError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	kind := Unreachable
-	if l.lack {
+	if l.localFailure {
 		kind = HeldUp
 	}
 	return fault.New("home.Place", kind, nil)
 }
 
 // deliver hands an answer to the request that waits for it.
-func (l *link) deliver(permit uint64, a Answer) {
+func (l *link) deliver(permit uint64, resp Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.missed = 0
-	if ch, ok := l.waiting[permit]; ok {
-		delete(l.waiting, permit)
-		ch <- a
+	l.missedResponses = 0
+	if ch, ok := l.pending[permit]; ok {
+		delete(l.pending, permit)
+		ch <- resp
 	}
 }
 
 // maxMissed is how many answers in a row may be missing before a link counts as dead.
-const maxMissed = 2
+const maxMissedResponses = 2
 
 // miss notes an answer that did not come in time and reports whether the link is dead.
-func (l *link) miss() bool {
+func (l *link) recordMissed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.missed++
-	return l.missed >= maxMissed
+	l.missedResponses++
+	return l.missedResponses >= maxMissedResponses
 }
 
 // fail ends all that waits, since no answer will come.
-func (l *link) fail() {
+func (l *link) failPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.closed = true
 	close(l.done)
-	for permit, ch := range l.waiting {
-		delete(l.waiting, permit)
+	for permit, ch := range l.pending {
+		delete(l.pending, permit)
 		close(ch)
 	}
 }
 
 // post queues something and reports whether there was room.
-func (l *link) post(item linkItem) bool {
+func (l *link) enqueue(item linkItem) bool {
 	select {
 	case l.out <- item:
 		return true
@@ -204,7 +204,7 @@
 }
 
 // shift adds an offset to permits; a negative one is its two's complement.
-func shift(permits []uint64, by uint64) []uint64 {
+func offsetPermits(permits []uint64, by uint64) []uint64 {
 	out := make([]uint64, len(permits))
 	for i, p := range permits {
 		out[i] = p + by
@@ -214,51 +214,51 @@
 
 // release gives permits back.
 func (l *link) release(id place.ShardID, released []uint64) {
-	l.post(linkItem{release: &peerpb.ReleaseRequest{
-		Pool: uint32(id.Pool.Hash()), Shard: uint32(id.Shard), Released: shift(released, -l.base),
+	l.enqueue(linkItem{release: &peerpb.ReleaseRequest{
+		Pool: uint32(id.Pool.Hash()), Shard: uint32(id.Shard), Released: offsetPermits(released, -l.base),
 	}})
 }
 
 // place asks for a permit and waits for the answer.
-func (l *link) place(ctx context.Context, ask Ask, released []uint64) (Answer, error) {
+func (l *link) place(ctx context.Context, req Ask, released []uint64) (Answer, error) {
 	const op = "home.Place"
-	ch, open := l.expect(ask.Permit)
+	ch, open := l.register(req.Permit)
 	if !open {
-		return Answer{}, l.broken()
+		return Answer{}, l.closedError()
 	}
-	if !l.post(linkItem{place: encodeAsk(ask, released, l.base)}) {
-		l.forget(ask.Permit)
+	if !l.enqueue(linkItem{place: encodePermitRequest(req, released, l.base)}) {
+		l.unregister(req.Permit)
 		return Answer{}, fault.New(op, Unreachable, nil)
 	}
 	select {
-	case a, ok := <-ch:
+	case resp, ok := <-ch:
 		if !ok {
-			return Answer{}, l.broken()
+			return Answer{}, l.closedError()
 		}
-		return a, nil
+		return resp, nil
 	case <-ctx.Done():
-		l.forget(ask.Permit)
-		l.post(linkItem{cancel: ask.Permit - l.base})
+		l.unregister(req.Permit)
+		l.enqueue(linkItem{cancel: req.Permit - l.base})
 		return Answer{}, fault.New(op, Unreachable, ctx.Err())
 	}
 }
 
 // expect notes that a request waits and returns where its answer comes; false means that
 // the link has broken.
-func (l *link) expect(permit uint64) (<-chan Answer, bool) {
+func (l *link) register(permit uint64) (<-chan Answer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil, false
 	}
 	ch := make(chan Answer, 1)
-	l.waiting[permit] = ch
+	l.pending[permit] = ch
 	return ch, true
 }
 
 // forget takes a request off those that wait.
-func (l *link) forget(permit uint64) {
+func (l *link) unregister(permit uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	delete(l.waiting, permit)
+	delete(l.pending, permit)
 }
--- a/internal/share/home/links.go
+++ b/internal/share/home/links.go
@@ -30,10 +30,10 @@
 	if err != nil {
 		return nil, fault.New("home.link", Unreachable, err)
 	}
-	l := openLink(client, ls.self, func(gone *link) {
+	l := openLink(client, ls.self, func(closed *link) {
 		ls.mu.Lock()
 		defer ls.mu.Unlock()
-		if ls.open[home] == gone {
+		if ls.open[home] == closed {
 			delete(ls.open, home)
 		}
 	})
@@ -43,7 +43,7 @@
 
 // drop ends the link to a home that does not answer, so that the next request
 // opens a new one.
-func (ls *links) drop(home ident.Router) {
+func (ls *links) closeLink(home ident.Router) {
 	ls.mu.Lock()
 	l, ok := ls.open[home]
 	delete(ls.open, home)
--- a/internal/share/home/move.go
+++ b/internal/share/home/move.go
@@ -37,7 +37,7 @@
 		case s.movedTo != to:
 			out = append(out, Transfer{ID: id, To: to, Places: s.home.Places(maxTransferPlaces)})
 		case s.home.Len() == 0 && s.queue.Len() == 0:
-			h.drop(id, s)
+			h.removeShard(id, s)
 		}
 	}
 	return out
@@ -47,7 +47,7 @@
 // the homes here, for the homes of those. Without their places they would be read again, or
 // copied from engines that share only the beginning of their prompts; the caller holds the
 // lock.
-func (h *Homes) regroup(name ident.Pool, bound place.Bound, roster *place.Roster) {
+func (h *Homes) reshard(name ident.Pool, bound place.Bound, roster *place.Roster) {
 	pool := place.NewPool(name, roster.Shards(), bound)
 	pool.SetRoster(roster)
 	byShard := map[place.ShardID][]place.ChatPlace{}
@@ -63,7 +63,7 @@
 		}
 	}
 	for id, places := range byShard {
-		h.regrouped = append(h.regrouped, Transfer{ID: id, Places: places})
+		h.resharded = append(h.resharded, Transfer{ID: id, Places: places})
 	}
 }
 
@@ -71,8 +71,8 @@
 func (h *Homes) Regrouped() []Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	out := h.regrouped
-	h.regrouped = nil
+	out := h.resharded
+	h.resharded = nil
 	return out
 }
 
@@ -86,29 +86,29 @@
 	}
 	s.movedTo = to
 	for {
-		next, late := s.queue.Pop(time.Time{})
-		for _, w := range late {
-			w.Value.(*waiting).answer <- Answer{Result: Moved}
+		next, expired := s.queue.Pop(time.Time{})
+		for _, w := range expired {
+			w.Value.(*queuedRequest).response <- Answer{Result: Moved}
 		}
 		if next == nil {
 			break
 		}
-		next.Value.(*waiting).answer <- Answer{Result: Moved}
+		next.Value.(*queuedRequest).response <- Answer{Result: Moved}
 	}
 	// The new home knows of what is still counted here from the next digest alone.
-	h.hurry(s)
+	h.markUrgent(s)
 }
 
 // drop forgets a shard that nobody asks for here any more. Its last digest says that nothing is
 // counted here; the caller holds the lock.
-func (h *Homes) drop(id place.ShardID, s *shard) {
+func (h *Homes) removeShard(id place.ShardID, s *shard) {
 	last := s.home.Digest()
 	h.seq = max(h.seq, last.Seq)
-	h.lastDigests = append(h.lastDigests, last)
+	h.finalDigests = append(h.finalDigests, last)
 	delete(h.shards, id)
 	// Some routers may take this one for home again.
-	h.keepPlaces(id, s.home.Places(maxTransferPlaces))
-	h.signal()
+	h.storePlaces(id, s.home.Places(maxTransferPlaces))
+	h.signalUrgent()
 }
 
 // Accept takes in a transfer.
@@ -116,10 +116,10 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if p.Replica {
-		h.keepPlaces(p.ID, p.Places)
+		h.storePlaces(p.ID, p.Places)
 		return
 	}
-	h.at(p.ID).home.Learn(p.Places)
+	h.getOrCreate(p.ID).home.Learn(p.Places)
 }
 
 // Grant hands out a workspace's tokens. A bucket that is new here starts with no
@@ -143,7 +143,7 @@
 }
 
 // maxExported bounds the chats whose prefixes are copied off one leaving engine.
-const maxExported = 2000
+const maxExportedChats = 2000
 
 // PlanExport plans where the chats of a leaving engine go, if its shard's home is here.
 func (h *Homes) PlanExport(id place.ShardID, engine ident.TargetHash) []place.Export {
@@ -153,7 +153,7 @@
 	if !ok {
 		return nil
 	}
-	return s.home.PlanExport(engine, maxExported)
+	return s.home.PlanExport(engine, maxExportedChats)
 }
 
 // Exported notes that chats' prefixes have been copied.
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -28,9 +28,9 @@
 	defer h.mu.Unlock()
 	now := h.clock()
 	for _, s := range h.shards {
-		if lapsed := s.home.Lapse(now, permitLease); lapsed > 0 {
-			s.corrected.Lapsed += lapsed
-			h.hurry(s)
+		if expired := s.home.Lapse(now, permitLease); expired > 0 {
+			s.correction.Lapsed += expired
+			h.markUrgent(s)
 			h.dispatch(s)
 		}
 	}
@@ -47,7 +47,7 @@
 		s.home.Release(edge, id)
 	}
 	left := s.home.Granted()
-	s.rate.note(h.clock(), before-left, left)
+	s.rate.record(h.clock(), before-left, left)
 	h.dispatch(s)
 }
 
@@ -56,10 +56,10 @@
 func (h *Homes) Sync(id place.ShardID, edge ident.Router, held []place.Permit, upto uint64, from ident.Router) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	s := h.at(id)
-	s.corrected.Listed += s.changed(func() { s.home.Sync(edge, held, upto, from) })
+	s := h.getOrCreate(id)
+	s.correction.Listed += s.permitCountChange(func() { s.home.Sync(edge, held, upto, from) })
 	s.home.Heard(h.clock(), edge)
-	h.hurry(s)
+	h.markUrgent(s)
 	h.dispatch(s)
 }
 
@@ -73,8 +73,8 @@
 	if !known {
 		return
 	}
-	s.corrected.Withdrawn -= s.changed(func() { s.home.Forget(edge, upto+1) })
-	h.hurry(s)
+	s.correction.Withdrawn -= s.permitCountChange(func() { s.home.Forget(edge, upto+1) })
+	h.markUrgent(s)
 	h.dispatch(s)
 }
 
@@ -82,7 +82,7 @@
 func (h *Homes) Doubt(edges []ident.Router) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	h.doubted = edges
+	h.suspectEdges = edges
 	for _, s := range h.shards {
 		s.home.Doubt(edges)
 	}
@@ -105,7 +105,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.shards {
-		s.corrected.Forgotten -= s.changed(func() { s.home.ForgetBelow(below) })
+		s.correction.Forgotten -= s.permitCountChange(func() { s.home.ForgetBelow(below) })
 		h.dispatch(s)
 	}
 }
@@ -124,12 +124,12 @@
 }
 
 // ReleaseAt gives permits back to a shard of a pool known by its hash.
-func (h *Homes) ReleaseAt(hash ident.PoolHash, shard ident.Shard, edge ident.Router, released []uint64) {
-	h.Release(place.ShardID{Pool: h.poolName(hash), Shard: shard}, edge, released)
+func (h *Homes) ReleaseByPoolHash(hash ident.PoolHash, shard ident.Shard, edge ident.Router, released []uint64) {
+	h.Release(place.ShardID{Pool: h.poolByHash(hash), Shard: shard}, edge, released)
 }
 
 // dropPermit gives back a permit of any shard.
-func (h *Homes) dropPermit(edge ident.Router, permit uint64) {
+func (h *Homes) releaseFromAnyShard(edge ident.Router, permit uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.shards {
--- a/internal/share/home/publish.go
+++ b/internal/share/home/publish.go
@@ -10,26 +10,26 @@
 
 const (
 	// publishEvery is the least time between two digests of one shard.
-	publishEvery = 900 * time.Millisecond
+	minPublishInterval = 900 * time.Millisecond
 	// renewEvery is how often an unchanged digest is published again, well within its life.
-	renewEvery = 2 * time.Second
+	republishInterval = 2 * time.Second
 )
 
 // heard is a digest with the time at which it came; one of a home that is gone must
 // not come to life again in a home that is made later.
-type heard struct {
+type receivedDigest struct {
 	digest place.Digest
 	at     time.Time
 }
 
 // hurry has a shard's count published at once.
-func (h *Homes) hurry(s *shard) {
-	s.jumped = true
-	h.signal()
+func (h *Homes) markUrgent(s *shard) {
+	s.urgent = true
+	h.signalUrgent()
 }
 
 // signal asks for a publication at once, unless that has been asked already.
-func (h *Homes) signal() {
+func (h *Homes) signalUrgent() {
 	select {
 	case h.urgent <- struct{}{}:
 	default:
@@ -45,12 +45,12 @@
 	defer h.mu.Unlock()
 	now := h.clock()
 	for _, d := range digests {
-		if h.loads[d.ID] == nil {
-			h.loads[d.ID] = map[ident.Router]heard{}
+		if h.peerDigests[d.ID] == nil {
+			h.peerDigests[d.ID] = map[ident.Router]receivedDigest{}
 		}
-		h.keepPlaces(d.ID, d.Places)
+		h.storePlaces(d.ID, d.Places)
 		d.Places = nil
-		h.loads[d.ID][d.Home] = heard{digest: d, at: now}
+		h.peerDigests[d.ID][d.Home] = receivedDigest{digest: d, at: now}
 		for id, s := range h.shards {
 			if id.Pool == d.ID.Pool {
 				s.home.Merge(now, d)
@@ -60,7 +60,7 @@
 }
 
 // keepPlaces keeps chat places of a shard of which another router is home.
-func (h *Homes) keepPlaces(id place.ShardID, places []place.ChatPlace) {
+func (h *Homes) storePlaces(id place.ShardID, places []place.ChatPlace) {
 	if s, here := h.shards[id]; here {
 		s.home.Learn(places)
 		return
@@ -95,7 +95,7 @@
 	for _, d := range h.Digests() {
 		p := Publication{Digest: d, To: place.Standbys(d.ID, h.self, live, known)}
 		if len(p.To) > 0 {
-			p.Whole = h.wholeFor(d.ID, p.To[0])
+			p.Whole = h.fullPlaces(d.ID, p.To[0])
 		}
 		out = append(out, p)
 	}
@@ -103,7 +103,7 @@
 }
 
 // wholeFor returns all chat places of a shard if a router has just become its first standby.
-func (h *Homes) wholeFor(id place.ShardID, standby ident.Router) *Transfer {
+func (h *Homes) fullPlaces(id place.ShardID, standby ident.Router) *Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, ok := h.shards[id]
@@ -120,18 +120,18 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
-	out := h.lastDigests
-	h.lastDigests = nil
+	out := h.finalDigests
+	h.finalDigests = nil
 	for _, s := range h.shards {
-		age := now.Sub(s.sentAt)
-		if age < publishEvery && !s.jumped {
+		age := now.Sub(s.publishedAt)
+		if age < minPublishInterval && !s.urgent {
 			continue
 		}
 		d := s.home.Digest()
-		if age < renewEvery && len(d.Places) == 0 && sameLoads(d, s.sent) {
+		if age < republishInterval && len(d.Places) == 0 && sameLoads(d, s.published) {
 			continue
 		}
-		s.sent, s.sentAt, s.jumped = d, now, false
+		s.published, s.publishedAt, s.urgent = d, now, false
 		out = append(out, d)
 	}
 	return out
--- a/internal/share/home/rate.go
+++ b/internal/share/home/rate.go
@@ -15,13 +15,13 @@
 type releaseRate struct {
 	// released is the work that came back, flown the work in flight times seconds; both
 	// count half after rateHalfLife.
-	released float64
-	flown    float64
+	releasedWork float64
+	workSeconds  float64
 	// inFlight is the work in flight since at.
 	inFlight ident.Work
 	at       time.Time
 	// last is when work came back last.
-	last time.Time
+	lastRelease time.Time
 }
 
 const (
@@ -31,40 +31,40 @@
 )
 
 // note counts work that came back and what is in flight from now on.
-func (r *releaseRate) note(now time.Time, released, inFlight ident.Work) {
-	if passed := now.Sub(r.at); passed > 0 && !r.at.IsZero() {
-		kept := decay.Kept(passed, rateHalfLife)
-		r.released *= kept
+func (r *releaseRate) record(now time.Time, releasedWork, inFlight ident.Work) {
+	if elapsed := now.Sub(r.at); elapsed > 0 && !r.at.IsZero() {
+		kept := decay.Kept(elapsed, rateHalfLife)
+		r.releasedWork *= kept
 		// The work in flight since the last note decays as it is added.
 		halfLife := rateHalfLife.Seconds() / math.Ln2
-		r.flown = r.flown*kept + float64(r.inFlight)*halfLife*(1-kept)
+		r.workSeconds = r.workSeconds*kept + float64(r.inFlight)*halfLife*(1-kept)
 	}
-	if released > 0 {
-		r.last = now
+	if releasedWork > 0 {
+		r.lastRelease = now
 	}
-	r.released += float64(released)
+	r.releasedWork += float64(releasedWork)
 	r.inFlight = inFlight
 	r.at = now
 }
 
 // perSecond is the number of requests a second whose work comes back at the present work
 // in flight, zero while that is unknown.
-func (r *releaseRate) perSecond() float64 {
-	if r.flown <= 0 {
+func (r *releaseRate) requestsPerSecond() float64 {
+	if r.workSeconds <= 0 {
 		return 0
 	}
-	return r.released / r.flown * float64(r.inFlight) / float64(ident.OneRequest)
+	return r.releasedWork / r.workSeconds * float64(r.inFlight) / float64(ident.OneRequest)
 }
 
 // wait is how long a newcomer waits behind some others, if that is known.
-func (r *releaseRate) wait(ahead int) (wait time.Duration, known bool) {
-	perSecond := r.perSecond()
-	if perSecond <= 0 {
+func (r *releaseRate) queueDelay(ahead int) (queueDelay time.Duration, known bool) {
+	requestsPerSecond := r.requestsPerSecond()
+	if requestsPerSecond <= 0 {
 		return 0, false
 	}
-	seconds := min(float64(ahead+1)/perSecond, quota.MaxReturn.Seconds())
+	seconds := min(float64(ahead+1)/requestsPerSecond, quota.MaxReturn.Seconds())
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
 // stoodStill reports whether nothing has come back since a time.
-func (r *releaseRate) stoodStill(since time.Time) bool { return !r.last.After(since) }
+func (r *releaseRate) noReleaseSince(since time.Time) bool { return !r.lastRelease.After(since) }
--- a/internal/share/home/regroup_test.go
+++ b/internal/share/home/regroup_test.go
@@ -11,7 +11,7 @@
 
 // When a pool grows beyond its shards, its chats still find the engines that have their
 // prompts: half of the chats prefer another shard, and half of the engines belong to one.
-func TestPlacesFollowAChangeOfShards(t *testing.T) {
+func TestPlacesFollowResharding(t *testing.T) {
 	before, _, _ := newHomes()
 	after, _, _ := newHomes()
 	var engines []place.Engine
@@ -21,8 +21,8 @@
 	}
 	before.SetPool(pool, place.BoundOf(4), place.NewRoster(1, engines))
 	const chats = 200
-	ran := map[ident.ChatKey]ident.TargetHash{}
-	ask := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.Answer {
+	firstEngine := map[ident.ChatKey]ident.TargetHash{}
+	request := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.Answer {
 		return h.Place(t.Context(), home.Ask{
 			Shard:   place.ShardID{Pool: pool, Shard: shard},
 			Request: place.Request{Edge: "edge", Permit: permit, Key: key, Work: ident.OneRequest, Must: true},
@@ -33,7 +33,7 @@
 		keys = append(keys, ident.NewChatKey("", fmt.Sprint(i)))
 	}
 	for i, key := range keys {
-		ran[key] = ask(before, 0, key, uint64(i)+1).Engine
+		firstEngine[key] = request(before, 0, key, uint64(i)+1).Engine
 	}
 	const shards = 2
 	before.SetPool(pool, place.BoundOf(4), place.NewRoster(shards, engines))
@@ -51,8 +51,8 @@
 			moved++
 			homes = after
 		}
-		a := ask(homes, first, key, uint64(chats+i)+1)
-		if a.Engine != ran[key] && a.Holder != ran[key] {
+		a := request(homes, first, key, uint64(chats+i)+1)
+		if a.Engine != firstEngine[key] && a.Holder != firstEngine[key] {
 			lost++
 		}
 	}
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -55,36 +55,36 @@
 }
 
 // Place asks a home for a permit.
-func (r *Remote) Place(ctx context.Context, home ident.Router, ask Ask, released []uint64) (Answer, error) {
+func (r *Remote) Place(ctx context.Context, home ident.Router, req Ask, released []uint64) (Answer, error) {
 	if home == r.self {
-		return r.local.Place(ctx, ask, released), nil
+		return r.local.Place(ctx, req, released), nil
 	}
 	l, err := r.links.to(home)
 	if err != nil {
 		return Answer{}, err
 	}
-	began := time.Now()
-	limit := r.timeout + ask.Wait
-	limited, cancel := context.WithTimeout(ctx, limit)
+	start := time.Now()
+	maxWait := r.timeout + req.Wait
+	limited, cancel := context.WithTimeout(ctx, maxWait)
 	defer cancel()
-	a, err := l.place(limited, ask, released)
+	resp, err := l.place(limited, req, released)
 	if err == nil || ctx.Err() != nil {
-		return a, err
+		return resp, err
 	}
-	if late := time.Since(began) - limit; late > heldUp {
-		return a, fault.New("home.Place", HeldUp, err)
+	if late := time.Since(start) - maxWait; late > maxLocalDelay {
+		return resp, fault.New("home.Place", HeldUp, err)
 	}
-	if l.miss() {
-		r.links.drop(home)
+	if l.recordMissed() {
+		r.links.closeLink(home)
 		r.clients.Unanswered(home)
 	}
-	return a, err
+	return resp, err
 }
 
 // heldUp is how late the end of a request's time may be noticed before this router counts
 // as held up itself. Routers that blamed homes for their own lack of processor time took
 // several for home of one shard, each for itself, for as long as they were pressed.
-const heldUp = 50 * time.Millisecond
+const maxLocalDelay = 50 * time.Millisecond
 
 // Release gives permits back to a home.
 func (r *Remote) Release(_ context.Context, home ident.Router, id place.ShardID, released []uint64) error {
@@ -103,12 +103,12 @@
 // Publish tells a router that is next in line what this home counts.
 func (r *Remote) Publish(to ident.Router, d place.Digest) {
 	if l, err := r.links.to(to); err == nil {
-		l.post(linkItem{load: encodeLoad(d)})
+		l.enqueue(linkItem{load: encodeDigest(d)})
 	}
 }
 
 // LoadSize is the size of a digest on the wire, in bytes without framing.
-func LoadSize(d place.Digest) int { return proto.Size(encodeLoad(d)) }
+func LoadSize(d place.Digest) int { return proto.Size(encodeDigest(d)) }
 
 // Sync tells a home all permits that this router holds in a shard.
 func (r *Remote) Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
@@ -149,8 +149,8 @@
 
 // PlaceSize is the size of a request for a permit and its answer on the wire, in
 // bytes without framing.
-func PlaceSize(ask Ask, released []uint64, answer Answer) int {
-	return proto.Size(encodeAsk(ask, released, 0)) + proto.Size(encodeAnswer(answer))
+func PlaceSize(req Ask, released []uint64, answer Answer) int {
+	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(answer))
 }
 
 // HandoffSize is the size of a transfer on the wire, in bytes without framing.
--- a/internal/share/home/session.go
+++ b/internal/share/home/session.go
@@ -17,8 +17,8 @@
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	defer cancel()
-	session := &session{server: s, ctx: ctx, replies: make(chan *peerpb.PlaceReply, linkBacklog), cancels: map[uint64]context.CancelFunc{}}
-	wg.Go(func() { session.reply(stream, cancel) })
+	session := &session{server: s, ctx: ctx, replies: make(chan *peerpb.PlaceReply, maxLinkQueue), cancels: map[uint64]context.CancelFunc{}}
+	wg.Go(func() { session.writeReplies(stream, cancel) })
 	for {
 		message, err := stream.Receive()
 		if err != nil {
@@ -32,7 +32,7 @@
 				return err
 			}
 		}
-		session.take(&wg, message)
+		session.handle(&wg, message)
 	}
 }
 
@@ -50,28 +50,28 @@
 }
 
 // take does what a message asks for; requests that can wait are answered later.
-func (s *session) take(wg *sync.WaitGroup, message *peerpb.LinkRequest) {
+func (s *session) handle(wg *sync.WaitGroup, message *peerpb.LinkRequest) {
 	for _, m := range message.GetReleases() {
-		s.server.homes.ReleaseAt(ident.PoolHash(m.GetPool()), ident.Shard(m.GetShard()), s.edge, shift(m.GetReleased(), s.base))
+		s.server.homes.ReleaseByPoolHash(ident.PoolHash(m.GetPool()), ident.Shard(m.GetShard()), s.edge, offsetPermits(m.GetReleased(), s.base))
 	}
 	for _, m := range message.GetLoads() {
-		s.server.homes.Merge([]place.Digest{decodeLoad(s.edge, s.server.homes.poolName(ident.PoolHash(m.GetPool())), m)})
+		s.server.homes.Merge([]place.Digest{decodeDigest(s.edge, s.server.homes.poolByHash(ident.PoolHash(m.GetPool())), m)})
 	}
 	for _, permit := range message.GetCancels() {
 		s.cancel(permit + s.base)
 	}
 	for _, m := range message.GetPlaces() {
-		ask := s.ask(m)
-		released := shift(m.GetReleased(), s.base)
-		if ask.Wait <= 0 {
-			s.answer(ask.Permit, s.server.homes.Place(s.ctx, ask, released))
+		permitRequest := s.permitRequest(m)
+		released := offsetPermits(m.GetReleased(), s.base)
+		if permitRequest.Wait <= 0 {
+			s.respond(permitRequest.Permit, s.server.homes.Place(s.ctx, permitRequest, released))
 			continue
 		}
-		ctx, done := s.cancellable(ask.Permit)
+		ctx, done := s.cancellableContext(permitRequest.Permit)
 		wg.Go(func() {
-			a := s.server.homes.Place(ctx, ask, released)
+			resp := s.server.homes.Place(ctx, permitRequest, released)
 			done()
-			s.answer(ask.Permit, a)
+			s.respond(permitRequest.Permit, resp)
 		})
 	}
 }
@@ -87,7 +87,7 @@
 
 // cancellable returns a context for the waiting of a request that the edge can end, and
 // the function to call once it waits no more.
-func (s *session) cancellable(permit uint64) (context.Context, func()) {
+func (s *session) cancellableContext(permit uint64) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -101,36 +101,36 @@
 }
 
 // ask reads a request for a permit in the edge's name.
-func (s *session) ask(m *peerpb.PlaceRequest) Ask {
-	ask := decodeAsk(m)
-	ask.Edge, ask.Zone = s.edge, s.zone
-	ask.Permit += s.base
-	ask.Shard.Pool = s.server.homes.poolName(ident.PoolHash(m.GetPool()))
-	return ask
+func (s *session) permitRequest(m *peerpb.PlaceRequest) Ask {
+	permitRequest := decodePermitRequest(m)
+	permitRequest.Edge, permitRequest.Zone = s.edge, s.zone
+	permitRequest.Permit += s.base
+	permitRequest.Shard.Pool = s.server.homes.poolByHash(ident.PoolHash(m.GetPool()))
+	return permitRequest
 }
 
 // answer queues the answer to a request for a permit.
-func (s *session) answer(permit uint64, a Answer) {
-	m := encodeAnswer(a)
+func (s *session) respond(permit uint64, resp Answer) {
+	m := encodePermitResponse(resp)
 	m.Permit = permit - s.base
 	select {
 	case s.replies <- m:
 	case <-s.ctx.Done():
-		if a.Result == Placed {
+		if resp.Result == Placed {
 			// Nobody can learn of the permit any more.
-			s.server.homes.dropPermit(s.edge, permit)
+			s.server.homes.releaseFromAnyShard(s.edge, permit)
 		}
 	}
 }
 
 // reply writes answers, as many as are there in one message.
-func (s *session) reply(stream *connect.BidiStream[peerpb.LinkRequest, peerpb.LinkReply], cancel context.CancelFunc) {
+func (s *session) writeReplies(stream *connect.BidiStream[peerpb.LinkRequest, peerpb.LinkReply], cancel context.CancelFunc) {
 	for {
 		select {
 		case <-s.ctx.Done():
 			return
 		case first := <-s.replies:
-			if stream.Send(s.gather(first)) != nil {
+			if stream.Send(s.batchReplies(first)) != nil {
 				cancel()
 				return
 			}
@@ -139,9 +139,9 @@
 }
 
 // gather puts an answer and those that are there after it into one message.
-func (s *session) gather(first *peerpb.PlaceReply) *peerpb.LinkReply {
+func (s *session) batchReplies(first *peerpb.PlaceReply) *peerpb.LinkReply {
 	message := &peerpb.LinkReply{Places: []*peerpb.PlaceReply{first}}
-	for len(message.Places) < linkBatch {
+	for len(message.Places) < maxLinkBatch {
 		select {
 		case next := <-s.replies:
 			message.Places = append(message.Places, next)
--- a/internal/share/home/split_test.go
+++ b/internal/share/home/split_test.go
@@ -10,7 +10,7 @@
 )
 
 // allowedOver is the part of the requests that may go above the promise.
-const allowedOver = 0.03
+const maxOverRatio = 0.03
 
 // Seen: for five seconds after a surge 4 to 8 in 100 requests reached engines that held over
 // twice the mean, some three times. How: the home of 18 engines was short of processor time, so that
@@ -20,24 +20,24 @@
 // for as long as that lasted, and each hand-over added more. Proof: the home counted 26 to 30
 // requests an engine where 11 were, and here twice the truth after 8 s; with the mean the
 // bound was too high.
-func TestBoundWhileOneRouterAsksAnotherHome(t *testing.T) {
+func TestBoundWhileOneRouterUsesStandby(t *testing.T) {
 	for seed := range uint64(5) {
-		f := newSplitFleet(seed, smallFleet)
-		first := f.split(t, seed)
-		other := f.otherThan(first, f.assigned.Next(id, first))
-		other.deaf = func(to ident.Router) bool { return to == first }
+		f := newFleet(seed, smallFleet)
+		first := f.startTraffic(t, seed)
+		other := f.memberExcept(first, f.assigned.Next(id, first))
+		other.unanswered = func(to ident.Router) bool { return to == first }
 		f.expectBound(t, seed)
 	}
 }
 
 // The home answers each router now and then, so that all change between it and the next in line.
-func TestBoundWhileRoutersChangeHomes(t *testing.T) {
+func TestBoundWhileRoutersAlternateHomes(t *testing.T) {
 	for seed := range uint64(5) {
-		f := newSplitFleet(seed, smallFleet)
-		first := f.split(t, seed)
-		for _, b := range f.boxes {
+		f := newFleet(seed, smallFleet)
+		first := f.startTraffic(t, seed)
+		for _, b := range f.members {
 			if b.id != first {
-				b.deaf = func(to ident.Router) bool { return to == first && f.rng.IntN(20) == 0 }
+				b.unanswered = func(to ident.Router) bool { return to == first && f.rng.IntN(20) == 0 }
 			}
 		}
 		f.expectBound(t, seed)
@@ -50,16 +50,16 @@
 // Proof: an engine's part of 62 routers is a third of a request each; rounding it up makes 62.
 func TestBoundWithoutHomes(t *testing.T) {
 	for seed := range uint64(3) {
-		f := newSplitFleet(seed, largeFleet)
-		for _, b := range f.boxes {
-			b.deaf = func(to ident.Router) bool { return to != b.id }
+		f := newFleet(seed, largeFleet)
+		for _, b := range f.members {
+			b.unanswered = func(to ident.Router) bool { return to != b.id }
 		}
 		f.traffic(80*time.Millisecond, 700*time.Millisecond)
 		f.runFor(3 * time.Second)
-		f.share()
+		f.overRatio()
 		f.runFor(5 * time.Second)
-		if share := f.share(); share > allowedOver {
-			t.Errorf("seed %d: %.3f of the requests above the promise", seed, share)
+		if overRatio := f.overRatio(); overRatio > maxOverRatio {
+			t.Errorf("seed %d: %.3f of the requests above the promise", seed, overRatio)
 		}
 	}
 }
@@ -68,79 +68,79 @@
 // routers that take others for gone, over and over.
 func TestBoundUnderRandomDisagreement(t *testing.T) {
 	for seed := range sched.Seeds(5) {
-		f := newSplitFleet(seed, smallFleet)
+		f := newFleet(seed, smallFleet)
 		f.traffic(25*time.Millisecond, 400*time.Millisecond)
-		f.every(700*time.Millisecond, f.disagree)
+		f.every(700*time.Millisecond, f.injectDisagreement)
 		f.runFor(3 * time.Second)
-		f.share()
+		f.overRatio()
 		for range 4 {
 			f.runFor(5 * time.Second)
-			if share := f.share(); share > allowedOver {
-				t.Errorf("seed %d: %.3f of the requests above the promise", seed, share)
+			if overRatio := f.overRatio(); overRatio > maxOverRatio {
+				t.Errorf("seed %d: %.3f of the requests above the promise", seed, overRatio)
 			}
 		}
 	}
 }
 
 // disagree starts one disagreement that ends by itself.
-func (f *splitFleet) disagree() {
-	b := f.boxes[f.rng.IntN(len(f.boxes))]
-	lasts := time.Duration(500+f.rng.IntN(4000)) * time.Millisecond
+func (f *fleet) injectDisagreement() {
+	b := f.members[f.rng.IntN(len(f.members))]
+	duration := time.Duration(500+f.rng.IntN(4000)) * time.Millisecond
 	switch f.rng.IntN(3) {
 	case 0:
-		share := f.rng.IntN(4)
-		b.deaf = func(ident.Router) bool { return f.rng.IntN(4) <= share }
-		f.after(lasts, func() { b.deaf = nil })
+		level := f.rng.IntN(4)
+		b.unanswered = func(ident.Router) bool { return f.rng.IntN(4) <= level }
+		f.after(duration, func() { b.unanswered = nil })
 	case 1:
-		for _, other := range f.boxes {
+		for _, other := range f.members {
 			if other != b {
-				other.deaf = func(to ident.Router) bool { return to == b.id }
-				f.after(lasts, func() { other.deaf = nil })
+				other.unanswered = func(to ident.Router) bool { return to == b.id }
+				f.after(duration, func() { other.unanswered = nil })
 			}
 		}
 	default:
-		lost := f.assigned.Home(id)
-		if lost == b.id {
+		removed := f.assigned.Home(id)
+		if removed == b.id {
 			return
 		}
-		f.see(b, slices.DeleteFunc(slices.Clone(f.names), func(n ident.Router) bool { return n == lost }))
-		f.after(lasts, func() { f.see(b, f.names) })
+		f.setLive(b, slices.DeleteFunc(slices.Clone(f.names), func(n ident.Router) bool { return n == removed }))
+		f.after(duration, func() { f.setLive(b, f.names) })
 	}
 }
 
 // split starts the traffic and returns the home that some routers are to pass over.
-func (f *splitFleet) split(t *testing.T, seed uint64) ident.Router {
+func (f *fleet) startTraffic(t *testing.T, seed uint64) ident.Router {
 	t.Helper()
 	f.traffic(25*time.Millisecond, 400*time.Millisecond)
 	f.runFor(3 * time.Second)
-	if share := f.share(); share > allowedOver {
-		t.Errorf("seed %d: %.3f of the requests above the promise with one home", seed, share)
+	if overRatio := f.overRatio(); overRatio > maxOverRatio {
+		t.Errorf("seed %d: %.3f of the requests above the promise with one home", seed, overRatio)
 	}
 	return f.assigned.Home(id)
 }
 
 // otherThan returns a box that is none of some.
-func (f *splitFleet) otherThan(not ...ident.Router) *box {
-	return f.boxes[slices.IndexFunc(f.boxes, func(b *box) bool { return !slices.Contains(not, b.id) })]
+func (f *fleet) memberExcept(excluded ...ident.Router) *member {
+	return f.members[slices.IndexFunc(f.members, func(b *member) bool { return !slices.Contains(excluded, b.id) })]
 }
 
 // expectBound watches the promise and the home's count while routers disagree.
-func (f *splitFleet) expectBound(t *testing.T, seed uint64) {
+func (f *fleet) expectBound(t *testing.T, seed uint64) {
 	t.Helper()
 	f.runFor(3 * time.Second)
-	f.share()
+	f.overRatio()
 	f.runFor(5 * time.Second)
-	if share := f.share(); share > allowedOver {
-		t.Errorf("seed %d: %.3f of the requests above the promise", seed, share)
+	if overRatio := f.overRatio(); overRatio > maxOverRatio {
+		t.Errorf("seed %d: %.3f of the requests above the promise", seed, overRatio)
 	}
-	permits, _ := f.box(f.assigned.Home(id)).homes.InFlight()
+	permits, _ := f.member(f.assigned.Home(id)).homes.InFlight()
 	if held := f.total(); permits > held*3/2 {
 		t.Errorf("seed %d: the home counts %d permits, and %d are held", seed, permits, held)
 	}
 }
 
 // total is what all engines hold.
-func (f *splitFleet) total() int {
+func (f *fleet) total() int {
 	total := 0
 	for _, n := range f.held {
 		total += n
