--- a/internal/share/home/ask.go
+++ b/internal/share/home/ask.go
@@ -7,25 +7,26 @@
 	"valescale/internal/rule/place"
 )
 
-// Result is what a home answers to a request for a permit.
+// Result is the outcome of a permit request.
 type Result int
 
 const (
 	// Placed means that the request holds a permit.
 	Placed Result = iota + 1
-	// Full means that another shard may have room.
+	// Full means that the shard has no room; another shard may have some.
 	Full
 	// Empty means that the shard has no usable engine.
 	Empty
-	// Shed means that the request is given up; the caller is told when to come back.
+	// Shed means that the request is rejected because the shard is overloaded. If the edge had no
+	// other shard to try, the answer contains a Retry-After delay.
 	Shed
-	// TimedOut means that no engine became free while the request could wait.
+	// TimedOut means that no engine became free within the time that the request could wait.
 	TimedOut
-	// Moved means that another router is home now.
+	// Moved means that another router is the home of the shard now.
 	Moved
 )
 
-// Ask is one request for a permit.
+// Ask is a permit request.
 type Ask struct {
 	place.Request
 	Shard     place.ShardID
@@ -34,28 +35,30 @@
 	Priority  int
 	// Wait is how much longer the request can wait.
 	Wait time.Duration
-	// Sums are other shards' work as the edge heard it.
+	// Sums are the loads of other shards as last received by the edge router.
 	Sums []place.Sum
-	// Failed are the shard's engines that have failed requests of the edge since it asked
-	// last, once for each request.
+	// Failed are the engines of the shard that have failed requests of the edge router since its
+	// previous permit request, one entry per failed request.
 	Failed []ident.TargetHash
-	// Backoffs are the shard's engines that want no requests from the edge, as they told it since it asked last.
+	// Backoffs are the engines of the shard that have requested a backoff from the edge router
+	// since its previous permit request.
 	Backoffs []place.Backoff
 }
 
-// Answer is what a home says.
+// Answer is the response to a permit request.
 type Answer struct {
 	Result Result
 	Engine ident.TargetHash
 	Warm   bool
-	// Holder is another engine that has the chat's prefix, zero if none is known.
+	// Holder is another engine that has the prompt prefix of the chat cached, zero if none is
+	// recorded.
 	Holder     ident.TargetHash
 	RetryAfter time.Duration
-	// Held is the number of permits that the home believes the edge to hold.
+	// Held is the number of permits that the home counts for the edge router.
 	Held int
-	// Work is the shard's work after this answer, Sums some other shards'.
+	// Work is the load of the shard after this response. Sums are the loads of some other shards.
 	Work ident.Work
 	Sums []place.Sum
-	// Basis is what a placement was decided from.
+	// Basis is the rule and the loads that decided a placement.
 	Basis place.Basis
 }
--- a/internal/share/home/blame.go
+++ b/internal/share/home/blame.go
@@ -7,25 +7,29 @@
 	"valescale/internal/rule/place"
 )
 
-// Blocked is an engine that gets no new work for a while because it failed many requests, or wants none.
+// Blocked is an engine that gets no new work for a limited time, because it failed many requests or
+// requested a backoff.
 type Blocked struct {
 	Shard  place.ShardID
 	Engine ident.TargetHash
-	// Edge and Zone are of the router whose report decided it.
+	// Edge and Zone are those of the router whose report caused the block.
 	Edge ident.Router
 	Zone ident.Zone
-	// Backoff is how long the engine wants no requests if that is why; zero otherwise.
+	// Backoff is the remaining backoff that the engine requested, zero if the engine is blocked for
+	// failures.
 	Backoff time.Duration
 }
 
-// OnBlocked has a function told of each engine that is blocked; it must not call the homes.
+// OnBlocked sets the function that is called for each engine that is blocked. The function is
+// called with the lock held and must not call methods of Homes.
 func (h *Homes) OnBlocked(notify func(Blocked)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.onBlocked = notify
 }
 
-// blame takes in which engines failed an edge's requests, and which want none.
+// recordEngineReports records the failures and backoffs of engines that an edge router reports with
+// a permit request.
 func (h *Homes) recordEngineReports(now time.Time, s *shard, req Ask) {
 	for _, engine := range s.home.Blame(now, req.Edge, req.Zone, req.Failed) {
 		h.reportBlocked(req, engine, 0)
@@ -35,7 +39,8 @@
 	}
 }
 
-// tellBlocked tells of an engine that is blocked from an edge's word on.
+// reportBlocked calls the OnBlocked function for an engine that was blocked because of a report of
+// an edge router.
 func (h *Homes) reportBlocked(req Ask, engine ident.TargetHash, backoff time.Duration) {
 	if h.onBlocked != nil {
 		h.onBlocked(Blocked{Shard: req.Shard, Engine: engine, Edge: req.Edge, Zone: req.Zone, Backoff: backoff})
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -12,27 +12,28 @@
 	return place.ShardID{Pool: ident.Pool(pool), Shard: ident.Shard(shard)}
 }
 
-// encodeAsk returns the wire form of a request, with permits counted from a base on.
-func encodePermitRequest(a Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
+// encodePermitRequest returns the wire form of a permit request. Permit numbers are encoded
+// relative to base.
+func encodePermitRequest(req Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
 	return &peerpb.PlaceRequest{
-		Permit:    a.Permit - base,
-		Pool:      uint32(a.Shard.Pool.Hash()),
-		Shard:     uint32(a.Shard.Shard),
-		Key:       uint64(a.Key),
-		Workspace: string(a.Workspace),
-		Work:      int64(a.Work),
-		Priority:  int32(a.Priority),
-		WaitMs:    a.Wait.Milliseconds(),
-		Must:      a.Must,
+		Permit:    req.Permit - base,
+		Pool:      uint32(req.Shard.Pool.Hash()),
+		Shard:     uint32(req.Shard.Shard),
+		Key:       uint64(req.Key),
+		Workspace: string(req.Workspace),
+		Work:      int64(req.Work),
+		Priority:  int32(req.Priority),
+		WaitMs:    req.Wait.Milliseconds(),
+		Must:      req.Must,
 		Released:  offsetPermits(released, -base),
-		Weight:    int32(a.Weight),
-		Avoid:     encodeHashes(a.Avoid),
-		Lost:      encodeHashes(a.Lost),
-		Last:      uint32(a.Last),
-		Once:      a.Once,
-		Sums:      encodeShardLoads(a.Sums),
-		Failed:    encodeHashes(a.Failed),
-		Backoffs:  encodeBackoffs(a.Backoffs),
+		Weight:    int32(req.Weight),
+		Avoid:     encodeHashes(req.Avoid),
+		Lost:      encodeHashes(req.Lost),
+		Last:      uint32(req.Last),
+		Once:      req.Once,
+		Sums:      encodeShardLoads(req.Sums),
+		Failed:    encodeHashes(req.Failed),
+		Backoffs:  encodeBackoffs(req.Backoffs),
 	}
 }
 
@@ -86,7 +87,8 @@
 	return out
 }
 
-// decodeAsk reads a request but for what its link says of the edge.
+// decodePermitRequest decodes a permit request. Edge, zone, pool and permit base are properties of
+// the link and are set by the session.
 func decodePermitRequest(m *peerpb.PlaceRequest) Ask {
 	return Ask{
 		Request: place.Request{
@@ -110,17 +112,17 @@
 	}
 }
 
-func encodePermitResponse(a Answer) *peerpb.PlaceReply {
-	rule, load, mean := encodeBasis(a.Basis)
+func encodePermitResponse(resp Answer) *peerpb.PlaceReply {
+	rule, load, mean := encodeBasis(resp.Basis)
 	return &peerpb.PlaceReply{
-		Result:       peerpb.PlaceResult(a.Result),
-		Engine:       uint32(a.Engine),
-		Warm:         a.Warm,
-		Holder:       uint32(a.Holder),
-		RetryAfterMs: a.RetryAfter.Milliseconds(),
-		Held:         uint32(a.Held),
-		Work:         int64(a.Work),
-		Sums:         encodeShardLoads(a.Sums),
+		Result:       peerpb.PlaceResult(resp.Result),
+		Engine:       uint32(resp.Engine),
+		Warm:         resp.Warm,
+		Holder:       uint32(resp.Holder),
+		RetryAfterMs: resp.RetryAfter.Milliseconds(),
+		Held:         uint32(resp.Held),
+		Work:         int64(resp.Work),
+		Sums:         encodeShardLoads(resp.Sums),
 		Rule:         rule,
 		Load:         load,
 		Mean:         mean,
@@ -141,10 +143,12 @@
 	}
 }
 
-// basisUnit is how fine a basis travels: it is for logs, and each byte is sent with every permit.
+// basisResolution is the resolution of the loads in an encoded basis. They serve logs only and are
+// sent with every permit, so they are kept short.
 const basisResolution = ident.OneRequest / 10
 
-// encodeBasis writes nothing for the usual rule and for answers without a placement.
+// encodeBasis encodes the default rule, WithinBound, as zero, so that it takes no bytes on the
+// wire. The same holds for responses without a placement.
 func encodeBasis(b place.Basis) (rule, load, mean uint32) {
 	return uint32(max(b.Rule, place.WithinBound) - place.WithinBound), uint32(b.Load / basisResolution), uint32(b.Mean / basisResolution)
 }
@@ -160,7 +164,7 @@
 	}
 }
 
-// encodePermits leaves out whose permits they are: an edge tells only of its own.
+// encodePermits omits the edge of the permits, because an edge router sends only its own.
 func encodePermits(permits []place.Permit) []*peerpb.Permit {
 	out := make([]*peerpb.Permit, 0, len(permits))
 	for _, p := range permits {
@@ -169,7 +173,7 @@
 	return out
 }
 
-// decodePermits reads an edge's permits.
+// decodePermits decodes the permits of an edge router.
 func decodePermits(edge ident.Router, permits []*peerpb.Permit) []place.Permit {
 	out := make([]place.Permit, 0, len(permits))
 	for _, p := range permits {
--- a/internal/share/home/codec_test.go
+++ b/internal/share/home/codec_test.go
@@ -10,7 +10,8 @@
 	"valescale/internal/rule/place"
 )
 
-// What a placement was decided from reaches the edge's log, to a tenth of a request.
+// The basis of a placement reaches the log of the edge router at a resolution of a tenth of a
+// request.
 func TestBasisRoundTrip(t *testing.T) {
 	for _, rule := range []place.Rule{place.WithinBound, place.LeastLoaded, place.BeyondSlots} {
 		want := Answer{
--- a/internal/share/home/correct.go
+++ b/internal/share/home/correct.go
@@ -5,39 +5,41 @@
 	"valescale/internal/rule/place"
 )
 
-// Correction is by how much a home's count of a shard changed other than by permits given
-// and given back, since it was told last, and what it counts now. A count that is wrong
-// breaks the load bound; this is where it can become so.
+// Correction contains the changes of a home's permit count of a shard that were not caused by
+// single grants and releases, since the previous report, and the current count. The load bound
+// depends on that count, and these changes are where it can become wrong.
 type Correction struct {
 	Shard place.ShardID
-	// Listed is what edges' own lists added less what they took off.
+	// Listed is the number of permits added less those removed by edge routers' full lists of their
+	// permits.
 	Listed int
-	// Withdrawn are permits that edges have counted elsewhere, Lapsed those of edges that did
-	// not speak, Forgotten those of edges that are gone.
+	// Withdrawn are permits that edge routers have moved to another home, Lapsed those of edge
+	// routers that made no contact within the lease, and Forgotten those of edge routers that have
+	// left the fleet or restarted.
 	Withdrawn int
 	Lapsed    int
 	Forgotten int
-	// Counted are the permits now, Own and Foreign the work on the shard's engines that this home
-	// and others admitted, Mean the work on the pool's engines on average.
+	// Counted is the current number of permits. Own and Foreign are the work on the shard's engines
+	// that was admitted by this home and by others, Mean is the mean work per engine of the pool.
 	Counted int
 	Own     ident.Work
 	Foreign ident.Work
 	Mean    ident.Work
 }
 
-// happened reports whether anything was corrected.
+// nonZero reports whether the count was corrected.
 func (c *Correction) nonZero() bool {
 	return c.Listed != 0 || c.Withdrawn != 0 || c.Lapsed != 0 || c.Forgotten != 0
 }
 
-// changed returns by how many permits a change alters a shard's count.
+// permitCountChange calls apply and returns by how much that changed the shard's number of permits.
 func (s *shard) permitCountChange(apply func()) int {
 	before := s.home.Len()
 	apply()
 	return s.home.Len() - before
 }
 
-// Corrections returns the shards whose counts were corrected since it was called last.
+// Corrections returns the corrections of all shards since the previous call.
 func (h *Homes) Corrections() []Correction {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/doc.go
+++ b/internal/share/home/doc.go
@@ -1,7 +1,7 @@
-// Package home runs the homes that this router holds: the permits and waiting
-// requests of engine shards, and the token buckets of workspaces.
+// Package home implements the homes that this router runs: the permits and queued requests of
+// engine shards, and the token buckets of workspaces.
 //
-// All of it is soft. A home that is lost is built anew at the next router from
-// what the edges hold; two routers that both believe to be home of a shard each
-// count what they admitted and add what the other publishes.
+// All of this state is soft. If a home is lost, the next router rebuilds it from the permits that
+// the edge routers hold. If two routers both act as home of a shard, each counts the permits that
+// it granted and adds the loads that the other publishes.
 package home
--- a/internal/share/home/figures.go
+++ b/internal/share/home/figures.go
@@ -5,7 +5,7 @@
 	"valescale/internal/rule/place"
 )
 
-// InFlight returns the number of permits, and Waiting that of waiting requests.
+// InFlight returns the number of permits and the number of queued requests.
 func (h *Homes) InFlight() (permits, waiting int) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -16,8 +16,8 @@
 	return permits, waiting
 }
 
-// RequestsAt returns how many requests' worth of work is on an engine, if its
-// shard's home is here.
+// RequestsAt returns the load of an engine in requests, or zero if this router is not the home of
+// its shard.
 func (h *Homes) RequestsAt(pool ident.Pool, engine ident.TargetHash) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -32,7 +32,8 @@
 	return int(s.home.LoadOf(engine) / ident.OneRequest)
 }
 
-// LoadRatio is the highest load over its pool's mean among the engines counted here.
+// LoadRatio returns the highest ratio of an engine's load to the mean load of its pool, over the
+// engines of all shards of which this router is home.
 func (h *Homes) LoadRatio() float64 {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/fuzz_test.go
+++ b/internal/share/home/fuzz_test.go
@@ -12,8 +12,8 @@
 	"valescale/internal/share/peerpb"
 )
 
-// FuzzLink has a home take whatever another router's link may bring, and checks that its count
-// comes right once that router says what it holds.
+// FuzzLink passes arbitrary link messages to a home and checks that its permit count is correct
+// again after the edge router has sent a full list of its permits.
 func FuzzLink(f *testing.F) {
 	req := Ask{Request: place.Request{Permit: 1, Key: 7, Work: ident.OneRequest}, Sums: []place.Sum{{Shard: 1, Work: 5}}}
 	message := &peerpb.LinkRequest{
@@ -55,7 +55,7 @@
 		for id := range shards {
 			s := h.shards[id].home
 			if s.Len() != 0 || s.Granted() != 0 {
-				t.Errorf("%d permits and %d of work are counted for an edge that holds none", s.Len(), s.Granted())
+				t.Errorf("home counts %d permits and %d work for an edge router that holds none", s.Len(), s.Granted())
 			}
 		}
 	})
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -10,18 +10,19 @@
 	"valescale/internal/rule/quota"
 )
 
-// Limits bounds the waiting at one shard.
+// Limits bounds the queue of a shard.
 type Limits struct {
-	// Queue is how many requests wait at a shard, PerWorkspace how many of one workspace.
+	// Queue is the maximum number of queued requests of a shard, PerWorkspace that of one
+	// workspace.
 	Queue        int
 	PerWorkspace int
 }
 
-// DefaultLimits bound the waiting requests of a shard: some seconds' worth of a shard's
-// requests at a few hundred a second, a quarter of that for one workspace.
+// DefaultLimits allow some seconds of a shard's traffic at a few hundred requests per second, and a
+// quarter of that for one workspace.
 var DefaultLimits = Limits{Queue: 2000, PerWorkspace: 500}
 
-// Homes holds what this router is home of.
+// Homes holds the shards and workspaces of which this router is home.
 type Homes struct {
 	mu          sync.Mutex
 	self        ident.Router
@@ -34,21 +35,23 @@
 	buckets     map[ident.Workspace]*quota.Bucket
 	rates       func(ident.Workspace) (policy.Workspace, bool)
 	seq         uint64
-	// lastDigests say of shards that moved on that nothing is counted here any more.
+	// finalDigests are the empty digests of shards that were removed after their transfer to
+	// another home.
 	finalDigests []place.Digest
-	// doubted are routers that may be gone.
+	// suspectEdges are routers that may have crashed.
 	suspectEdges []ident.Router
-	// replicas are the chat places of shards of which this router is next in line.
+	// replicas are the chat places of shards of which this router is a standby.
 	replicas map[place.ShardID]*place.Replica
-	// onBlocked is told of engines that get no new work for a while; it may be nil.
+	// onBlocked is called for each engine that is blocked; it may be nil.
 	onBlocked func(Blocked)
-	// regrouped are chat places of shards that are not theirs any more.
+	// resharded are chat places that belong to other shards since a change of the number of shards.
 	resharded []Transfer
-	// urgent is signalled when a shard's count jumped and others should know at once.
+	// urgent is signalled when a permit count has changed by more than one grant or release and
+	// should be published at once.
 	urgent chan struct{}
 }
 
-// poolInfo is what is known of a pool.
+// poolInfo is the roster and the bound of a pool.
 type poolInfo struct {
 	roster *place.Roster
 	bound  place.Bound
@@ -59,21 +62,23 @@
 	home  *place.Home
 	queue *quota.Queue
 	rate  releaseRate
-	// returns are the times that refused callers were told.
+	// retryDelays spreads the Retry-After delays of rejected requests.
 	retryDelays quota.Returns
 	published   place.Digest
 	publishedAt time.Time
-	// jumped is set when permits came or went other than one by one.
+	// urgent is set when the permit count has changed by more than one grant or release.
 	urgent bool
-	// standby is the router next in line that has all chat places.
+	// standby is the first standby, which has a replica of all chat places.
 	standby ident.Router
-	// movedTo is the router that has the chat places as the shard's home, empty while this one is.
+	// movedTo is the router that has received the chat places as the new home of the shard, empty
+	// while this router is home.
 	movedTo ident.Router
-	// corrected are the corrections that nobody was told of yet.
+	// correction accumulates the corrections since the last call of Corrections.
 	correction Correction
 }
 
-// New returns homes that hold nothing yet; rates gives a workspace's limits in force.
+// New returns a Homes without shards. The function rates returns the limits of a workspace in the
+// configuration in force.
 func New(self ident.Router, limits Limits, clock ident.Clock, rates func(ident.Workspace) (policy.Workspace, bool)) *Homes {
 	return &Homes{
 		self:        self,
@@ -91,7 +96,7 @@
 	}
 }
 
-// SetPool replaces what is known of a pool's engines.
+// SetPool replaces the roster and the bound of a pool.
 func (h *Homes) SetPool(name ident.Pool, bound place.Bound, roster *place.Roster) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -102,7 +107,7 @@
 	h.pools[name] = &poolInfo{roster: roster, bound: bound}
 	for id, s := range h.shards {
 		if id.Pool == name {
-			// A home made before its pool was known has the default bound.
+			// A home that was created before its pool was set has the default bound.
 			s.home.SetBound(bound)
 			s.home.SetRoster(roster)
 			h.dispatch(s)
@@ -110,7 +115,7 @@
 	}
 }
 
-// at returns the home of a shard, made on first use.
+// getOrCreate returns the shard with the given id and creates it on first use.
 func (h *Homes) getOrCreate(id place.ShardID) *shard {
 	s, ok := h.shards[id]
 	if ok {
@@ -138,7 +143,7 @@
 	return s
 }
 
-// mergeHeard tells a new home what other homes have published within a digest's life.
+// mergeReceived merges the digests of other homes that are not older than life into a new home.
 func (h *Homes) mergeReceived(s *shard, life time.Duration) {
 	for _, byHome := range h.peerDigests {
 		for _, l := range byHome {
@@ -149,10 +154,10 @@
 	}
 }
 
-// unnamed is the pool of a request for a pool that is not known here.
+// unknownPool is the pool name of requests whose pool hash is not known to this router.
 const unknownPool ident.Pool = ""
 
-// poolName returns the name of a pool by its hash.
+// poolByHash returns the name of the pool with the given hash, or unknownPool.
 func (h *Homes) poolByHash(hash ident.PoolHash) ident.Pool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -16,7 +16,7 @@
 
 var id = place.ShardID{Pool: pool}
 
-// newHomes returns homes with one engine and a clock to move.
+// newHomes returns homes with one engine, and the clock that the test advances.
 func newHomes() (*home.Homes, ident.TargetHash, *time.Time) {
 	now := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	h := home.New("router-a", home.DefaultLimits, func() time.Time { return now }, func(ident.Workspace) (policy.Workspace, bool) {
@@ -34,8 +34,8 @@
 	}
 }
 
-// A home that takes over knows what its predecessor counted just now, but not what
-// homes that are long gone once counted.
+// A new home counts the load that its predecessor published within the lifetime of a digest, and
+// ignores digests that have expired.
 func TestNewHomeMergesOnlyUnexpiredDigests(t *testing.T) {
 	h, engine, now := newHomes()
 	h.Merge([]place.Digest{publishedDigest(engine, "router-old", 1)})
@@ -47,20 +47,21 @@
 	}
 }
 
-// The places of a shard whose home is elsewhere serve when that home is gone.
+// Replicated chat places of a shard are used once this router takes over from the shard's home.
 func TestReplicaPlacesAreUsedAfterTakeover(t *testing.T) {
 	h, engine, _ := newHomes()
 	h.Accept(home.Transfer{ID: id, Replica: true, Places: []place.ChatPlace{{Key: 7, Engine: engine, Incarnation: 1, SeenUnix: 1}}})
 	if permits, _ := h.InFlight(); permits != 0 {
-		t.Fatalf("%d permits out of a replica transfer", permits)
+		t.Fatalf("replica transfer added %d permits", permits)
 	}
 	req := home.Ask{Shard: id, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	if a := h.Place(t.Context(), req, nil); a.Result != home.Placed || !a.Warm {
-		t.Errorf("got %+v, want a warm place", a)
+		t.Errorf("got %+v, want a warm placement", a)
 	}
 }
 
-// Permits of an edge that does not speak any more must not fill a pool for ever.
+// Permits of an edge router that makes no contact any more expire, so that they don't take up the
+// slots of a pool for ever.
 func TestPermitsExpireAfterLease(t *testing.T) {
 	h, engine, now := newHomes()
 	for permit := range uint64(3) {
@@ -79,7 +80,8 @@
 	}
 }
 
-// A pool whose counts say that it is full is tried before a request is refused.
+// A request that has waited in vain at a pool whose slots are all counted as taken is placed beyond
+// the slots before requests are rejected, because some of the counted permits may not exist.
 func TestFullPoolPlacesOneRequestBeyondSlots(t *testing.T) {
 	h, _, _ := newHomes()
 	full := place.Engine{ID: "engine-1", Hash: ident.Target("engine-1").Hash(), Incarnation: 1, Slots: ident.OneRequest}
@@ -98,9 +100,9 @@
 	}
 }
 
-// A home that has handed its shard over serves those who still ask there, passes the places on
-// once, and drops the shard when all permits have gone. It still knows the places if it is
-// asked again.
+// A home that has transferred its shard still serves the edge routers that use it, transfers the
+// chat places once, and removes the shard when all permits have been released. It keeps the places
+// in case it becomes home again.
 func TestTransferredShardServesUntilPermitsAreReleased(t *testing.T) {
 	h, _, _ := newHomes()
 	otherHome := func(place.ShardID) ident.Router { return "router-c" }
@@ -108,28 +110,28 @@
 	h.Place(t.Context(), req, nil)
 	transfers := h.Misplaced(otherHome)
 	if len(transfers) != 1 || transfers[0].To != "router-c" || len(transfers[0].Places) != 1 {
-		t.Fatalf("got %+v, want one place for router-c", transfers)
+		t.Fatalf("got %+v, want one chat place for router-c", transfers)
 	}
 	h.Moved(id, "router-c")
 	if again := h.Misplaced(otherHome); len(again) != 0 {
-		t.Errorf("handed over again: %+v", again)
+		t.Errorf("shard transferred twice: %+v", again)
 	}
 	if permits, _ := h.InFlight(); permits != 1 {
-		t.Errorf("%d permits counted, want the one that the edge holds", permits)
+		t.Errorf("home counts %d permits, want the one that the edge router holds", permits)
 	}
 	h.Release(id, "router-b", []uint64{1})
 	h.Misplaced(otherHome)
 	digests := h.Digests()
 	if len(digests) == 0 || len(digests[0].Loads) != 0 {
-		t.Errorf("got %+v, want a last word that nothing is counted", digests)
+		t.Errorf("got %+v, want a final digest without loads", digests)
 	}
 	req.Permit = 2
 	if a := h.Place(t.Context(), req, nil); a.Result != home.Placed || !a.Warm {
-		t.Errorf("got %+v, want a warm place", a)
+		t.Errorf("got %+v, want a warm placement", a)
 	}
 }
 
-// A home that hears of permits before it knows its pool keeps to the pool's bound later.
+// A home that receives permits before its pool is set uses the pool's bound once that is set.
 func TestHomeUsesBoundOfPoolSetLater(t *testing.T) {
 	now := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	h := home.New("router-a", home.DefaultLimits, func() time.Time { return now }, func(ident.Workspace) (policy.Workspace, bool) {
@@ -147,16 +149,14 @@
 	}
 	highest := max(h.RequestsAt(pool, one.Hash), h.RequestsAt(pool, two.Hash))
 	if diff := cmp.Diff(4, highest); diff != "" {
-		t.Errorf("requests of one chat at one engine: %s", diff)
+		t.Errorf("max requests of one chat on one engine: %s", diff)
 	}
 }
 
-// Seen: a router ended by itself, again and again, when the targets of its pool changed.
-//
-// How: an edge that knew more targets, and so four shards, asked it for a permit of the fourth. The router, whose pool
-// had two, became home of a shard without engines; the next change looked for that shard among two.
-//
-// Cause: lists of engines by shard, in place of one list of all, were read at a shard that others name.
+// The test guards against a crash when the targets of a pool change. An edge router with a newer
+// membership view, and so four shards, requested a permit of the fourth shard from a router whose
+// pool had two. That router became home of a shard without engines, and the next change of the pool
+// indexed its lists of engines by shard beyond their length.
 func TestShardOutsidePool(t *testing.T) {
 	h, _, _ := newHomes()
 	outside := place.ShardID{Pool: pool, Shard: 3}
@@ -164,7 +164,7 @@
 	engine := place.Engine{ID: "engine-2", Hash: ident.Target("engine-2").Hash(), Incarnation: 1}
 	for _, shards := range []int{2, 1, 4, 2} {
 		if a := h.Place(t.Context(), req, nil); a.Result != home.Empty && a.Result != home.Placed {
-			t.Errorf("before %d shards: got %+v", shards, a)
+			t.Errorf("before the change to %d shards: got %+v", shards, a)
 		}
 		h.SetPool(pool, place.DefaultBound, place.NewRoster(shards, []place.Engine{engine}))
 	}
--- a/internal/share/home/hopeless_test.go
+++ b/internal/share/home/hopeless_test.go
@@ -11,8 +11,9 @@
 	"valescale/internal/rule/policy"
 )
 
-// A request that would wait in vain is refused at once, with the time that the queue
-// takes; a more urgent one waits, and so does one while no rate is known.
+// A request that would expire in the queue is rejected at once, with a Retry-After delay that
+// covers the queue. A request of higher priority is queued, and so is any request while the release
+// rate is not known.
 func TestRequestsThatWouldExpireAreRejectedAtOnce(t *testing.T) {
 	now := time.Unix(1000, 0)
 	h := New("home", DefaultLimits, func() time.Time { return now }, func(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false })
@@ -31,20 +32,20 @@
 	request(0)
 	for range 20 {
 		if a, queued := request(0); !queued {
-			t.Fatalf("without a rate: %+v", a)
+			t.Fatalf("request not queued while the release rate is unknown: %+v", a)
 		}
 	}
 	s := h.shards[id]
 	recordSteadyReleases(&s.rate, now, 10, ident.OneRequest)
 	a, queued := request(0)
 	if !withinTenth(a.RetryAfter, 2100*time.Millisecond) {
-		t.Errorf("20 waiting at 10 a second, come back after %v, want 2.1 s", a.RetryAfter)
+		t.Errorf("20 queued at 10 releases per second: Retry-After delay %v, want 2.1 s", a.RetryAfter)
 	}
 	a.RetryAfter = 0
 	if diff := cmp.Diff(Answer{Result: Shed, Held: 1, Work: ident.OneRequest}, a); diff != "" || queued {
-		t.Errorf("20 waiting at 10 a second, waits: %v: %s", queued, diff)
+		t.Errorf("20 queued at 10 releases per second: queued %v: %s", queued, diff)
 	}
 	if a, queued := request(1); !queued {
-		t.Errorf("a more urgent request: %+v", a)
+		t.Errorf("request of higher priority not queued: %+v", a)
 	}
 }
--- a/internal/share/home/kept_test.go
+++ b/internal/share/home/kept_test.go
@@ -11,8 +11,9 @@
 	"valescale/internal/rule/policy"
 )
 
-// Figures of a home of a quarter of 112 engines: 12 slots an engine, a request holds one for some 0.6 s,
-// waits for 0.3 s at most, and asks for one of 18 subjects an engine.
+// The parameters are those of the home of a quarter of 112 engines: 12 slots per engine, a request
+// holds a slot for about 0.6 s, waits for at most 0.3 s, and has one of 18 prompt prefixes per
+// engine.
 const (
 	simEngines  = 28
 	simSlots    = 12
@@ -21,19 +22,19 @@
 	simMaxWait  = 300 * time.Millisecond
 )
 
-// pressedHome is one home under more requests than its engines run, in virtual time.
+// overloadedHome simulates one home that receives more requests than its engines can run, in
+// virtual time.
 type overloadedHome struct {
 	now     time.Time
 	rng     *rand.Rand
 	homes   *Homes
 	permit  uint64
 	waiting []*queuedRequest
-	// ends are the permits that end at each millisecond.
+	// releases are the permits that are released, by time in milliseconds.
 	releases map[int64][]uint64
-	// counts by priority.
+	// The following counts are by priority.
 	placed, warm, rejected, longestWaitMs map[int]int
-	// strange are the permits of requests whose prompts no engine keeps, of which so many were placed
-	// and refused.
+	// uncached are the permits of requests whose prompt prefix no engine has cached.
 	uncached                         map[uint64]bool
 	uncachedPlaced, uncachedRejected int
 }
@@ -55,18 +56,18 @@
 	return m
 }
 
-// arrive has a request of some priority and workspace ask for a permit.
+// arrive sends a permit request of a priority, with a random workspace and prompt prefix.
 func (m *overloadedHome) arrive(priority int) {
 	m.request(priority, ident.ChatKey(1+m.rng.IntN(simPrefixes)))
 }
 
-// arriveStrange has one ask whose prompt no engine keeps.
+// arriveUncached sends a permit request whose prompt prefix no engine has cached.
 func (m *overloadedHome) arriveUncached(priority int) {
 	m.uncached[m.permit+1] = true
 	m.request(priority, ident.ChatKey(simPrefixes+m.permit+2))
 }
 
-// ask asks for a permit for a subject.
+// request sends a permit request for a prompt prefix.
 func (m *overloadedHome) request(priority int, prefix ident.ChatKey) {
 	m.permit++
 	workspace := ident.Workspace(rune('a' + m.rng.IntN(8)))
@@ -83,7 +84,7 @@
 	m.recordResponse(a, priority, m.permit, 0)
 }
 
-// ended counts an answer and has a permit end later.
+// recordResponse counts a response and schedules the release of its permit.
 func (m *overloadedHome) recordResponse(a Answer, priority int, permit uint64, waited time.Duration) {
 	if a.Result != Placed {
 		m.rejected[priority]++
@@ -104,7 +105,7 @@
 	m.releases[at] = append(m.releases[at], permit)
 }
 
-// step passes a millisecond.
+// advance moves the clock by one millisecond.
 func (m *overloadedHome) advance() {
 	m.now = m.now.Add(time.Millisecond)
 	if done := m.releases[m.now.UnixMilli()]; len(done) > 0 {
@@ -127,7 +128,8 @@
 	})
 }
 
-// runFor offers a multiple of what the engines run for a while, a third of it of each priority.
+// runFor sends requests for a duration, at a ratio to the capacity of the engines, a third of them
+// of each priority.
 func (m *overloadedHome) runFor(d time.Duration, ratio float64) {
 	perMillisecond := ratio * simEngines * simSlots / float64(simHoldTime.Milliseconds())
 	pending := 0.0
@@ -146,10 +148,11 @@
 
 func total(counts map[int]int) int { return counts[0] + counts[1] + counts[2] }
 
-// Pattern: one and a half times what the engines run, for seconds. All slots are taken, so that whichever
-// engine ends a request gets the next in turn, and its prompt with it: of those that wait, one whose
-// prompt it keeps goes first. Before, 0.14 to 0.17 of the requests met their prompt. Nobody pays for
-// it: the more urgent kinds are served as before, and no kind is refused more often.
+// At 1.5 times the capacity of the engines all slots are taken, so each released slot is on a
+// random engine. A queued request whose prompt prefix is cached on that engine goes first. If the
+// queue were served in order alone, only 0.14 to 0.17 of the requests would be placed warm. The
+// rule must not cost other requests: higher priorities are still served more often, and no priority
+// is rejected more often.
 func TestFreeSlotPrefersWarmRequest(t *testing.T) {
 	for seed := range uint64(3) {
 		m := newOverloadedHome(seed)
@@ -159,22 +162,22 @@
 		m.runFor(4*time.Second, 1.5)
 		warm := float64(total(m.warm)) / float64(total(m.placed))
 		rejected := float64(total(m.rejected)) / float64(total(m.placed)+total(m.rejected))
-		t.Logf("seed %d: %.2f warm, %.3f refused; by priority placed %v, refused %v, longest wait %v ms", seed, warm, rejected, m.placed, m.rejected, m.longestWaitMs)
+		t.Logf("seed %d: %.2f warm, %.3f rejected; by priority placed %v, rejected %v, longest wait %v ms", seed, warm, rejected, m.placed, m.rejected, m.longestWaitMs)
 		if warm < 0.7 {
-			t.Errorf("seed %d: %.2f of the requests meet their prompt, want 0.7 at least", seed, warm)
+			t.Errorf("seed %d: warm ratio %.2f, want at least 0.7", seed, warm)
 		}
 		if rejected > 0.36 {
-			t.Errorf("seed %d: %.3f of the requests are refused, a third has to be", seed, rejected)
+			t.Errorf("seed %d: rejected ratio %.3f, want at most 0.36 (a third cannot be served)", seed, rejected)
 		}
 		if m.placed[2] < m.placed[1] || m.placed[1] < m.placed[0] {
-			t.Errorf("seed %d: less urgent requests are served more often: %v", seed, m.placed)
+			t.Errorf("seed %d: lower priority served more often than a higher one: %v", seed, m.placed)
 		}
 	}
 }
 
-// Pattern: the same, with a few requests among them whose prompts no engine keeps. Others go before them at
-// each slot that comes free: 0.39 to 0.41 of them are served in time, 0.66 of their priority. That is what
-// returning chats cost new ones; it is not to grow.
+// Under the same load, requests whose prompt prefix no engine has cached are overtaken at each free
+// slot by requests that are warm there: 0.39 to 0.41 of them are served in time, against 0.66 of
+// all requests of their priority. The test guards against that cost to new chats becoming larger.
 func TestRequestsWithoutCachedPrefixAreServed(t *testing.T) {
 	for seed := range uint64(3) {
 		m := newOverloadedHome(seed)
@@ -187,9 +190,9 @@
 		}
 		served := func(placed, rejected int) float64 { return float64(placed) / float64(placed+rejected) }
 		uncached, all := served(m.uncachedPlaced, m.uncachedRejected), served(m.placed[1], m.rejected[1])
-		t.Logf("seed %d: %.2f of those whose prompt is nowhere are served, %.2f of their priority", seed, uncached, all)
+		t.Logf("seed %d: %.2f of the requests without a cached prefix served, %.2f of their priority", seed, uncached, all)
 		if uncached < 0.55*all {
-			t.Errorf("seed %d: %.2f of the requests whose prompt is nowhere are served, %.2f of their priority", seed, uncached, all)
+			t.Errorf("seed %d: %.2f of the requests without a cached prefix served, %.2f of their priority", seed, uncached, all)
 		}
 	}
 }
--- a/internal/share/home/lack_test.go
+++ b/internal/share/home/lack_test.go
@@ -14,7 +14,7 @@
 	"valescale/internal/share/peerpb"
 )
 
-// dialing gives the clients of routers that all have one address.
+// fixedAddrClients returns clients that all connect to one address.
 type fixedAddrClients struct {
 	clients *peer.Clients
 	addr    string
@@ -26,7 +26,8 @@
 
 func (d fixedAddrClients) Unanswered(ident.Router) {}
 
-// A router that cannot open a connection cannot tell whether the home would have answered.
+// A router that cannot open a connection for lack of file descriptors reports that as its own
+// failure and not as an unreachable home.
 func TestLocalDescriptorShortageIsNotUnreachable(t *testing.T) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -42,6 +43,6 @@
 	req := home.Ask{Shard: id, Request: place.Request{Edge: "router-a", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	_, err = remote.Place(t.Context(), "router-b", req, nil)
 	if got := fault.KindOf[home.Kind](err); got != home.HeldUp {
-		t.Errorf("got %v, want a router that is held up itself", err)
+		t.Errorf("got %v, want HeldUp", err)
 	}
 }
--- a/internal/share/home/link.go
+++ b/internal/share/home/link.go
@@ -14,26 +14,26 @@
 	"valescale/internal/share/peerpb"
 )
 
-// A link is one stream to another router, over which this router asks for permits
-// and returns them. Calls of their own would cost several times the bytes: what a
-// permit says is small, and what HTTP adds to each call is not.
+// link is a stream to another router on which this router requests and releases permits. Separate
+// calls would cost several times the bytes, because these messages are small compared to the HTTP
+// overhead of a call.
 type link struct {
 	cancel context.CancelFunc
 	out    chan linkItem
 	done   chan struct{}
 	mu     sync.Mutex
-	// waiting are the requests without an answer, by permit.
+	// pending are the requests without a response, by permit.
 	pending map[uint64]chan Answer
 	closed  bool
-	// lack is set when the link broke for what this box lacks.
+	// localFailure is set when the link failed because this router lacks a resource.
 	localFailure bool
-	// base is taken off permits as they are written and added as they are read.
+	// base is subtracted from permits when they are encoded and added when they are decoded.
 	base uint64
-	// missed counts the answers in a row that did not come in time.
+	// missedResponses is the number of consecutive responses that did not arrive in time.
 	missedResponses int
 }
 
-// linkItem is one thing to be sent; exactly one field is set.
+// linkItem is an item to send. Exactly one field is set.
 type linkItem struct {
 	place   *peerpb.PlaceRequest
 	release *peerpb.ReleaseRequest
@@ -41,7 +41,7 @@
 	cancel  uint64
 }
 
-// addTo puts the item into a message.
+// addTo adds the item to a message.
 func (i linkItem) addTo(message *peerpb.LinkRequest) {
 	switch {
 	case i.place != nil:
@@ -56,21 +56,22 @@
 }
 
 const (
-	// linkBacklog bounds what waits to be sent; more than that means a dead link.
+	// maxLinkQueue is the maximum number of items that wait to be sent. A link with more is
+	// stalled.
 	maxLinkQueue = 1024
-	// linkBatch bounds what one message carries.
+	// maxLinkBatch is the maximum number of items in one message.
 	maxLinkBatch = 64
 )
 
-// Edge is what a router says of itself once on each link.
+// Edge identifies a router to the homes; it is sent once per link.
 type Edge struct {
 	ID   ident.Router
 	Zone ident.Zone
-	// Base is below all permits that this process will ask for.
+	// Base is lower than all permits that this process will request.
 	Base uint64
 }
 
-// openLink starts a link; ended is called once it has broken.
+// openLink opens a link and calls ended once it has failed or been closed.
 func openLink(client peerpb.PeerServiceClient, self Edge, ended func(*link)) *link {
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &link{
@@ -88,7 +89,7 @@
 	return l
 }
 
-// send writes what is queued, as much as fits in one message at a time.
+// send sends queued items, in batches of at most maxLinkBatch.
 func (l *link) send(stream *connect.BidiStreamForClient[peerpb.LinkRequest, peerpb.LinkReply], self Edge) {
 	defer func() { _ = stream.CloseRequest() }()
 	header := &peerpb.LinkRequest{Edge: string(self.ID), Base: self.Base, Zone: string(self.Zone)}
@@ -101,7 +102,8 @@
 			header = &peerpb.LinkRequest{}
 			l.fillBatch(message, first)
 			if err := stream.Send(message); err != nil {
-				// The end of the stream means that receiving tells the cause; to cancel would hide it.
+				// io.EOF means that the cause of the failure is returned by Receive; cancelling the
+				// stream would hide it.
 				if !errors.Is(err, io.EOF) {
 					l.recordError(err)
 					l.cancel()
@@ -112,7 +114,7 @@
 	}
 }
 
-// gather puts an item and those that are queued after it into one message.
+// fillBatch adds an item and those queued after it to a message.
 func (l *link) fillBatch(message *peerpb.LinkRequest, item linkItem) {
 	for n := 1; ; n++ {
 		item.addTo(message)
@@ -127,7 +129,7 @@
 	}
 }
 
-// receive takes in answers until the stream ends.
+// receive delivers responses until the stream ends.
 func (l *link) receive(stream *connect.BidiStreamForClient[peerpb.LinkRequest, peerpb.LinkReply]) {
 	for {
 		reply, err := stream.Receive()
@@ -141,14 +143,14 @@
 	}
 }
 
-// noteLack notes whether the link broke for what this box lacks.
+// recordError records whether the link failed because this router lacks a resource.
 func (l *link) recordError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.localFailure = l.localFailure || fault.OwnLack(err)
 }
 
-// broken is the error of requests on a link that has ended.
+// closedError returns the error of requests on a closed link.
 func (l *link) closedError() error {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -159,7 +161,7 @@
 	return fault.New("home.Place", kind, nil)
 }
 
-// deliver hands an answer to the request that waits for it.
+// deliver passes a response to the pending request.
 func (l *link) deliver(permit uint64, resp Answer) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -170,10 +172,11 @@
 	}
 }
 
-// maxMissed is how many answers in a row may be missing before a link counts as dead.
+// maxMissedResponses is the number of consecutive missing responses at which a link counts as dead.
 const maxMissedResponses = 2
 
-// miss notes an answer that did not come in time and reports whether the link is dead.
+// recordMissed records a response that did not arrive in time and reports whether the link counts
+// as dead.
 func (l *link) recordMissed() bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -181,7 +184,7 @@
 	return l.missedResponses >= maxMissedResponses
 }
 
-// fail ends all that waits, since no answer will come.
+// failPending closes the link and fails all pending requests.
 func (l *link) failPending() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -193,7 +196,7 @@
 	}
 }
 
-// post queues something and reports whether there was room.
+// enqueue queues an item and reports whether the queue had room.
 func (l *link) enqueue(item linkItem) bool {
 	select {
 	case l.out <- item:
@@ -203,7 +206,7 @@
 	}
 }
 
-// shift adds an offset to permits; a negative one is its two's complement.
+// offsetPermits adds an offset to permits. A negative offset is passed as its two's complement.
 func offsetPermits(permits []uint64, by uint64) []uint64 {
 	out := make([]uint64, len(permits))
 	for i, p := range permits {
@@ -212,14 +215,14 @@
 	return out
 }
 
-// release gives permits back.
+// release releases permits.
 func (l *link) release(id place.ShardID, released []uint64) {
 	l.enqueue(linkItem{release: &peerpb.ReleaseRequest{
 		Pool: uint32(id.Pool.Hash()), Shard: uint32(id.Shard), Released: offsetPermits(released, -l.base),
 	}})
 }
 
-// place asks for a permit and waits for the answer.
+// place requests a permit and waits for the response.
 func (l *link) place(ctx context.Context, req Ask, released []uint64) (Answer, error) {
 	const op = "home.Place"
 	ch, open := l.register(req.Permit)
@@ -243,8 +246,8 @@
 	}
 }
 
-// expect notes that a request waits and returns where its answer comes; false means that
-// the link has broken.
+// register registers a pending request and returns the channel of its response. It returns false if
+// the link is closed.
 func (l *link) register(permit uint64) (<-chan Answer, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -256,7 +259,7 @@
 	return ch, true
 }
 
-// forget takes a request off those that wait.
+// unregister removes a pending request.
 func (l *link) unregister(permit uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
--- a/internal/share/home/links.go
+++ b/internal/share/home/links.go
@@ -19,7 +19,7 @@
 	return &links{self: self, clients: clients, open: map[ident.Router]*link{}}
 }
 
-// to returns the link to a home, opened if need be.
+// to returns the link to a home and opens it if necessary.
 func (ls *links) to(home ident.Router) (*link, error) {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
@@ -41,8 +41,8 @@
 	return l, nil
 }
 
-// drop ends the link to a home that does not answer, so that the next request
-// opens a new one.
+// closeLink closes the link to a home that does not respond, so that the next request opens a new
+// one.
 func (ls *links) closeLink(home ident.Router) {
 	ls.mu.Lock()
 	l, ok := ls.open[home]
@@ -53,7 +53,7 @@
 	}
 }
 
-// close ends all links.
+// close closes all links.
 func (ls *links) close() {
 	ls.mu.Lock()
 	defer ls.mu.Unlock()
--- a/internal/share/home/model_test.go
+++ b/internal/share/home/model_test.go
@@ -17,31 +17,31 @@
 )
 
 const (
-	// splitSlots never bind.
+	// unlimitedSlots is high enough never to limit placement.
 	unlimitedSlots = 200
-	// splitFactor and splitExtra are what callers were promised: no request reaches an engine
-	// that holds more than factor times the mean and some more.
+	// promisedFactor and promisedExtra are the promised load bound: no request is sent to an engine
+	// that holds more than promisedFactor times the mean plus promisedExtra requests.
 	promisedFactor = 2
 	promisedExtra  = 3
 )
 
-// splitBound is the bound that homes keep, a little below the promise.
+// fleetBound is the bound that homes apply, slightly below the promised one.
 var fleetBound = place.Bound{
 	Factor: 0.95 * promisedFactor, Extra: 5 * ident.OneRequest / 2, Steady: 1.3, DigestLife: 4 * time.Second, Places: 10_000,
 }
 
-// box is one router and the homes it runs.
+// member is a router of the fleet and its homes.
 type member struct {
 	id     ident.Router
 	homes  *home.Homes
 	router *route.Router
-	// assigned is who is home as this router sees it.
+	// assigned is the assignment of shards to homes in this router's membership view.
 	assigned *place.Assignment
-	// deaf says whether this router's calls to a home go unanswered now.
+	// unanswered reports whether this router's calls to a home are currently not answered.
 	unanswered func(to ident.Router) bool
 }
 
-// size is how many routers share how many engines, in how many shards, of how many slots each.
+// fleetSize is the number of routers, engines, shards and slots per engine.
 type fleetSize struct{ routers, engines, shards, slots int }
 
 var (
@@ -49,7 +49,7 @@
 	largeFleet = fleetSize{routers: 62, engines: 90, shards: 1, slots: unlimitedSlots}
 )
 
-// splitFleet is some routers that share one shard, in time that the test moves.
+// fleet simulates routers that share the shards of one pool, in virtual time.
 type fleet struct {
 	fleetSize
 	now      time.Time
@@ -59,9 +59,9 @@
 	pools    []route.Pool
 	members  []*member
 	assigned *place.Assignment
-	// held is what each engine really holds.
+	// held is the actual number of requests on each engine.
 	held map[ident.TargetHash]int
-	// over and all count the requests since the last look.
+	// overPromise and requests count since the last call of overRatio.
 	overPromise, requests int
 }
 
@@ -82,7 +82,7 @@
 		call()
 		f.after(d, repeat)
 	}
-	// Routers start their rounds at different times.
+	// Routers start their periodic tasks at different times.
 	f.after(time.Duration(f.rng.Int64N(int64(d))), repeat)
 }
 
@@ -97,55 +97,55 @@
 	f.now = until
 }
 
-// wire is one router's calls to homes.
+// directCaller makes one router's calls to homes without a network.
 type directCaller struct {
 	f    *fleet
 	from *member
 }
 
-func (w directCaller) homesAt(to ident.Router) (*home.Homes, error) {
-	if w.from.unanswered != nil && w.from.unanswered(to) {
+func (c directCaller) homesAt(to ident.Router) (*home.Homes, error) {
+	if c.from.unanswered != nil && c.from.unanswered(to) {
 		return nil, fault.New("test", home.Unreachable, nil)
 	}
-	return w.f.member(to).homes, nil
+	return c.f.member(to).homes, nil
 }
 
-func (w directCaller) Place(ctx context.Context, to ident.Router, req home.Ask, released []uint64) (home.Answer, error) {
-	// An answer that comes too late leaves its permit behind.
-	a := w.f.member(to).homes.Place(ctx, req, released)
-	if _, err := w.homesAt(to); err != nil {
+func (c directCaller) Place(ctx context.Context, to ident.Router, req home.Ask, released []uint64) (home.Answer, error) {
+	// A response that arrives too late leaves its permit at the home.
+	a := c.f.member(to).homes.Place(ctx, req, released)
+	if _, err := c.homesAt(to); err != nil {
 		return home.Answer{}, err
 	}
 	return a, nil
 }
 
-func (w directCaller) Release(_ context.Context, to ident.Router, id place.ShardID, released []uint64) error {
-	w.f.member(to).homes.Release(id, w.from.id, released)
+func (c directCaller) Release(_ context.Context, to ident.Router, id place.ShardID, released []uint64) error {
+	c.f.member(to).homes.Release(id, c.from.id, released)
 	return nil
 }
 
-func (w directCaller) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
-	h, err := w.homesAt(to)
+func (c directCaller) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
+	h, err := c.homesAt(to)
 	if err == nil {
-		h.Sync(id, w.from.id, held, upto, from)
+		h.Sync(id, c.from.id, held, upto, from)
 	}
 	return err
 }
 
-func (w directCaller) Withdraw(_ context.Context, to ident.Router, id place.ShardID, upto uint64) error {
-	h, err := w.homesAt(to)
+func (c directCaller) Withdraw(_ context.Context, to ident.Router, id place.ShardID, upto uint64) error {
+	h, err := c.homesAt(to)
 	if err == nil {
-		h.Withdraw(id, w.from.id, upto)
+		h.Withdraw(id, c.from.id, upto)
 	}
 	return err
 }
 
-func (w directCaller) Grant(context.Context, ident.Router, ident.Workspace, int) (int, time.Duration, error) {
+func (c directCaller) Grant(context.Context, ident.Router, ident.Workspace, int) (int, time.Duration, error) {
 	return 0, 0, nil
 }
 
 func (f *fleet) member(id ident.Router) *member {
-	return f.members[slices.IndexFunc(f.members, func(b *member) bool { return b.id == id })]
+	return f.members[slices.IndexFunc(f.members, func(m *member) bool { return m.id == id })]
 }
 
 func newFleet(seed uint64, of fleetSize) *fleet {
@@ -169,22 +169,22 @@
 	}
 	f.assigned = place.Assign(f.shardIDs(), f.names)
 	for _, name := range f.names {
-		b := &member{id: name, assigned: f.assigned}
-		b.homes = home.New(name, home.DefaultLimits, clock, func(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false })
-		b.homes.SetPool(pool, fleetBound, p.Roster)
-		b.router = route.New(route.Self{ID: name, Region: "co", AfterFunc: f.after}, directCaller{f, b}, clock)
-		b.router.Set(f.pools, f.assigned)
-		f.members = append(f.members, b)
+		m := &member{id: name, assigned: f.assigned}
+		m.homes = home.New(name, home.DefaultLimits, clock, func(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false })
+		m.homes.SetPool(pool, fleetBound, p.Roster)
+		m.router = route.New(route.Self{ID: name, Region: "co", AfterFunc: f.after}, directCaller{f, m}, clock)
+		m.router.Set(f.pools, f.assigned)
+		f.members = append(f.members, m)
 		f.every(500*time.Millisecond, func() {
-			b.homes.Lapse()
-			b.router.Reconcile(context.Background())
+			m.homes.Lapse()
+			m.router.Reconcile(context.Background())
 		})
-		f.every(time.Second, func() { f.transferShards(b) })
-		f.every(time.Second, func() { f.publish(b) })
+		f.every(time.Second, func() { f.transferShards(m) })
+		f.every(time.Second, func() { f.publish(m) })
 		f.every(20*time.Millisecond, func() {
 			select {
-			case <-b.homes.Urgent():
-				f.publish(b)
+			case <-m.homes.Urgent():
+				f.publish(m)
 			default:
 			}
 		})
@@ -192,7 +192,7 @@
 	return f
 }
 
-// shardIDs are the pool's shards.
+// shardIDs returns the shards of the pool.
 func (f *fleet) shardIDs() []place.ShardID {
 	var out []place.ShardID
 	for s := range f.shards {
@@ -201,23 +201,23 @@
 	return out
 }
 
-// see has a box take other routers than all for live.
-func (f *fleet) setLive(b *member, live []ident.Router) {
-	b.assigned = place.Assign(f.shardIDs(), live)
-	b.router.Move(context.Background(), b.router.Set(f.pools, b.assigned))
-	f.transferShards(b)
+// setLive sets the routers that a member's membership view contains as live.
+func (f *fleet) setLive(m *member, live []ident.Router) {
+	m.assigned = place.Assign(f.shardIDs(), live)
+	m.router.Move(context.Background(), m.router.Set(f.pools, m.assigned))
+	f.transferShards(m)
 }
 
-// handOff passes on what a box counts that another is home of, as routers do.
-func (f *fleet) transferShards(b *member) {
-	for _, p := range b.homes.Misplaced(b.assigned.Home) {
+// transferShards transfers the shards of which another router is home, as routers do.
+func (f *fleet) transferShards(m *member) {
+	for _, p := range m.homes.Misplaced(m.assigned.Home) {
 		f.member(p.To).homes.Accept(p)
-		b.homes.Moved(p.ID, p.To)
+		m.homes.Moved(p.ID, p.To)
 	}
 }
 
-func (f *fleet) publish(b *member) {
-	for _, p := range b.homes.Publications(b.assigned, f.assigned) {
+func (f *fleet) publish(m *member) {
+	for _, p := range m.homes.Publications(m.assigned, f.assigned) {
 		for _, to := range p.To {
 			d := p.Digest
 			f.after(2*time.Millisecond, func() { f.member(to).homes.Merge([]place.Digest{d}) })
@@ -225,20 +225,20 @@
 	}
 }
 
-// traffic has each router send requests: a third of them about a few subjects, the others
-// about many.
+// traffic makes each router send requests: a third of them with one of three prompt prefixes, the
+// others with one of 400.
 func (f *fleet) traffic(every, duration time.Duration) {
-	for _, b := range f.members {
-		f.every(every, func() { f.request(b, duration) })
+	for _, m := range f.members {
+		f.every(every, func() { f.request(m, duration) })
 	}
 }
 
-func (f *fleet) request(b *member, duration time.Duration) {
+func (f *fleet) request(m *member, duration time.Duration) {
 	key := ident.ChatKey(1 + f.rng.IntN(400))
 	if f.rng.IntN(3) == 0 {
 		key = ident.ChatKey(1001 + f.rng.IntN(3))
 	}
-	p, err := b.router.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest, Deadline: f.now})
+	p, err := m.router.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest, Deadline: f.now})
 	if err != nil {
 		return
 	}
@@ -253,7 +253,7 @@
 	})
 }
 
-// share returns which part of the requests since the last look went above the promise.
+// overRatio returns the ratio of requests that exceeded the promised bound since the last call.
 func (f *fleet) overRatio() float64 {
 	overRatio := float64(f.overPromise) / float64(max(f.requests, 1))
 	f.overPromise, f.requests = 0, 0
--- a/internal/share/home/move.go
+++ b/internal/share/home/move.go
@@ -8,23 +8,26 @@
 	"valescale/internal/rule/quota"
 )
 
-// Transfer is the chat places that a home passes on. Permits are told by the edges that hold them
-// and by nobody else: permits that homes handed over were counted twice as long as their edges
-// went on asking the earlier home, 14 more each second in a fleet of seven.
+// Transfer is the chat places that a home sends to another router. Permits are not part of it: only
+// the edge routers that hold them report them. If homes transferred permits, they would be counted
+// twice for as long as their edge routers use the earlier home (14 more per second in a fleet of
+// seven).
 type Transfer struct {
 	ID     place.ShardID
 	To     ident.Router
 	Places []place.ChatPlace
-	// Replica transfers are for a router next in line; the sender stays home.
+	// Replica marks a transfer to a standby; the sender remains home.
 	Replica bool
 }
 
-// maxTransferPlaces bounds the chat places in one transfer; the most recent go first.
+// maxTransferPlaces is the maximum number of chat places in one transfer. The most recent ones are
+// sent.
 const maxTransferPlaces = 50_000
 
-// Misplaced returns the chat places of the shards that another router is home of, as homeOf
-// tells, once for each such router. A shard from which all permits have gone is dropped; until then
-// it serves the edges that still ask here, and its counts are published to its home.
+// Misplaced returns the chat places of shards whose home is another router according to homeOf,
+// once for each such router. A shard is removed when all its permits have been released. Until then
+// it serves the edge routers that still use this home, and its counts are published to the new
+// home.
 func (h *Homes) Misplaced(homeOf func(place.ShardID) ident.Router) []Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -43,10 +46,10 @@
 	return out
 }
 
-// regroup takes the chats that prefer another shard once their pool has other shards out of
-// the homes here, for the homes of those. Without their places they would be read again, or
-// copied from engines that share only the beginning of their prompts; the caller holds the
-// lock.
+// reshard collects the chat places whose preferred shard changes with the pool's number of shards,
+// to be sent to the homes of their new shards. Without them the prompts of these chats would be
+// processed again, or their prefixes copied from engines that share only the beginning. The caller
+// must hold the lock.
 func (h *Homes) reshard(name ident.Pool, bound place.Bound, roster *place.Roster) {
 	pool := place.NewPool(name, roster.Shards(), bound)
 	pool.SetRoster(roster)
@@ -67,7 +70,7 @@
 	}
 }
 
-// Regrouped returns the chat places that are to go to the homes of other shards, once.
+// Regrouped returns the chat places to send to the homes of other shards, and clears them.
 func (h *Homes) Regrouped() []Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -76,7 +79,8 @@
 	return out
 }
 
-// Moved notes that a shard's new home has its chat places, and sends those who wait there.
+// Moved records that the new home of a shard has received its chat places, and redirects the queued
+// requests to it.
 func (h *Homes) Moved(id place.ShardID, to ident.Router) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -95,23 +99,23 @@
 		}
 		next.Value.(*queuedRequest).response <- Answer{Result: Moved}
 	}
-	// The new home knows of what is still counted here from the next digest alone.
+	// The new home receives the permits that are still counted here only from the next digest.
 	h.markUrgent(s)
 }
 
-// drop forgets a shard that nobody asks for here any more. Its last digest says that nothing is
-// counted here; the caller holds the lock.
+// removeShard removes a shard without permits and publishes an empty digest for it. The caller must
+// hold the lock.
 func (h *Homes) removeShard(id place.ShardID, s *shard) {
 	last := s.home.Digest()
 	h.seq = max(h.seq, last.Seq)
 	h.finalDigests = append(h.finalDigests, last)
 	delete(h.shards, id)
-	// Some routers may take this one for home again.
+	// Some routers may select this router as home again.
 	h.storePlaces(id, s.home.Places(maxTransferPlaces))
 	h.signalUrgent()
 }
 
-// Accept takes in a transfer.
+// Accept adds the chat places of a transfer.
 func (h *Homes) Accept(p Transfer) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -122,8 +126,8 @@
 	h.getOrCreate(p.ID).home.Learn(p.Places)
 }
 
-// Grant hands out a workspace's tokens. A bucket that is new here starts with no
-// more than a second's worth, since an earlier home may have granted the rest.
+// Grant grants tokens of a workspace. A new bucket starts with the tokens of at most one second,
+// because an earlier home may have granted the rest.
 func (h *Homes) Grant(workspace ident.Workspace, want int) (granted int, retryAfter time.Duration, known bool) {
 	w, ok := h.rates(workspace)
 	if !ok || w.Rate <= 0 {
@@ -142,10 +146,12 @@
 	return granted, retryAfter, true
 }
 
-// maxExported bounds the chats whose prefixes are copied off one leaving engine.
+// maxExportedChats is the maximum number of chats whose prefixes are copied from one leaving
+// engine.
 const maxExportedChats = 2000
 
-// PlanExport plans where the chats of a leaving engine go, if its shard's home is here.
+// PlanExport returns to which engines the cached prefixes of a leaving engine are to be copied. It
+// returns nil if this router is not the home of the shard.
 func (h *Homes) PlanExport(id place.ShardID, engine ident.TargetHash) []place.Export {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -156,7 +162,7 @@
 	return s.home.PlanExport(engine, maxExportedChats)
 }
 
-// Exported notes that chats' prefixes have been copied.
+// Exported records that the prefixes of chats have been copied.
 func (h *Homes) Exported(id place.ShardID, e place.Export) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -8,7 +8,7 @@
 	"valescale/internal/rule/place"
 )
 
-// Release gives permits back.
+// Release releases permits of an edge router.
 func (h *Homes) Release(id place.ShardID, edge ident.Router, released []uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -18,11 +18,11 @@
 	}
 }
 
-// permitLease is how long a home counts the permits of an edge that it does not hear
-// of. An edge that holds some speaks at least each half second; see route.Reconcile.
+// permitLease is how long a home counts the permits of an edge router that makes no contact. An
+// edge router that holds permits makes contact at least every half second; see route.Reconcile.
 const permitLease = 2 * time.Second
 
-// Lapse drops the permits of edges that have not spoken for a lease.
+// Lapse removes the permits of edge routers that have made no contact for a lease.
 func (h *Homes) Lapse() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -36,8 +36,8 @@
 	}
 }
 
-// release takes permits off a shard and gives the room to those that wait; the caller
-// holds the lock.
+// release removes permits from a shard and dispatches queued requests. The caller must hold the
+// lock.
 func (h *Homes) release(s *shard, edge ident.Router, released []uint64) {
 	if len(released) == 0 {
 		return
@@ -51,8 +51,8 @@
 	h.dispatch(s)
 }
 
-// Sync replaces what is believed of one edge's permits in a shard; from is the home
-// that counted them before, if another did.
+// Sync replaces an edge router's permits in a shard by a full list. The router from is the home
+// that counted them before, if it was another one.
 func (h *Homes) Sync(id place.ShardID, edge ident.Router, held []place.Permit, upto uint64, from ident.Router) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -63,9 +63,8 @@
 	h.dispatch(s)
 }
 
-// Withdraw drops an edge's permits because another home counts them now. Unlike a
-// list of them, this does not say that they have ended, so the other home may yet
-// hand them over.
+// Withdraw removes an edge router's permits because another home counts them now. Unlike Sync, it
+// does not mean that the permits were released, so the other home may still publish them.
 func (h *Homes) Withdraw(id place.ShardID, edge ident.Router, upto uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -78,7 +77,7 @@
 	h.dispatch(s)
 }
 
-// Doubt names the routers that may be gone.
+// Doubt sets the routers that may have crashed.
 func (h *Homes) Doubt(edges []ident.Router) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -88,7 +87,7 @@
 	}
 }
 
-// Holders lists the routers that hold permits here.
+// Holders returns the routers that hold permits of any shard.
 func (h *Homes) Holders() []ident.Router {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -100,7 +99,8 @@
 	return slices.Compact(out)
 }
 
-// Forget drops the permits, below some of each router, that earlier processes or dead routers held.
+// Forget removes the permits of earlier processes of a router and of dead routers: for each router
+// those below the given permit.
 func (h *Homes) Forget(below map[ident.Router]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -110,7 +110,7 @@
 	}
 }
 
-// Evicted notes cache events of an engine.
+// Evicted records the prefixes that an engine has evicted from its cache.
 func (h *Homes) Evicted(id place.ShardID, engine ident.TargetHash, keys []ident.ChatKey) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -123,12 +123,12 @@
 	}
 }
 
-// ReleaseAt gives permits back to a shard of a pool known by its hash.
+// ReleaseByPoolHash releases permits of a shard whose pool is given by its hash.
 func (h *Homes) ReleaseByPoolHash(hash ident.PoolHash, shard ident.Shard, edge ident.Router, released []uint64) {
 	h.Release(place.ShardID{Pool: h.poolByHash(hash), Shard: shard}, edge, released)
 }
 
-// dropPermit gives back a permit of any shard.
+// releaseFromAnyShard releases a permit whose shard is not known to the caller.
 func (h *Homes) releaseFromAnyShard(edge ident.Router, permit uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -9,7 +9,7 @@
 	"valescale/internal/rule/quota"
 )
 
-// waiting is a request that waits in its shard's queue.
+// queuedRequest is a permit request in the queue of its shard.
 type queuedRequest struct {
 	req      Ask
 	shard    *shard
@@ -18,7 +18,7 @@
 	response chan Answer
 }
 
-// Place answers a request for a permit, waiting for a free engine if the ask allows it.
+// Place processes a permit request. It waits for a free engine if the request allows that.
 func (h *Homes) Place(ctx context.Context, req Ask, released []uint64) Answer {
 	resp, w := h.placeOrQueue(req, released)
 	if w == nil {
@@ -27,12 +27,12 @@
 	return h.await(ctx, w)
 }
 
-// placeOrQueue answers at once, or returns the request as it waits in its shard's queue.
+// placeOrQueue returns a response if there is one at once, and otherwise the queued request.
 func (h *Homes) placeOrQueue(req Ask, released []uint64) (Answer, *queuedRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, known := h.pools[req.Shard.Pool]; !known {
-		// A home without the pool's engines has nothing to give.
+		// A home without the pool's engines cannot grant permits.
 		return Answer{Result: Empty}, nil
 	}
 	s := h.getOrCreate(req.Shard)
@@ -59,7 +59,7 @@
 	return Answer{}, w
 }
 
-// newWaiting makes a request one that can wait in the shard's queue.
+// newQueuedRequest returns a permit request with its queue entry, which is not queued yet.
 func (s *shard) newQueuedRequest(now time.Time, req Ask) *queuedRequest {
 	w := &queuedRequest{req: req, shard: s, queuedAt: now, response: make(chan Answer, 1)}
 	w.entry = &quota.Waiter{
@@ -69,14 +69,14 @@
 	return w
 }
 
-// hopeless reports whether a request would wait in vain. A refusal at once leaves its
-// caller time for another try.
+// wouldExpire reports whether a request would expire in the queue. Rejecting it at once leaves its
+// caller time to retry.
 func (s *shard) wouldExpire(w *queuedRequest) bool {
 	queueDelay, known := s.rate.queueDelay(s.queue.Ahead(w.entry))
 	return known && queueDelay > w.req.Wait
 }
 
-// enqueue has a request wait, and refuses another one for which no room is left.
+// enqueue queues a request. If that leaves no room for a request, it rejects that one.
 func (s *shard) enqueue(now time.Time, w *queuedRequest) {
 	if rejected := s.queue.Push(w.entry); rejected != nil {
 		other := rejected.Value.(*queuedRequest)
@@ -84,7 +84,7 @@
 	}
 }
 
-// await waits for a queued request's answer as long as the request can wait.
+// await waits for the response to a queued request for as long as the request can wait.
 func (h *Homes) await(ctx context.Context, w *queuedRequest) Answer {
 	timer := time.NewTimer(w.req.Wait)
 	defer timer.Stop()
@@ -98,14 +98,15 @@
 	}
 }
 
-// giveUp ends the waiting of a request; gone says that nobody is there to use a permit.
+// abandon removes a request from the queue. If callerGone is set, a permit granted in the meantime
+// is released.
 func (h *Homes) abandon(w *queuedRequest, callerGone bool) Answer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := w.shard
 	select {
 	case resp := <-w.response:
-		// The permit was given at the last moment.
+		// The permit was granted while the wait ended.
 		if callerGone && resp.Result == Placed {
 			h.release(s, w.req.Edge, []uint64{w.req.Permit})
 		}
@@ -114,7 +115,8 @@
 	}
 	s.queue.Remove(w.entry)
 	if !callerGone && s.rate.noReleaseSince(w.queuedAt) {
-		// Permits that nobody holds may fill the shard for a while after homes have moved.
+		// After a change of homes, counted permits that no edge router holds may take up the slots
+		// of the shard for a short time.
 		w.req.Over = true
 		if d := s.home.Place(h.clock(), w.req.Request); d.Result == place.Placed {
 			return s.response(h.clock(), w.req.Edge, d)
@@ -123,8 +125,8 @@
 	return s.rejection(h.clock(), w.req, TimedOut)
 }
 
-// refusal is an answer without a permit. Only the last shard that a request asks, on which
-// it must be placed, has its caller come back.
+// rejection returns a response without a permit. It contains a Retry-After delay only if the
+// request must be placed on this shard, which is the last one that the edge router tries.
 func (s *shard) rejection(now time.Time, req Ask, result Result) Answer {
 	resp := Answer{Result: result, Held: s.home.Held(req.Edge), Work: s.home.SureWork()}
 	if req.Must {
@@ -134,16 +136,17 @@
 	return resp
 }
 
-// decided is the answer to a request that need not wait.
+// decisionResponse returns the response to a request that does not have to wait.
 func (s *shard) decisionResponse(now time.Time, req Ask, d place.Decision) Answer {
 	if req.Must && d.Result == place.Full {
-		// Only engines that this edge avoids have room: its callers may do better elsewhere.
+		// Only engines that this edge router avoids have room, so its callers may be served
+		// elsewhere.
 		return s.rejection(now, req, Full)
 	}
 	return s.response(now, req.Edge, d)
 }
 
-// answer turns a placement's decision into what the edge is told.
+// response returns the response for a placement decision.
 func (s *shard) response(now time.Time, edge ident.Router, d place.Decision) Answer {
 	resp := Answer{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), Sums: s.home.NextSums(now), Basis: d.Basis}
 	switch d.Result {
@@ -157,7 +160,7 @@
 	return resp
 }
 
-// dispatch gives engines to waiting requests as long as some have room.
+// dispatch places queued requests while engines have room.
 func (h *Homes) dispatch(s *shard) {
 	now := h.clock()
 	for {
--- a/internal/share/home/publish.go
+++ b/internal/share/home/publish.go
@@ -9,26 +9,27 @@
 )
 
 const (
-	// publishEvery is the least time between two digests of one shard.
+	// minPublishInterval is the minimum interval between two digests of a shard.
 	minPublishInterval = 900 * time.Millisecond
-	// renewEvery is how often an unchanged digest is published again, well within its life.
+	// republishInterval is the interval at which an unchanged digest is published again, well below
+	// the lifetime of a digest.
 	republishInterval = 2 * time.Second
 )
 
-// heard is a digest with the time at which it came; one of a home that is gone must
-// not come to life again in a home that is made later.
+// receivedDigest is a digest with the time at which it was received. The time prevents the digest
+// of a home that no longer exists from being merged as current into a home that is created later.
 type receivedDigest struct {
 	digest place.Digest
 	at     time.Time
 }
 
-// hurry has a shard's count published at once.
+// markUrgent causes a shard's digest to be published at once.
 func (h *Homes) markUrgent(s *shard) {
 	s.urgent = true
 	h.signalUrgent()
 }
 
-// signal asks for a publication at once, unless that has been asked already.
+// signalUrgent signals that there is something to publish at once.
 func (h *Homes) signalUrgent() {
 	select {
 	case h.urgent <- struct{}{}:
@@ -39,7 +40,7 @@
 // Urgent is signalled when Digests has something that should not wait.
 func (h *Homes) Urgent() <-chan struct{} { return h.urgent }
 
-// Merge takes in what other homes published.
+// Merge merges digests of other homes.
 func (h *Homes) Merge(digests []place.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -59,7 +60,7 @@
 	}
 }
 
-// keepPlaces keeps chat places of a shard of which another router is home.
+// storePlaces stores chat places: in the shard if this router is its home, otherwise in a replica.
 func (h *Homes) storePlaces(id place.ShardID, places []place.ChatPlace) {
 	if s, here := h.shards[id]; here {
 		s.home.Learn(places)
@@ -80,16 +81,16 @@
 	replica.Learn(places)
 }
 
-// Publication is what the routers next in line are to be told of a shard.
+// Publication is a shard's digest and the standbys to which it is sent.
 type Publication struct {
 	Digest place.Digest
 	To     []ident.Router
-	// Whole is set when the first of them is new in line and needs all chat places.
+	// Whole is set when the first standby has changed and needs all chat places.
 	Whole *Transfer
 }
 
-// Publications returns what is to be told now, given the assignments among the live
-// routers and among all that are known.
+// Publications returns what is to be published now. The arguments are the assignments among the
+// live routers and among all known ones.
 func (h *Homes) Publications(live, known *place.Assignment) []Publication {
 	var out []Publication
 	for _, d := range h.Digests() {
@@ -102,7 +103,8 @@
 	return out
 }
 
-// wholeFor returns all chat places of a shard if a router has just become its first standby.
+// fullPlaces returns all chat places of a shard if the given router has become its first standby,
+// and nil otherwise.
 func (h *Homes) fullPlaces(id place.ShardID, standby ident.Router) *Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -114,8 +116,8 @@
 	return &Transfer{ID: id, To: standby, Places: s.home.Places(maxTransferPlaces), Replica: true}
 }
 
-// Digests returns what is to be published: the shards whose counts changed, and
-// now and then those whose did not.
+// Digests returns the digests to publish: those of shards whose counts have changed, and unchanged
+// ones at a longer interval.
 func (h *Homes) Digests() []place.Digest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/rate.go
+++ b/internal/share/home/rate.go
@@ -9,33 +9,33 @@
 	"valescale/internal/rule/quota"
 )
 
-// releaseRate follows how fast a shard's permits come back, to tell how long a queue takes
-// and callers when to come back themselves. It measures per unit of work in flight: a
-// shard that has just become full gives room back faster than it did while it was idle.
+// releaseRate measures how fast the permits of a shard are released, to estimate the time in the
+// queue and the Retry-After delays. The rate is measured per unit of work in flight, because a
+// shard that has just become full releases work faster than it did while it was idle.
 type releaseRate struct {
-	// released is the work that came back, flown the work in flight times seconds; both
-	// count half after rateHalfLife.
+	// releasedWork is the released work, workSeconds the work in flight integrated over seconds.
+	// Both decay with rateHalfLife.
 	releasedWork float64
 	workSeconds  float64
 	// inFlight is the work in flight since at.
 	inFlight ident.Work
 	at       time.Time
-	// last is when work came back last.
+	// lastRelease is the time of the last release.
 	lastRelease time.Time
 }
 
 const (
-	// rateHalfLife is after how long what was measured counts half: long enough for some
-	// ten requests at a small service, short enough to follow engines that slow down.
+	// rateHalfLife is long enough for about ten requests of a small service, and short enough to
+	// follow engines that become slower.
 	rateHalfLife = 500 * time.Millisecond
 )
 
-// note counts work that came back and what is in flight from now on.
+// record records released work and the work that is in flight from now on.
 func (r *releaseRate) record(now time.Time, releasedWork, inFlight ident.Work) {
 	if elapsed := now.Sub(r.at); elapsed > 0 && !r.at.IsZero() {
 		kept := decay.Kept(elapsed, rateHalfLife)
 		r.releasedWork *= kept
-		// The work in flight since the last note decays as it is added.
+		// The work in flight since the last call decays while it is integrated.
 		halfLife := rateHalfLife.Seconds() / math.Ln2
 		r.workSeconds = r.workSeconds*kept + float64(r.inFlight)*halfLife*(1-kept)
 	}
@@ -47,8 +47,8 @@
 	r.at = now
 }
 
-// perSecond is the number of requests a second whose work comes back at the present work
-// in flight, zero while that is unknown.
+// requestsPerSecond returns the release rate in requests at the current work in flight, or zero if
+// it is not known.
 func (r *releaseRate) requestsPerSecond() float64 {
 	if r.workSeconds <= 0 {
 		return 0
@@ -56,7 +56,7 @@
 	return r.releasedWork / r.workSeconds * float64(r.inFlight) / float64(ident.OneRequest)
 }
 
-// wait is how long a newcomer waits behind some others, if that is known.
+// queueDelay estimates how long a new request would wait behind the given number of others.
 func (r *releaseRate) queueDelay(ahead int) (queueDelay time.Duration, known bool) {
 	requestsPerSecond := r.requestsPerSecond()
 	if requestsPerSecond <= 0 {
@@ -66,5 +66,5 @@
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
-// stoodStill reports whether nothing has come back since a time.
+// noReleaseSince reports whether no work has been released since the given time.
 func (r *releaseRate) noReleaseSince(since time.Time) bool { return !r.lastRelease.After(since) }
--- a/internal/share/home/rate_test.go
+++ b/internal/share/home/rate_test.go
@@ -7,8 +7,8 @@
 	"valescale/internal/plat/ident"
 )
 
-// steadily notes that some requests are in flight and that work comes back evenly, so
-// many requests a second, and returns the time afterwards.
+// recordSteadyReleases records a constant amount of work in flight and a steady rate of releases,
+// and returns the time afterwards.
 func recordSteadyReleases(r *releaseRate, now time.Time, perSecond int, inFlight ident.Work) time.Time {
 	r.record(now, 0, inFlight)
 	const seconds = 4
@@ -19,17 +19,17 @@
 	return now
 }
 
-// near reports whether a time is within a tenth of what is wanted: what comes back at
-// intervals counts a little more just after than just before.
+// withinTenth reports whether a duration is within a tenth of the expected one. The measured rate
+// is slightly higher just after a release than just before one.
 func withinTenth(got, want time.Duration) bool { return (got - want).Abs() <= want/10 }
 
-// A shard that was idle a moment ago is not taken for slow: its rate follows the work in
-// flight, not the work that was asked of it.
+// The rate of a shard that was nearly idle until now is not underestimated, because it is
+// proportional to the work in flight.
 func TestReleaseRateFollowsWorkInFlight(t *testing.T) {
 	var r releaseRate
 	now := recordSteadyReleases(&r, time.Unix(1000, 0), 10, 2*ident.OneRequest)
 	r.record(now, 0, 20*ident.OneRequest)
 	if got, known := r.queueDelay(9); !known || !withinTenth(got, 100*time.Millisecond) {
-		t.Errorf("10 requests, 20 in flight, 5 a second each: %v, want 0.1 s", got)
+		t.Errorf("queue delay of 10 requests at 20 in flight and 5 releases per second each: %v, want 0.1 s", got)
 	}
 }
--- a/internal/share/home/regroup_test.go
+++ b/internal/share/home/regroup_test.go
@@ -9,8 +9,9 @@
 	"valescale/internal/share/home"
 )
 
-// When a pool grows beyond its shards, its chats still find the engines that have their
-// prompts: half of the chats prefer another shard, and half of the engines belong to one.
+// When the number of a pool's shards grows, chats still find the engines that have their prompt
+// prefixes cached, although half of the chats prefer another shard and half of the engines belong
+// to another one.
 func TestPlacesFollowResharding(t *testing.T) {
 	before, _, _ := newHomes()
 	after, _, _ := newHomes()
@@ -60,9 +61,9 @@
 		t.Errorf("only %d of %d chats prefer another shard", moved, chats)
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d chats are neither placed where they ran nor copied from there", lost, chats)
+		t.Errorf("%d of %d chats neither placed on their engine nor copied from it", lost, chats)
 	}
 	if again := before.Regrouped(); len(again) > 0 {
-		t.Errorf("%d transfers are given out twice", len(again))
+		t.Errorf("%d transfers returned twice", len(again))
 	}
 }
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -13,32 +13,32 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Kind tells this package's errors apart.
+// Kind is the kind of this package's errors.
 type Kind string
 
 const (
-	// Unreachable means that the home did not answer; it may have given the permit.
+	// Unreachable means that the home did not respond. It may have granted the permit.
 	Unreachable Kind = "unreachable"
-	// HeldUp means that this router was held up itself, frozen or short of processor time or
-	// descriptors, so that it cannot tell whether the home would have answered.
+	// HeldUp means that this router itself was delayed, by a pause or a shortage of processor time
+	// or file descriptors, so the home may have responded in time.
 	HeldUp Kind = "held_up"
-	// Unknown means that membership does not know the home.
+	// Unknown means that the home is not in the membership view.
 	Unknown Kind = "unknown"
-	// Foreign means that a router speaks for another.
+	// Foreign means that a router sent a request in the name of another.
 	Foreign Kind = "foreign"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Clients gives the client of a router.
+// Clients provides the clients of routers.
 type Clients interface {
 	Client(id ident.Router) (peerpb.PeerServiceClient, error)
-	// Unanswered tells of requests to a router that were not answered in time.
+	// Unanswered reports that a router did not respond in time.
 	Unanswered(id ident.Router)
 }
 
-// Remote asks homes wherever they are, without a call if it is here.
+// Remote sends requests to homes. Calls to a local home do not use the network.
 type Remote struct {
 	self    ident.Router
 	local   *Homes
@@ -47,14 +47,14 @@
 	links   *links
 }
 
-// NewRemote returns a Remote whose calls are bounded by timeout, waiting not
-// counted, and the function that closes its links.
+// NewRemote returns a Remote and the function that closes its links. The timeout bounds each call,
+// in addition to the time that a request may wait in a queue.
 func NewRemote(self Edge, local *Homes, clients Clients, timeout time.Duration) (*Remote, func()) {
 	r := &Remote{self: self.ID, local: local, clients: clients, timeout: timeout, links: newLinks(self, clients)}
 	return r, r.links.close
 }
 
-// Place asks a home for a permit.
+// Place requests a permit from a home.
 func (r *Remote) Place(ctx context.Context, home ident.Router, req Ask, released []uint64) (Answer, error) {
 	if home == r.self {
 		return r.local.Place(ctx, req, released), nil
@@ -81,12 +81,12 @@
 	return resp, err
 }
 
-// heldUp is how late the end of a request's time may be noticed before this router counts
-// as held up itself. Routers that blamed homes for their own lack of processor time took
-// several for home of one shard, each for itself, for as long as they were pressed.
+// maxLocalDelay is how late a timeout may be noticed before the router attributes it to its own
+// delay. Routers that blamed homes for their own shortage of processor time would each select
+// different homes for one shard, for as long as they are overloaded.
 const maxLocalDelay = 50 * time.Millisecond
 
-// Release gives permits back to a home.
+// Release releases permits to a home.
 func (r *Remote) Release(_ context.Context, home ident.Router, id place.ShardID, released []uint64) error {
 	if home == r.self {
 		r.local.Release(id, r.self, released)
@@ -100,17 +100,17 @@
 	return nil
 }
 
-// Publish tells a router that is next in line what this home counts.
+// Publish sends a digest to a standby.
 func (r *Remote) Publish(to ident.Router, d place.Digest) {
 	if l, err := r.links.to(to); err == nil {
 		l.enqueue(linkItem{load: encodeDigest(d)})
 	}
 }
 
-// LoadSize is the size of a digest on the wire, in bytes without framing.
+// LoadSize returns the encoded size of a digest in bytes, without framing.
 func LoadSize(d place.Digest) int { return proto.Size(encodeDigest(d)) }
 
-// Sync tells a home all permits that this router holds in a shard.
+// Sync sends a home the full list of permits that this router holds in a shard.
 func (r *Remote) Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
 	if home == r.self {
 		r.local.Sync(id, r.self, held, upto, from)
@@ -125,7 +125,7 @@
 	})
 }
 
-// Withdraw tells an earlier home that another one counts this router's permits now.
+// Withdraw informs an earlier home that another one counts this router's permits now.
 func (r *Remote) Withdraw(ctx context.Context, home ident.Router, id place.ShardID, upto uint64) error {
 	if home == r.self {
 		r.local.Withdraw(id, r.self, upto)
@@ -139,7 +139,7 @@
 	})
 }
 
-// Handoff passes a transfer to a shard's next home.
+// Handoff sends a transfer to its destination.
 func (r *Remote) Handoff(ctx context.Context, p Transfer) error {
 	return r.call(ctx, "home.Handoff", p.To, func(ctx context.Context, client peerpb.PeerServiceClient) error {
 		_, err := client.Handoff(ctx, connect.NewRequest(encodeTransfer(r.self, p)))
@@ -147,13 +147,13 @@
 	})
 }
 
-// PlaceSize is the size of a request for a permit and its answer on the wire, in
-// bytes without framing.
-func PlaceSize(req Ask, released []uint64, answer Answer) int {
-	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(answer))
+// PlaceSize returns the encoded size of a permit request and its response in bytes, without
+// framing.
+func PlaceSize(req Ask, released []uint64, resp Answer) int {
+	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(resp))
 }
 
-// HandoffSize is the size of a transfer on the wire, in bytes without framing.
+// HandoffSize returns the encoded size of a transfer in bytes, without framing.
 func HandoffSize(p Transfer) int { return proto.Size(encodeTransfer("", p)) }
 
 func encodeTransfer(from ident.Router, p Transfer) *peerpb.HandoffRequest {
@@ -163,7 +163,8 @@
 	}
 }
 
-// Grant asks a workspace's home for tokens; known is false when it has no limit.
+// Grant requests tokens of a workspace from its home. It returns zero tokens if the workspace has
+// no limit there.
 func (r *Remote) Grant(ctx context.Context, home ident.Router, workspace ident.Workspace, want int) (granted int, retryAfter time.Duration, err error) {
 	if home == r.self {
 		granted, retryAfter, _ = r.local.Grant(workspace, want)
--- a/internal/share/home/server.go
+++ b/internal/share/home/server.go
@@ -10,27 +10,28 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Server answers other routers' calls to the homes here.
+// Server serves other routers' calls to the homes of this router.
 type Server struct {
 	homes *Homes
-	// identify returns who a call comes from, or the empty id when connections have no keys.
+	// identify returns the router that made a call, or the empty id when connections are not
+	// authenticated.
 	identify func(context.Context) ident.Router
 }
 
-// NewServer returns a server of the homes.
+// NewServer returns a Server for the given homes.
 func NewServer(homes *Homes, identify func(context.Context) ident.Router) *Server {
 	return &Server{homes: homes, identify: identify}
 }
 
-// checkEdge lets a router speak only for itself.
+// checkEdge rejects a call in which a router uses the id of another.
 func (s *Server) checkEdge(ctx context.Context, edge ident.Router) error {
 	if caller := s.identify(ctx); caller != "" && caller != edge {
-		return connect.NewError(connect.CodePermissionDenied, fault.Newf("home.Server", Foreign, "%s speaks for %s", caller, edge))
+		return connect.NewError(connect.CodePermissionDenied, fault.Newf("home.Server", Foreign, "router %s sent a request in the name of router %s", caller, edge))
 	}
 	return nil
 }
 
-// Sync replaces what is believed of an edge's permits.
+// Sync replaces or withdraws the permits of an edge router.
 func (s *Server) Sync(ctx context.Context, req *connect.Request[peerpb.SyncRequest]) (*connect.Response[peerpb.SyncReply], error) {
 	m := req.Msg
 	edge := ident.Router(m.GetEdge())
@@ -45,7 +46,7 @@
 	return connect.NewResponse(&peerpb.SyncReply{}), nil
 }
 
-// Handoff takes over a shard from its earlier home.
+// Handoff accepts a transfer of chat places.
 func (s *Server) Handoff(ctx context.Context, req *connect.Request[peerpb.HandoffRequest]) (*connect.Response[peerpb.HandoffReply], error) {
 	m := req.Msg
 	if err := s.checkEdge(ctx, ident.Router(m.GetFrom())); err != nil {
@@ -57,7 +58,7 @@
 	return connect.NewResponse(&peerpb.HandoffReply{}), nil
 }
 
-// Grant hands out a workspace's tokens.
+// Grant grants tokens of a workspace.
 func (s *Server) Grant(_ context.Context, req *connect.Request[peerpb.GrantRequest]) (*connect.Response[peerpb.GrantReply], error) {
 	granted, retryAfter, _ := s.homes.Grant(ident.Workspace(req.Msg.GetWorkspace()), int(req.Msg.GetWant()))
 	return connect.NewResponse(&peerpb.GrantReply{Granted: int64(granted), RetryAfterMs: retryAfter.Milliseconds()}), nil
--- a/internal/share/home/session.go
+++ b/internal/share/home/session.go
@@ -11,7 +11,7 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Link answers another router's requests for permits until its stream ends.
+// Link serves the permit requests of another router until its stream ends.
 func (s *Server) Link(ctx context.Context, stream *connect.BidiStream[peerpb.LinkRequest, peerpb.LinkReply]) error {
 	ctx, cancel := context.WithCancel(ctx)
 	var wg sync.WaitGroup
@@ -36,7 +36,7 @@
 	}
 }
 
-// session is the home's side of one link.
+// session is the server side of a link.
 type session struct {
 	server  *Server
 	ctx     context.Context
@@ -45,11 +45,11 @@
 	base    uint64
 	replies chan *peerpb.PlaceReply
 	mu      sync.Mutex
-	// cancels end the waiting of requests, by permit.
+	// cancels are the cancel functions of waiting requests, by permit.
 	cancels map[uint64]context.CancelFunc
 }
 
-// take does what a message asks for; requests that can wait are answered later.
+// handle processes a message. Requests that can wait are processed in goroutines.
 func (s *session) handle(wg *sync.WaitGroup, message *peerpb.LinkRequest) {
 	for _, m := range message.GetReleases() {
 		s.server.homes.ReleaseByPoolHash(ident.PoolHash(m.GetPool()), ident.Shard(m.GetShard()), s.edge, offsetPermits(m.GetReleased(), s.base))
@@ -76,7 +76,7 @@
 	}
 }
 
-// cancel ends the waiting of a request.
+// cancel cancels a waiting request.
 func (s *session) cancel(permit uint64) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// cancellable returns a context for the waiting of a request that the edge can end, and
-// the function to call once it waits no more.
+// cancellableContext returns a context that the edge router can cancel while its request waits, and
+// the function to call once the request no longer waits.
 func (s *session) cancellableContext(permit uint64) (context.Context, func()) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	s.mu.Lock()
@@ -100,7 +100,7 @@
 	}
 }
 
-// ask reads a request for a permit in the edge's name.
+// permitRequest decodes a permit request of the session's edge router.
 func (s *session) permitRequest(m *peerpb.PlaceRequest) Ask {
 	permitRequest := decodePermitRequest(m)
 	permitRequest.Edge, permitRequest.Zone = s.edge, s.zone
@@ -109,7 +109,7 @@
 	return permitRequest
 }
 
-// answer queues the answer to a request for a permit.
+// respond queues the response to a permit request.
 func (s *session) respond(permit uint64, resp Answer) {
 	m := encodePermitResponse(resp)
 	m.Permit = permit - s.base
@@ -117,13 +117,13 @@
 	case s.replies <- m:
 	case <-s.ctx.Done():
 		if resp.Result == Placed {
-			// Nobody can learn of the permit any more.
+			// The edge router can no longer receive the response.
 			s.server.homes.releaseFromAnyShard(s.edge, permit)
 		}
 	}
 }
 
-// reply writes answers, as many as are there in one message.
+// writeReplies sends queued responses in batches.
 func (s *session) writeReplies(stream *connect.BidiStream[peerpb.LinkRequest, peerpb.LinkReply], cancel context.CancelFunc) {
 	for {
 		select {
@@ -138,7 +138,7 @@
 	}
 }
 
-// gather puts an answer and those that are there after it into one message.
+// batchReplies returns a message with the given response and those queued after it.
 func (s *session) batchReplies(first *peerpb.PlaceReply) *peerpb.LinkReply {
 	message := &peerpb.LinkReply{Places: []*peerpb.PlaceReply{first}}
 	for len(message.Places) < maxLinkBatch {
--- a/internal/share/home/split_test.go
+++ b/internal/share/home/split_test.go
@@ -9,17 +9,17 @@
 	"valescale/internal/plat/ident"
 )
 
-// allowedOver is the part of the requests that may go above the promise.
+// maxOverRatio is the maximum ratio of requests that may exceed the promised bound.
 const maxOverRatio = 0.03
 
-// Seen: for five seconds after a surge 4 to 8 in 100 requests reached engines that held over
-// twice the mean, some three times. How: the home of 18 engines was short of processor time, so that
-// some routers passed it over and asked the next in line while others still asked it. Cause:
-// the stand-in handed all permits to the home each second, but their routers went on telling
-// the stand-in what they held and giving permits back to it. So the home counted them
-// for as long as that lasted, and each hand-over added more. Proof: the home counted 26 to 30
-// requests an engine where 11 were, and here twice the truth after 8 s; with the mean the
-// bound was too high.
+// The test guards against a home that counts permits twice while some routers use the home and
+// others its standby, as happens when the home is short of processor time. If the standby transfers
+// permits to the home every second while their edge routers continue to report and release them at
+// the standby, each transfer adds to the home's count for as long as this lasts. With 18 engines
+// the home then counts 26 to 30 requests per engine where 11 run; in this simulation it counts
+// twice the truth after 8 s. The mean and with it the bound become too high, and for five seconds
+// after a surge 4 to 8 in 100 requests reach engines with over twice the mean load, some with three
+// times the mean.
 func TestBoundWhileOneRouterUsesStandby(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, smallFleet)
@@ -30,42 +30,44 @@
 	}
 }
 
-// The home answers each router now and then, so that all change between it and the next in line.
+// The home answers each router only intermittently, so that all of them alternate between it and
+// the standby.
 func TestBoundWhileRoutersAlternateHomes(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, smallFleet)
 		first := f.startTraffic(t, seed)
-		for _, b := range f.members {
-			if b.id != first {
-				b.unanswered = func(to ident.Router) bool { return to == first && f.rng.IntN(20) == 0 }
+		for _, m := range f.members {
+			if m.id != first {
+				m.unanswered = func(to ident.Router) bool { return to == first && f.rng.IntN(20) == 0 }
 			}
 		}
 		f.expectBound(t, seed)
 	}
 }
 
-// Seen: in the model alone, a third of the requests above the promise. How: 62 routers reach no
-// home and decide alone. Cause: each takes an engine on which it has nothing for empty, and all take the
-// same one for a subject, so that each may send its first request of a popular one there.
-// Proof: an engine's part of 62 routers is a third of a request each; rounding it up makes 62.
+// The test guards against overload when 62 routers reach no home and place requests alone. If each
+// of them treats an engine on which it has no request as empty, and all prefer the same engine for
+// a prompt prefix, each may send its first request with a popular prefix there, and a third of the
+// requests exceed the promised bound. With 62 routers, the share of one router in an engine's load
+// is a third of a request; rounding it up would allow 62 requests.
 func TestBoundWithoutHomes(t *testing.T) {
 	for seed := range uint64(3) {
 		f := newFleet(seed, largeFleet)
-		for _, b := range f.members {
-			b.unanswered = func(to ident.Router) bool { return to != b.id }
+		for _, m := range f.members {
+			m.unanswered = func(to ident.Router) bool { return to != m.id }
 		}
 		f.traffic(80*time.Millisecond, 700*time.Millisecond)
 		f.runFor(3 * time.Second)
 		f.overRatio()
 		f.runFor(5 * time.Second)
 		if overRatio := f.overRatio(); overRatio > maxOverRatio {
-			t.Errorf("seed %d: %.3f of the requests above the promise", seed, overRatio)
+			t.Errorf("seed %d: %.3f of the requests exceed the promised bound", seed, overRatio)
 		}
 	}
 }
 
-// Random disagreement: calls that go unanswered for a while, from one router or from all, and
-// routers that take others for gone, over and over.
+// Random disagreement: calls of one router or of all go unanswered for some time, and routers
+// assume that others have left.
 func TestBoundUnderRandomDisagreement(t *testing.T) {
 	for seed := range sched.Seeds(5) {
 		f := newFleet(seed, smallFleet)
@@ -76,70 +78,70 @@
 		for range 4 {
 			f.runFor(5 * time.Second)
 			if overRatio := f.overRatio(); overRatio > maxOverRatio {
-				t.Errorf("seed %d: %.3f of the requests above the promise", seed, overRatio)
+				t.Errorf("seed %d: %.3f of the requests exceed the promised bound", seed, overRatio)
 			}
 		}
 	}
 }
 
-// disagree starts one disagreement that ends by itself.
+// injectDisagreement starts one disagreement that ends after a random time.
 func (f *fleet) injectDisagreement() {
-	b := f.members[f.rng.IntN(len(f.members))]
+	m := f.members[f.rng.IntN(len(f.members))]
 	duration := time.Duration(500+f.rng.IntN(4000)) * time.Millisecond
 	switch f.rng.IntN(3) {
 	case 0:
 		level := f.rng.IntN(4)
-		b.unanswered = func(ident.Router) bool { return f.rng.IntN(4) <= level }
-		f.after(duration, func() { b.unanswered = nil })
+		m.unanswered = func(ident.Router) bool { return f.rng.IntN(4) <= level }
+		f.after(duration, func() { m.unanswered = nil })
 	case 1:
 		for _, other := range f.members {
-			if other != b {
-				other.unanswered = func(to ident.Router) bool { return to == b.id }
+			if other != m {
+				other.unanswered = func(to ident.Router) bool { return to == m.id }
 				f.after(duration, func() { other.unanswered = nil })
 			}
 		}
 	default:
 		removed := f.assigned.Home(id)
-		if removed == b.id {
+		if removed == m.id {
 			return
 		}
-		f.setLive(b, slices.DeleteFunc(slices.Clone(f.names), func(n ident.Router) bool { return n == removed }))
-		f.after(duration, func() { f.setLive(b, f.names) })
+		f.setLive(m, slices.DeleteFunc(slices.Clone(f.names), func(n ident.Router) bool { return n == removed }))
+		f.after(duration, func() { f.setLive(m, f.names) })
 	}
 }
 
-// split starts the traffic and returns the home that some routers are to pass over.
+// startTraffic starts the traffic, checks the bound with one home, and returns that home.
 func (f *fleet) startTraffic(t *testing.T, seed uint64) ident.Router {
 	t.Helper()
 	f.traffic(25*time.Millisecond, 400*time.Millisecond)
 	f.runFor(3 * time.Second)
 	if overRatio := f.overRatio(); overRatio > maxOverRatio {
-		t.Errorf("seed %d: %.3f of the requests above the promise with one home", seed, overRatio)
+		t.Errorf("seed %d: %.3f of the requests exceed the promised bound with one home", seed, overRatio)
 	}
 	return f.assigned.Home(id)
 }
 
-// otherThan returns a box that is none of some.
+// memberExcept returns a member that is not one of the excluded routers.
 func (f *fleet) memberExcept(excluded ...ident.Router) *member {
-	return f.members[slices.IndexFunc(f.members, func(b *member) bool { return !slices.Contains(excluded, b.id) })]
+	return f.members[slices.IndexFunc(f.members, func(m *member) bool { return !slices.Contains(excluded, m.id) })]
 }
 
-// expectBound watches the promise and the home's count while routers disagree.
+// expectBound checks the promised bound and the home's permit count while routers disagree.
 func (f *fleet) expectBound(t *testing.T, seed uint64) {
 	t.Helper()
 	f.runFor(3 * time.Second)
 	f.overRatio()
 	f.runFor(5 * time.Second)
 	if overRatio := f.overRatio(); overRatio > maxOverRatio {
-		t.Errorf("seed %d: %.3f of the requests above the promise", seed, overRatio)
+		t.Errorf("seed %d: %.3f of the requests exceed the promised bound", seed, overRatio)
 	}
 	permits, _ := f.member(f.assigned.Home(id)).homes.InFlight()
 	if held := f.total(); permits > held*3/2 {
-		t.Errorf("seed %d: the home counts %d permits, and %d are held", seed, permits, held)
+		t.Errorf("seed %d: home counts %d permits, edge routers hold %d", seed, permits, held)
 	}
 }
 
-// total is what all engines hold.
+// total returns the number of requests on all engines.
 func (f *fleet) total() int {
 	total := 0
 	for _, n := range f.held {
--- a/internal/share/home/surge_test.go
+++ b/internal/share/home/surge_test.go
@@ -9,38 +9,37 @@
 	"valescale/internal/plat/ident"
 )
 
-// hundredsOfRouters is a fleet of small boxes over engines of 16 slots: 295 routers, each of which
-// sees a few requests a second, and 153 engines in 8 shards, of which hashing makes some half as
-// large as others.
+// surgeFleet is a fleet of 295 small routers, each of which receives a few requests per second, and
+// 153 engines of 16 slots in 8 shards. Hashing makes some shards half as large as others.
 var surgeFleet = fleetSize{routers: 295, engines: 153, shards: 8, slots: 16}
 
 const (
-	// surgeLasts is how long a request holds its slot: a chat's answer of 290 tokens in a batch
-	// that is full.
+	// surgeHoldTime is how long a request holds its slot: a chat answer of 290 tokens in a full
+	// batch.
 	surgeHoldTime = 800 * time.Millisecond
-	// surgeSubjects is how many subjects there are, some 18 for each engine.
+	// surgePrefixes is the number of prompt prefixes, about 18 per engine.
 	surgePrefixes = 2700
 )
 
-// answered counts what became of requests.
+// requestCounts counts requests and those that were rejected.
 type requestCounts struct{ sent, rejected int }
 
-// share is the part of the requests that was refused.
+// rejectedRatio returns the ratio of rejected requests.
 func (a requestCounts) rejectedRatio() float64 { return float64(a.rejected) / float64(max(a.sent, 1)) }
 
-// offer has all routers together send requests for a part of all slots, evenly over many
-// subjects, as long as the test says; what becomes of them is added to counts.
+// sendAtRatio makes all routers together send requests at a ratio to the capacity of all slots,
+// evenly over many prompt prefixes, while on returns true. The results are added to counts.
 func (f *fleet) sendAtRatio(ratio float64, on func() bool, counts *requestCounts) {
 	perSecond := ratio * float64(f.engines*f.slots) / surgeHoldTime.Seconds()
 	every := time.Duration(float64(f.routers) / perSecond * float64(time.Second))
-	for _, b := range f.members {
+	for _, m := range f.members {
 		f.every(every, func() {
 			if !on() {
 				return
 			}
 			req := route.Ask{Service: "judge", Key: ident.ChatKey(1 + f.rng.IntN(surgePrefixes)), Work: ident.OneRequest, Deadline: f.now}
 			counts.sent++
-			p, err := b.router.Acquire(context.Background(), req)
+			p, err := m.router.Acquire(context.Background(), req)
 			if err != nil {
 				counts.rejected++
 				return
@@ -50,26 +49,29 @@
 	}
 }
 
-// asks is how many times all routers have asked a home.
+// permitRequests returns the number of permit requests of all routers and the number of permits
+// granted.
 func (f *fleet) permitRequests() (sent, placed uint64) {
-	for _, b := range f.members {
-		s := b.router.Stats()
+	for _, m := range f.members {
+		s := m.router.Stats()
 		sent += s.Asked
 		placed += s.Placed
 	}
 	return sent, placed
 }
 
-// Pattern: many small routers, a surge of three times what the engines can run, and then as much
-// as before. Engines give room back faster than it is asked for from then on, so nothing need
-// be refused. Each router sees some nine requests a second: it learnt too slowly that homes refuse no
-// more, and went on refusing 29 in 100 requests of the first half second and 10 of the next.
+// After a surge of three times the usual traffic, engines release slots faster than new requests
+// arrive, so almost nothing has to be rejected. The test guards against routers that throttle
+// permit requests for too long after the surge: each sees only about nine requests per second, and
+// one that adapts too slowly rejects 29 in 100 requests of the first half second and 10 in 100 of
+// the next.
 func TestFreeSlotsAfterSurgeAreUsed(t *testing.T) {
 	const (
 		usualRatio, surgeRatio = 0.85, 3 * 0.85
 		surgeDuration          = 3 * time.Second
-		// most is the part of the requests in the second after the surge that may be refused.
-		// The slots are still full as it begins: with homes asked for everything it is 0.024.
+		// maxRatio is the maximum ratio of rejected requests in the second after the surge. The
+		// slots are still full when that second starts: the ratio is 0.024 without any throttling
+		// of permit requests.
 		maxRatio = 0.035
 	)
 	for seed := range uint64(3) {
@@ -78,7 +80,7 @@
 		f.sendAtRatio(usualRatio, func() bool { return true }, &counts)
 		f.runFor(2 * time.Second)
 		if got := counts.rejectedRatio(); got > 0 {
-			t.Errorf("seed %d: %.3f of the requests are refused before the surge", seed, got)
+			t.Errorf("seed %d: %.3f of the requests rejected before the surge", seed, got)
 		}
 		until := f.now.Add(surgeDuration)
 		f.sendAtRatio(surgeRatio, func() bool { return f.now.Before(until) }, &counts)
@@ -86,18 +88,18 @@
 		counts = requestCounts{}
 		f.runFor(time.Second)
 		if got := counts.rejectedRatio(); got > maxRatio {
-			t.Errorf("seed %d: %.3f of the requests are refused in the second after the surge, want %.3f at most", seed, got, maxRatio)
+			t.Errorf("seed %d: %.3f of the requests rejected in the second after the surge, want at most %.3f", seed, got, maxRatio)
 		}
 	}
 }
 
-// Pattern: the same surge for as long as it lasts. Homes must not be asked for everything: a
-// home of 20 engines on a box of 0.4 cores then answers late.
+// During a surge, routers must throttle their permit requests, because the home of 20 engines on a
+// box of 0.4 cores responds late otherwise.
 func TestSurgeLimitsPermitRequests(t *testing.T) {
 	const (
 		ratio = 3.0
-		// most is how often homes are asked for each request that they can place; without any
-		// throttling it is 8.6.
+		// maxRatio is the maximum number of permit requests per granted permit. Without throttling
+		// the number is 8.6.
 		maxRatio = 5
 	)
 	f := newFleet(1, surgeFleet)
@@ -108,8 +110,8 @@
 	f.runFor(3 * time.Second)
 	sentNow, placedNow := f.permitRequests()
 	got := float64(sentNow-sent) / float64(placedNow-placed)
-	t.Logf("%.2f questions for each placement", got)
+	t.Logf("%.2f permit requests per granted permit", got)
 	if got > maxRatio {
-		t.Errorf("homes are asked %.1f times for each request that they place, want %d at most", got, maxRatio)
+		t.Errorf("%.1f permit requests per granted permit, want at most %d", got, maxRatio)
 	}
 }
