--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -12,27 +12,28 @@
 	return place.ShardID{Pool: ident.Pool(pool), Shard: ident.Shard(shard)}
 }
 
-// encodeAsk returns the wire form of a request, with permits counted from a base on.
-func encodeAsk(a Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
+// encodePermitRequest returns the wire form of a permit request. Permit numbers are encoded
+// relative to base.
+func encodePermitRequest(req Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
 	return &peerpb.PlaceRequest{
-		Permit:    a.Permit - base,
-		Pool:      uint32(a.Shard.Pool.Hash()),
-		Shard:     uint32(a.Shard.Shard),
-		Key:       uint64(a.Key),
-		Workspace: string(a.Workspace),
-		Work:      int64(a.Work),
-		Priority:  int32(a.Priority),
-		WaitMs:    a.Wait.Milliseconds(),
-		Must:      a.Must,
-		Released:  shift(released, -base),
-		Weight:    int32(a.Weight),
-		Avoid:     encodeHashes(a.Avoid),
-		Lost:      encodeHashes(a.Lost),
-		Last:      uint32(a.Last),
-		Once:      a.Once,
-		Sums:      encodeSums(a.Sums),
-		Failed:    encodeHashes(a.Failed),
-		Backoffs:  encodeBackoffs(a.Backoffs),
+		Permit:    req.Permit - base,
+		Pool:      uint32(req.Shard.Pool.Hash()),
+		Shard:     uint32(req.Shard.Shard),
+		Key:       uint64(req.Key),
+		Workspace: string(req.Workspace),
+		Work:      int64(req.Work),
+		Priority:  int32(req.Priority),
+		WaitMs:    req.Wait.Milliseconds(),
+		Must:      req.Must,
+		Released:  offsetPermits(released, -base),
+		Weight:    int32(req.Weight),
+		Avoid:     encodeHashes(req.Avoid),
+		Lost:      encodeHashes(req.Lost),
+		Last:      uint32(req.Last),
+		Once:      req.Once,
+		Sums:      encodeShardLoads(req.Sums),
+		Failed:    encodeHashes(req.Failed),
+		Backoffs:  encodeBackoffs(req.Backoffs),
 	}
 }
 
@@ -68,7 +69,7 @@
 	return out
 }
 
-func encodeSums(sums []place.Sum) []*peerpb.Sum {
+func encodeShardLoads(sums []place.Sum) []*peerpb.Sum {
 	out := make([]*peerpb.Sum, 0, len(sums))
 	for _, s := range sums {
 		out = append(out, &peerpb.Sum{Shard: uint32(s.Shard), AgeMs: uint32(s.Age.Milliseconds()), Work: int64(s.Work)})
@@ -76,7 +77,7 @@
 	return out
 }
 
-func decodeSums(in []*peerpb.Sum) []place.Sum {
+func decodeShardLoads(in []*peerpb.Sum) []place.Sum {
 	out := make([]place.Sum, 0, len(in))
 	for _, s := range in {
 		out = append(out, place.Sum{
@@ -86,8 +87,9 @@
 	return out
 }
 
-// decodeAsk reads a request but for what its link says of the edge.
-func decodeAsk(m *peerpb.PlaceRequest) Ask {
+// decodePermitRequest decodes a permit request. Edge, zone, pool and permit base are properties of
+// the link and are set by the session.
+func decodePermitRequest(m *peerpb.PlaceRequest) Ask {
 	return Ask{
 		Request: place.Request{
 			Permit: m.GetPermit(),
@@ -104,30 +106,30 @@
 		Weight:    int(m.GetWeight()),
 		Priority:  int(m.GetPriority()),
 		Wait:      time.Duration(m.GetWaitMs()) * time.Millisecond,
-		Sums:      decodeSums(m.GetSums()),
+		Sums:      decodeShardLoads(m.GetSums()),
 		Failed:    decodeHashes(m.GetFailed()),
 		Backoffs:  decodeBackoffs(m.GetBackoffs()),
 	}
 }
 
-func encodeAnswer(a Answer) *peerpb.PlaceReply {
-	rule, load, mean := encodeBasis(a.Basis)
+func encodePermitResponse(resp Answer) *peerpb.PlaceReply {
+	rule, load, mean := encodeBasis(resp.Basis)
 	return &peerpb.PlaceReply{
-		Result:       peerpb.PlaceResult(a.Result),
-		Engine:       uint32(a.Engine),
-		Warm:         a.Warm,
-		Holder:       uint32(a.Holder),
-		RetryAfterMs: a.RetryAfter.Milliseconds(),
-		Held:         uint32(a.Held),
-		Work:         int64(a.Work),
-		Sums:         encodeSums(a.Sums),
+		Result:       peerpb.PlaceResult(resp.Result),
+		Engine:       uint32(resp.Engine),
+		Warm:         resp.Warm,
+		Holder:       uint32(resp.Holder),
+		RetryAfterMs: resp.RetryAfter.Milliseconds(),
+		Held:         uint32(resp.Held),
+		Work:         int64(resp.Work),
+		Sums:         encodeShardLoads(resp.Sums),
 		Rule:         rule,
 		Load:         load,
 		Mean:         mean,
 	}
 }
 
-func decodeAnswer(m *peerpb.PlaceReply) Answer {
+func decodePermitResponse(m *peerpb.PlaceReply) Answer {
 	return Answer{
 		Result:     Result(m.GetResult()),
 		Engine:     ident.TargetHash(m.GetEngine()),
@@ -136,17 +138,19 @@
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
 		Held:       int(m.GetHeld()),
 		Work:       ident.Work(m.GetWork()),
-		Sums:       decodeSums(m.GetSums()),
+		Sums:       decodeShardLoads(m.GetSums()),
 		Basis:      decodeBasis(m),
 	}
 }
 
-// basisUnit is how fine a basis travels: it is for logs, and each byte is sent with every permit.
-const basisUnit = ident.OneRequest / 10
+// basisResolution is the resolution of the loads in an encoded basis. They serve logs only and are
+// sent with every permit, so they are kept short.
+const basisResolution = ident.OneRequest / 10
 
-// encodeBasis writes nothing for the usual rule and for answers without a placement.
+// encodeBasis encodes the default rule, WithinBound, as zero, so that it takes no bytes on the
+// wire. The same holds for responses without a placement.
 func encodeBasis(b place.Basis) (rule, load, mean uint32) {
-	return uint32(max(b.Rule, place.WithinBound) - place.WithinBound), uint32(b.Load / basisUnit), uint32(b.Mean / basisUnit)
+	return uint32(max(b.Rule, place.WithinBound) - place.WithinBound), uint32(b.Load / basisResolution), uint32(b.Mean / basisResolution)
 }
 
 func decodeBasis(m *peerpb.PlaceReply) place.Basis {
@@ -155,12 +159,12 @@
 	}
 	return place.Basis{
 		Rule: place.WithinBound + place.Rule(m.GetRule()),
-		Load: ident.Work(m.GetLoad()) * basisUnit,
-		Mean: ident.Work(m.GetMean()) * basisUnit,
+		Load: ident.Work(m.GetLoad()) * basisResolution,
+		Mean: ident.Work(m.GetMean()) * basisResolution,
 	}
 }
 
-// encodePermits leaves out whose permits they are: an edge tells only of its own.
+// encodePermits omits the edge of the permits, because an edge router sends only its own.
 func encodePermits(permits []place.Permit) []*peerpb.Permit {
 	out := make([]*peerpb.Permit, 0, len(permits))
 	for _, p := range permits {
@@ -169,7 +173,7 @@
 	return out
 }
 
-// decodePermits reads an edge's permits.
+// decodePermits decodes the permits of an edge router.
 func decodePermits(edge ident.Router, permits []*peerpb.Permit) []place.Permit {
 	out := make([]place.Permit, 0, len(permits))
 	for _, p := range permits {
@@ -180,7 +184,7 @@
 	return out
 }
 
-func encodeLoad(d place.Digest) *peerpb.ShardLoad {
+func encodeDigest(d place.Digest) *peerpb.ShardLoad {
 	out := &peerpb.ShardLoad{
 		Pool: uint32(d.ID.Pool.Hash()), Shard: uint32(d.ID.Shard), Seq: d.Seq, Work: int64(d.Work),
 	}
@@ -213,7 +217,7 @@
 	return out
 }
 
-func decodeLoad(from ident.Router, pool ident.Pool, in *peerpb.ShardLoad) place.Digest {
+func decodeDigest(from ident.Router, pool ident.Pool, in *peerpb.ShardLoad) place.Digest {
 	d := place.Digest{
 		ID:   place.ShardID{Pool: pool, Shard: ident.Shard(in.GetShard())},
 		Home: from, Seq: in.GetSeq(), Work: ident.Work(in.GetWork()),
--- a/internal/share/home/publish.go
+++ b/internal/share/home/publish.go
@@ -9,27 +9,28 @@
 )
 
 const (
-	// publishEvery is the least time between two digests of one shard.
-	publishEvery = 900 * time.Millisecond
-	// renewEvery is how often an unchanged digest is published again, well within its life.
-	renewEvery = 2 * time.Second
+	// minPublishInterval is the minimum interval between two digests of a shard.
+	minPublishInterval = 900 * time.Millisecond
+	// republishInterval is the interval at which an unchanged digest is published again, well below
+	// the lifetime of a digest.
+	republishInterval = 2 * time.Second
 )
 
-// heard is a digest with the time at which it came; one of a home that is gone must
-// not come to life again in a home that is made later.
-type heard struct {
+// receivedDigest is a digest with the time at which it was received. The time prevents the digest
+// of a home that no longer exists from being merged as current into a home that is created later.
+type receivedDigest struct {
 	digest place.Digest
 	at     time.Time
 }
 
-// hurry has a shard's count published at once.
-func (h *Homes) hurry(s *shard) {
-	s.jumped = true
-	h.signal()
+// markUrgent causes a shard's digest to be published at once.
+func (h *Homes) markUrgent(s *shard) {
+	s.urgent = true
+	h.signalUrgent()
 }
 
-// signal asks for a publication at once, unless that has been asked already.
-func (h *Homes) signal() {
+// signalUrgent signals that there is something to publish at once.
+func (h *Homes) signalUrgent() {
 	select {
 	case h.urgent <- struct{}{}:
 	default:
@@ -39,18 +40,18 @@
 // Urgent is signalled when Digests has something that should not wait.
 func (h *Homes) Urgent() <-chan struct{} { return h.urgent }
 
-// Merge takes in what other homes published.
+// Merge merges digests of other homes.
 func (h *Homes) Merge(digests []place.Digest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	for _, d := range digests {
-		if h.loads[d.ID] == nil {
-			h.loads[d.ID] = map[ident.Router]heard{}
+		if h.peerDigests[d.ID] == nil {
+			h.peerDigests[d.ID] = map[ident.Router]receivedDigest{}
 		}
-		h.keepPlaces(d.ID, d.Places)
+		h.storePlaces(d.ID, d.Places)
 		d.Places = nil
-		h.loads[d.ID][d.Home] = heard{digest: d, at: now}
+		h.peerDigests[d.ID][d.Home] = receivedDigest{digest: d, at: now}
 		for id, s := range h.shards {
 			if id.Pool == d.ID.Pool {
 				s.home.Merge(now, d)
@@ -59,8 +60,8 @@
 	}
 }
 
-// keepPlaces keeps chat places of a shard of which another router is home.
-func (h *Homes) keepPlaces(id place.ShardID, places []place.ChatPlace) {
+// storePlaces stores chat places: in the shard if this router is its home, otherwise in a replica.
+func (h *Homes) storePlaces(id place.ShardID, places []place.ChatPlace) {
 	if s, here := h.shards[id]; here {
 		s.home.Learn(places)
 		return
@@ -80,30 +81,31 @@
 	replica.Learn(places)
 }
 
-// Publication is what the routers next in line are to be told of a shard.
+// Publication is a shard's digest and the standbys to which it is sent.
 type Publication struct {
 	Digest place.Digest
 	To     []ident.Router
-	// Whole is set when the first of them is new in line and needs all chat places.
+	// Whole is set when the first standby has changed and needs all chat places.
 	Whole *Transfer
 }
 
-// Publications returns what is to be told now, given the assignments among the live
-// routers and among all that are known.
+// Publications returns what is to be published now. The arguments are the assignments among the
+// live routers and among all known ones.
 func (h *Homes) Publications(live, known *place.Assignment) []Publication {
 	var out []Publication
 	for _, d := range h.Digests() {
 		p := Publication{Digest: d, To: place.Standbys(d.ID, h.self, live, known)}
 		if len(p.To) > 0 {
-			p.Whole = h.wholeFor(d.ID, p.To[0])
+			p.Whole = h.fullPlaces(d.ID, p.To[0])
 		}
 		out = append(out, p)
 	}
 	return out
 }
 
-// wholeFor returns all chat places of a shard if a router has just become its first standby.
-func (h *Homes) wholeFor(id place.ShardID, standby ident.Router) *Transfer {
+// fullPlaces returns all chat places of a shard if the given router has become its first standby,
+// and nil otherwise.
+func (h *Homes) fullPlaces(id place.ShardID, standby ident.Router) *Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, ok := h.shards[id]
@@ -114,24 +116,24 @@
 	return &Transfer{ID: id, To: standby, Places: s.home.Places(maxTransferPlaces), Replica: true}
 }
 
-// Digests returns what is to be published: the shards whose counts changed, and
-// now and then those whose did not.
+// Digests returns the digests to publish: those of shards whose counts have changed, and unchanged
+// ones at a longer interval.
 func (h *Homes) Digests() []place.Digest {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
-	out := h.lastDigests
-	h.lastDigests = nil
+	out := h.finalDigests
+	h.finalDigests = nil
 	for _, s := range h.shards {
-		age := now.Sub(s.sentAt)
-		if age < publishEvery && !s.jumped {
+		age := now.Sub(s.publishedAt)
+		if age < minPublishInterval && !s.urgent {
 			continue
 		}
 		d := s.home.Digest()
-		if age < renewEvery && len(d.Places) == 0 && sameLoads(d, s.sent) {
+		if age < republishInterval && len(d.Places) == 0 && sameLoads(d, s.published) {
 			continue
 		}
-		s.sent, s.sentAt, s.jumped = d, now, false
+		s.published, s.publishedAt, s.urgent = d, now, false
 		out = append(out, d)
 	}
 	return out
--- /dev/null
+++ b/internal/share/home/request.go
@@ -0,0 +1,64 @@
+package home
+
+import (
+	"time"
+
+	"valescale/internal/plat/ident"
+	"valescale/internal/rule/place"
+)
+
+// Result is the outcome of a permit request.
+type Result int
+
+const (
+	// Placed means that the request holds a permit.
+	Placed Result = iota + 1
+	// Full means that the shard has no room; another shard may have some.
+	Full
+	// Empty means that the shard has no usable engine.
+	Empty
+	// Shed means that the request is rejected because the shard is overloaded. If the edge had no
+	// other shard to try, the answer contains a Retry-After delay.
+	Shed
+	// TimedOut means that no engine became free within the time that the request could wait.
+	TimedOut
+	// Moved means that another router is the home of the shard now.
+	Moved
+)
+
+// Ask is a permit request.
+type Ask struct {
+	place.Request
+	Shard     place.ShardID
+	Workspace ident.Workspace
+	Weight    int
+	Priority  int
+	// Wait is how much longer the request can wait.
+	Wait time.Duration
+	// Sums are the loads of other shards as last received by the edge router.
+	Sums []place.Sum
+	// Failed are the engines of the shard that have failed requests of the edge router since its
+	// previous permit request, one entry per failed request.
+	Failed []ident.TargetHash
+	// Backoffs are the engines of the shard that have requested a backoff from the edge router
+	// since its previous permit request.
+	Backoffs []place.Backoff
+}
+
+// Answer is the response to a permit request.
+type Answer struct {
+	Result Result
+	Engine ident.TargetHash
+	Warm   bool
+	// Holder is another engine that has the prompt prefix of the chat cached, zero if none is
+	// recorded.
+	Holder     ident.TargetHash
+	RetryAfter time.Duration
+	// Held is the number of permits that the home counts for the edge router.
+	Held int
+	// Work is the load of the shard after this response. Sums are the loads of some other shards.
+	Work ident.Work
+	Sums []place.Sum
+	// Basis is the rule and the loads that decided a placement.
+	Basis place.Basis
+}
--- a/internal/share/home/regroup_test.go
+++ b/internal/share/home/reshard_test.go
@@ -9,9 +9,10 @@
 	"valescale/internal/share/home"
 )
 
-// When a pool grows beyond its shards, its chats still find the engines that have their
-// prompts: half of the chats prefer another shard, and half of the engines belong to one.
-func TestPlacesFollowAChangeOfShards(t *testing.T) {
+// When the number of a pool's shards grows, chats still find the engines that have their prompt
+// prefixes cached, although half of the chats prefer another shard and half of the engines belong
+// to another one.
+func TestPlacesFollowResharding(t *testing.T) {
 	before, _, _ := newHomes()
 	after, _, _ := newHomes()
 	var engines []place.Engine
@@ -21,8 +22,8 @@
 	}
 	before.SetPool(pool, place.BoundOf(4), place.NewRoster(1, engines))
 	const chats = 200
-	ran := map[ident.ChatKey]ident.TargetHash{}
-	ask := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.Answer {
+	firstEngine := map[ident.ChatKey]ident.TargetHash{}
+	request := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.Answer {
 		return h.Place(t.Context(), home.Ask{
 			Shard:   place.ShardID{Pool: pool, Shard: shard},
 			Request: place.Request{Edge: "edge", Permit: permit, Key: key, Work: ident.OneRequest, Must: true},
@@ -33,7 +34,7 @@
 		keys = append(keys, ident.NewChatKey("", fmt.Sprint(i)))
 	}
 	for i, key := range keys {
-		ran[key] = ask(before, 0, key, uint64(i)+1).Engine
+		firstEngine[key] = request(before, 0, key, uint64(i)+1).Engine
 	}
 	const shards = 2
 	before.SetPool(pool, place.BoundOf(4), place.NewRoster(shards, engines))
@@ -51,8 +52,8 @@
 			moved++
 			homes = after
 		}
-		a := ask(homes, first, key, uint64(chats+i)+1)
-		if a.Engine != ran[key] && a.Holder != ran[key] {
+		a := request(homes, first, key, uint64(chats+i)+1)
+		if a.Engine != firstEngine[key] && a.Holder != firstEngine[key] {
 			lost++
 		}
 	}
@@ -60,9 +61,9 @@
 		t.Errorf("only %d of %d chats prefer another shard", moved, chats)
 	}
 	if lost > 0 {
-		t.Errorf("%d of %d chats are neither placed where they ran nor copied from there", lost, chats)
+		t.Errorf("%d of %d chats neither placed on their engine nor copied from it", lost, chats)
 	}
 	if again := before.Regrouped(); len(again) > 0 {
-		t.Errorf("%d transfers are given out twice", len(again))
+		t.Errorf("%d transfers returned twice", len(again))
 	}
 }
