--- a/internal/share/claim/batch.go
+++ b/internal/share/claim/batch.go
@@ -10,7 +10,7 @@
 	"valescale/internal/plat/table"
 )
 
-// write is one conditional write of one row.
+// write is a conditional write of one row.
 type write struct {
 	check table.Check
 	put   table.Put
@@ -18,37 +18,38 @@
 
 type job struct {
 	write write
-	// result is nil when nobody waits.
+	// result is nil for writes that no caller waits for.
 	result chan error
 }
 
-// batcher lets concurrent writes share transactions.
+// batcher groups concurrent writes into shared transactions.
 type batcher struct {
 	store   Store
 	options Options
-	// persist keeps trying while the store does not answer, since nobody waits.
-	persist bool
-	jobs    chan job
-	ctx     context.Context
-	cancel  context.CancelFunc
-	wg      sync.WaitGroup
-	tasks   sync.WaitGroup
-	once    sync.Once
-	closing chan struct{}
+	// retryForever retries a transaction until the store responds. It is set for writes that no
+	// caller waits for.
+	retryForever bool
+	jobs         chan job
+	ctx          context.Context
+	cancel       context.CancelFunc
+	wg           sync.WaitGroup
+	tasks        sync.WaitGroup
+	once         sync.Once
+	closing      chan struct{}
 }
 
-func newBatcher(store Store, options Options, persist bool) *batcher {
+func newBatcher(store Store, options Options, retryForever bool) *batcher {
 	ctx, cancel := context.WithCancel(context.Background())
 	b := &batcher{
-		store: store, options: options, persist: persist,
-		jobs: make(chan job, options.Backlog), ctx: ctx, cancel: cancel, closing: make(chan struct{}),
+		store: store, options: options, retryForever: retryForever,
+		jobs: make(chan job, options.MaxQueued), ctx: ctx, cancel: cancel, closing: make(chan struct{}),
 	}
 	b.wg.Go(b.run)
 	return b
 }
 
-// do writes and waits for the result.
-func (b *batcher) do(ctx context.Context, w write) error {
+// submit queues a write and waits for its result.
+func (b *batcher) submit(ctx context.Context, w write) error {
 	j := job{write: w, result: make(chan error, 1)}
 	select {
 	case b.jobs <- j:
@@ -65,7 +66,7 @@
 	}
 }
 
-// enqueue writes some time later; when too many wait, the write is dropped.
+// enqueue queues a write without waiting for it. The write is dropped if the queue is full.
 func (b *batcher) enqueue(w write) {
 	select {
 	case b.jobs <- job{write: w}:
@@ -73,12 +74,12 @@
 	}
 }
 
-// background runs a task that ends with this batcher.
+// background runs a task that stop waits for. Its context is cancelled when stop returns.
 func (b *batcher) background(task func(context.Context)) {
 	b.tasks.Go(func() { task(b.ctx) })
 }
 
-// stop lets what is queued be written until the context ends.
+// stop commits the queued writes and waits for background tasks until ctx is done.
 func (b *batcher) stop(ctx context.Context) {
 	b.once.Do(func() { close(b.closing) })
 	done := make(chan struct{})
@@ -99,42 +100,42 @@
 	for {
 		select {
 		case first := <-b.jobs:
-			b.commit(b.gather(first))
+			b.commit(b.collect(first))
 		case <-b.closing:
-			b.rest()
+			b.drain()
 			return
 		}
 	}
 }
 
-// rest writes what is still queued as the batcher stops.
-func (b *batcher) rest() {
+// drain commits the writes that remain in the queue when the batcher stops.
+func (b *batcher) drain() {
 	for {
 		select {
 		case first := <-b.jobs:
-			b.commit(b.gather(first))
+			b.commit(b.collect(first))
 		default:
 			return
 		}
 	}
 }
 
-// gather collects the jobs that come within a short while. Two writes of one row
-// cannot share a transaction, so the second one starts the next.
-func (b *batcher) gather(first job) []job {
+// collect gathers the jobs that arrive within BatchDelay, up to MaxBatch. A transaction cannot
+// contain two writes of one row, so the second one starts a new transaction.
+func (b *batcher) collect(first job) []job {
 	jobs := []job{first}
-	seen := map[table.Key]bool{first.write.put.Key: true}
-	timer := time.NewTimer(b.options.Gather)
+	keys := map[table.Key]bool{first.write.put.Key: true}
+	timer := time.NewTimer(b.options.BatchDelay)
 	defer timer.Stop()
-	for len(jobs) < b.options.Batch {
+	for len(jobs) < b.options.MaxBatch {
 		select {
 		case j := <-b.jobs:
-			if seen[j.write.put.Key] {
+			if keys[j.write.put.Key] {
 				b.commit(jobs)
 				jobs = nil
-				clear(seen)
+				clear(keys)
 			}
-			seen[j.write.put.Key] = true
+			keys[j.write.put.Key] = true
 			jobs = append(jobs, j)
 		case <-timer.C:
 			return jobs
@@ -143,15 +144,15 @@
 	return jobs
 }
 
-// commit writes all jobs in one transaction. When a check fails, each is tried
-// alone, so that one taken key does not hold up the others.
+// commit writes all jobs in one transaction. If a check fails, each job is retried in a transaction
+// of its own, so that a single taken key does not block the others.
 func (b *batcher) commit(jobs []job) {
 	var txn table.Txn
 	for _, j := range jobs {
 		txn.Checks = append(txn.Checks, j.write.check)
 		txn.Puts = append(txn.Puts, j.write.put)
 	}
-	err := b.try(txn)
+	err := b.commitWithRetry(txn)
 	if table.KindOf(err) == table.Conflict && len(jobs) > 1 {
 		for _, j := range jobs {
 			b.commit([]job{j})
@@ -165,14 +166,15 @@
 	}
 }
 
-// try commits once, or until the store answers when nobody waits. A write whose
-// answer was lost meets its own new version the second time: a conflict, and done.
-func (b *batcher) try(txn table.Txn) error {
+// commitWithRetry commits once or, with retryForever, until the store responds. A retried write
+// whose first response was lost conflicts with the version that it wrote itself, which ends the
+// retries.
+func (b *batcher) commitWithRetry(txn table.Txn) error {
 	for {
 		err := b.store.Commit(b.ctx, txn)
 		kind := table.KindOf(err)
-		retry := kind == table.Unavailable || kind == table.Unknown
-		if !b.persist || !retry || !pause.For(b.ctx, b.options.Pause) {
+		retryable := kind == table.Unavailable || kind == table.Unknown
+		if !b.retryForever || !retryable || !pause.For(b.ctx, b.options.RetryDelay) {
 			return err
 		}
 	}
--- a/internal/share/claim/claim.go
+++ b/internal/share/claim/claim.go
@@ -14,37 +14,37 @@
 	"valescale/internal/plat/table"
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 const (
-	// Unavailable means that no claim could be made; the request did not run.
+	// Unavailable means that no claim could be made. The request did not run.
 	Unavailable Kind = "unavailable"
-	// Restored means that the store has come back from an older copy and may lack claims for a while, Settling at
-	// most; the request did not run.
+	// Restored means that the store was restored from an older snapshot and may lack claims for up
+	// to Settling. The request did not run.
 	Restored Kind = "restored"
 	// Running means that another attempt holds the claim and may have run.
 	Running Kind = "running"
-	// Mismatch means that the key was used before with another body.
+	// Mismatch means that the key was used before with a different body.
 	Mismatch Kind = "mismatch"
-	// Damaged means that a row or a stored answer cannot be read.
+	// Damaged means that a row or a stored answer cannot be decoded.
 	Damaged Kind = "damaged"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 // Table is the name of the table of claims.
 const Table table.Name = "claim"
 
-// Key names a request: what the caller calls it, within its workspace.
+// Key identifies a request by the name that the caller gives it within its workspace.
 type Key struct {
 	Workspace ident.Workspace
 	Name      string
 }
 
-// row returns the key of the claim's row. The caller's name is hashed, so that
-// its length and characters do not matter.
+// row returns the key of the claim's row. The caller's name is hashed to allow any length and
+// any characters.
 func (k Key) row() table.Key {
 	sum := sha256.Sum256([]byte(k.Name))
 	return table.Key(string(k.Workspace) + "/" + hex.EncodeToString(sum[:]))
@@ -53,28 +53,28 @@
 // BodyHash identifies a request's method, path and body.
 type BodyHash string
 
-// HashBody hashes what must be the same when a key is used again.
+// HashBody hashes the parts of a request that must not change when a key is reused.
 func HashBody(method, path string, body []byte) BodyHash {
 	h := ident.HashRequest(method, path, body)
 	return BodyHash(hex.EncodeToString(h[:]))
 }
 
-// Answer is a target's whole answer as it is replayed.
+// Answer is a complete target response as it is stored and replayed.
 type Answer struct {
 	Status int         `json:"status"`
 	Header http.Header `json:"header,omitempty"`
 	Body   []byte      `json:"body,omitempty"`
 }
 
-// State is how far a claim is.
+// State is the stage that a claim has reached.
 type State string
 
 const (
-	// Sent claims are held: the request may have run.
+	// Sent marks a claim that is held: the request may have run.
 	Sent State = "sent"
-	// Done claims have an answer.
+	// Done marks a claim with a recorded answer.
 	Done State = "done"
-	// Released claims were given back before anything was sent.
+	// Released marks a claim that was released before anything was sent.
 	Released State = "released"
 )
 
@@ -85,48 +85,50 @@
 	BodyHash BodyHash      `json:"body_hash"`
 	UnixMS   int64         `json:"unix_ms"`
 	Answer   *Answer       `json:"answer,omitempty"`
-	// Object names the stored answer when it is too large for the row.
+	// Object is the name of the stored answer if it is too large for the row.
 	Object string `json:"object,omitempty"`
 }
 
-// Ticket is a held claim.
+// Ticket represents a held claim.
 type Ticket struct {
 	Key     Key
 	Attempt ident.Attempt
-	// Version is the row's version, and of the fencing token that within the era of its making.
+	// Version is the row's version. The fencing token combines it with the era in which the claim
+	// was made.
 	Version table.Version
 	era     table.Era
 	hash    BodyHash
 }
 
-// Fence is the token that targets which check for it get with the request.
+// Fence returns the fencing token. It is sent with the request to targets that check such tokens.
 func (t *Ticket) Fence() ident.Epoch { return table.Position{Era: t.era, Version: t.Version}.Fence() }
 
-// NewAttempt returns a random id.
+// NewAttempt returns a random attempt ID.
 func NewAttempt() ident.Attempt {
 	var raw [16]byte
-	// The reader never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(raw[:])
 	return ident.Attempt(hex.EncodeToString(raw[:]))
 }
 
-// Store is what claims need of the table service.
+// Store contains the table operations that claims require.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) error
 	Get(ctx context.Context, name table.Name, key table.Key) (table.Row, error)
 }
 
-// Source is a store that tells of its eras.
-type Source interface {
+// EraStore is a store that reports its era.
+type EraStore interface {
 	Store
-	// Now is the latest era heard of.
+	// Now returns the latest era reported by the store.
 	Now() table.Era
-	// OnChange adds what is called, and must not wait, with the first era heard of, and with a later one and the
-	// one before when the store has come back from an older copy.
-	OnChange(changed func(era, was table.Era))
+	// OnChange registers a callback, which must not block. It is called with the first era that is
+	// observed, and with the new and the previous era when the store was restored from an older
+	// snapshot.
+	OnChange(changed func(era, previous table.Era))
 }
 
-// Objects keeps answers that are too large for a row.
+// Objects stores answers that are too large for a row.
 type Objects interface {
 	Put(ctx context.Context, name string, data []byte) error
 	Get(ctx context.Context, name string) ([]byte, error)
@@ -135,7 +137,7 @@
 func encode(r Record) []byte {
 	data, err := json.Marshal(r)
 	if err != nil {
-		// A Record has nothing that JSON cannot hold.
+		// Record contains only types that JSON can represent.
 		panic(err)
 	}
 	return data
@@ -149,5 +151,5 @@
 	return r, nil
 }
 
-// nowMS is a time as rows keep it.
-func nowMS(t time.Time) int64 { return t.UnixMilli() }
+// unixMillis returns a time in the form in which rows store it.
+func unixMillis(t time.Time) int64 { return t.UnixMilli() }
--- a/internal/share/claim/claims.go
+++ b/internal/share/claim/claims.go
@@ -14,102 +14,103 @@
 	"valescale/internal/plat/table"
 )
 
-// Options bound what claims cost.
+// Options limit the resources that claims use.
 type Options struct {
-	// Inline is the largest answer kept in the row itself, in bytes.
-	Inline int
-	// Gather is how long claims wait for others to share a transaction.
-	Gather time.Duration
-	// Batch is how many rows one transaction writes at most.
-	Batch int
-	// Pause is the wait between two tries while the store does not answer.
-	Pause time.Duration
-	// Backlog is how many outcomes wait for the store at most; more are dropped,
-	// which costs their replay.
-	Backlog int
-	// Remember is how long claims are held for a store that comes back from an older copy, longer than that
-	// can be old; Answers is how many bytes of answers are held with them.
-	Remember time.Duration
-	Answers  int
+	// MaxInlineBytes is the size of the largest answer body that is stored in the row itself.
+	MaxInlineBytes int
+	// BatchDelay is how long a write waits for others to share its transaction.
+	BatchDelay time.Duration
+	// MaxBatch is the maximum number of rows in one transaction.
+	MaxBatch int
+	// RetryDelay is the delay between two attempts while the store does not respond.
+	RetryDelay time.Duration
+	// MaxQueued is the maximum number of outcomes queued for the store. Further ones are dropped,
+	// and their answers cannot be replayed.
+	MaxQueued int
+	// RecentTTL is how long claims are kept in memory to be rewritten after a store rollback. It
+	// must exceed the age of any snapshot that the store can be restored from. MaxRecentBytes
+	// limits the answer bodies kept with them.
+	RecentTTL      time.Duration
+	MaxRecentBytes int
 }
 
-// DefaultOptions suit a store of a few hundred writes a second.
+// DefaultOptions suit a store that handles a few hundred writes per second.
 var DefaultOptions = Options{
-	Inline: 32 << 10, Gather: 3 * time.Millisecond, Batch: 32, Pause: 50 * time.Millisecond, Backlog: 10_000,
-	Remember: 30 * time.Second, Answers: 16 << 20,
+	MaxInlineBytes: 32 << 10, BatchDelay: 3 * time.Millisecond, MaxBatch: 32, RetryDelay: 50 * time.Millisecond, MaxQueued: 10_000,
+	RecentTTL: 30 * time.Second, MaxRecentBytes: 16 << 20,
 }
 
-// Claims makes, finishes and gives back claims.
+// Claims begins, finishes and releases claims.
 type Claims struct {
-	store    Source
-	objects  Objects
-	options  Options
-	logger   log.Logger
-	clock    ident.Clock
-	begins   *batcher
-	outcomes *batcher
-	recent   *recent
-	mu       sync.Mutex
-	// restorals counts how often the store has come back from an older copy, settled is until when no claims
-	// are made after that.
-	restorals int
-	settled   time.Time
+	store         EraStore
+	objects       Objects
+	options       Options
+	logger        log.Logger
+	clock         ident.Clock
+	beginWrites   *batcher
+	outcomeWrites *batcher
+	recentClaims  *recentClaims
+	mu            sync.Mutex
+	// restoreCount is the number of store rollbacks observed. No claims are made before
+	// blockedUntil.
+	restoreCount int
+	blockedUntil time.Time
 }
 
-// New returns claims and the function that writes the outstanding outcomes and stops.
-func New(store Source, objects Objects, options Options, logger log.Logger, clock ident.Clock) (*Claims, func(context.Context)) {
+// New returns Claims and a function that writes the outstanding outcomes and stops it.
+func New(store EraStore, objects Objects, options Options, logger log.Logger, clock ident.Clock) (*Claims, func(context.Context)) {
 	c := &Claims{
 		store: store, objects: objects, options: options, logger: logger, clock: clock,
-		recent: newRecent(options.Remember, options.Answers, clock),
+		recentClaims: newRecentClaims(options.RecentTTL, options.MaxRecentBytes, clock),
 	}
-	store.OnChange(c.restored)
-	c.begins = newBatcher(store, options, false)
-	c.outcomes = newBatcher(store, options, true)
+	store.OnChange(c.onRestore)
+	c.beginWrites = newBatcher(store, options, false)
+	c.outcomeWrites = newBatcher(store, options, true)
 	return c, func(ctx context.Context) {
-		c.begins.stop(ctx)
-		c.outcomes.stop(ctx)
+		c.beginWrites.stop(ctx)
+		c.outcomeWrites.stop(ctx)
 	}
 }
 
-// Begin makes a claim. It returns a ticket when the request may be sent now, or
-// the stored answer when it has run before. Any error but Running means that this
-// call has sent nothing and never will.
+// Begin claims a key. It returns a ticket if the request may be sent now, or the stored answer if
+// the request has run before. Any error other than Running means that this call has sent nothing
+// and never will.
 func (c *Claims) Begin(ctx context.Context, key Key, hash BodyHash) (*Ticket, *Answer, error) {
 	attempt := NewAttempt()
-	var known table.Version
-	moment, _ := c.moment()
-	if err := c.sure(moment); err != nil {
+	var rowVersion table.Version
+	restores, _ := c.restores()
+	if err := c.checkNotRestored(restores); err != nil {
 		return nil, nil, err
 	}
 	for {
-		version, err := c.write(ctx, key, hash, attempt, known)
+		version, err := c.write(ctx, key, hash, attempt, rowVersion)
 		if err == nil {
-			return c.hold(key, hash, attempt, version, moment)
+			return c.newTicket(key, hash, attempt, version, restores)
 		}
 		if table.KindOf(err) == table.Refused {
 			return nil, nil, fault.New("claim.Begin", Unavailable, err)
 		}
-		row, record, err := c.settle(ctx, key)
+		row, record, err := c.readRow(ctx, key)
 		switch {
 		case err != nil:
-			c.abandon(key, attempt)
+			c.releaseAbandoned(key, attempt)
 			return nil, nil, err
 		case record == nil:
-			// Nothing is there: write again under the same attempt.
-			known = 0
+			// The row does not exist: retry the write under the same attempt.
+			rowVersion = 0
 			continue
 		case record.Attempt == attempt && record.State == Sent:
-			return c.hold(key, hash, attempt, row.Version, moment)
+			return c.newTicket(key, hash, attempt, row.Version, restores)
 		case record.State == Released:
-			known = row.Version
+			rowVersion = row.Version
 			continue
 		}
 		if record.State == Sent && record.BodyHash == hash {
-			if row, record, err = c.await(ctx, key); err != nil {
+			if row, record, err = c.awaitOutcome(ctx, key); err != nil {
 				return nil, nil, err
 			}
 			if record.State == Released {
-				known = row.Version
+				rowVersion = row.Version
 				continue
 			}
 		}
@@ -118,35 +119,35 @@
 	}
 }
 
-// hold returns the ticket of a claim that was made. If the store has come back from an older copy meanwhile, it
-// is given back: another router's claim may have been lost.
-func (c *Claims) hold(key Key, hash BodyHash, attempt ident.Attempt, version table.Version, moment int) (*Ticket, *Answer, error) {
+// newTicket returns the ticket for a claim that was written. If the store was restored from an
+// older snapshot in the meantime, the claim is released instead, because another router's claim on
+// the key may have been lost.
+func (c *Claims) newTicket(key Key, hash BodyHash, attempt ident.Attempt, version table.Version, restores int) (*Ticket, *Answer, error) {
 	ticket := &Ticket{Key: key, Attempt: attempt, Version: version, era: c.store.Now(), hash: hash}
-	c.recent.add(key, c.sent(hash, attempt), version)
-	if err := c.sure(moment); err != nil {
+	c.recentClaims.add(key, c.sentRecord(hash, attempt), version)
+	if err := c.checkNotRestored(restores); err != nil {
 		c.Release(ticket)
 		return nil, nil, err
 	}
 	return ticket, nil, nil
 }
 
-// sent is the record of a claim that is held.
-func (c *Claims) sent(hash BodyHash, attempt ident.Attempt) Record {
-	return Record{State: Sent, Attempt: attempt, BodyHash: hash, UnixMS: nowMS(c.clock())}
+// sentRecord returns the record of a held claim.
+func (c *Claims) sentRecord(hash BodyHash, attempt ident.Attempt) Record {
+	return Record{State: Sent, Attempt: attempt, BodyHash: hash, UnixMS: unixMillis(c.clock())}
 }
 
-// maxAwaitPause bounds the pause between two looks at a claim that another holds.
-const maxAwaitPause = time.Second
+// maxAwaitDelay limits the delay between two reads of a claim that another attempt holds.
+const maxAwaitDelay = time.Second
 
-// await waits for the end of a request that runs under another attempt, as long as
-// the caller can wait.
-func (c *Claims) await(ctx context.Context, key Key) (table.Row, *Record, error) {
-	next := c.options.Pause
+// awaitOutcome waits until a request running under another attempt ends, or until ctx is done.
+func (c *Claims) awaitOutcome(ctx context.Context, key Key) (table.Row, *Record, error) {
+	delay := c.options.RetryDelay
 	for {
-		if !pause.For(ctx, next) {
+		if !pause.For(ctx, delay) {
 			return table.Row{}, nil, fault.New("claim.Begin", Running, nil)
 		}
-		next = min(next*2, maxAwaitPause)
+		delay = min(delay*2, maxAwaitDelay)
 		row, err := c.store.Get(ctx, Table, key.row())
 		if err != nil {
 			continue
@@ -161,17 +162,17 @@
 	}
 }
 
-// write tries to take the claim while its row has the known version.
-func (c *Claims) write(ctx context.Context, key Key, hash BodyHash, attempt ident.Attempt, known table.Version) (table.Version, error) {
-	err := c.begins.do(ctx, write{
-		check: table.Check{Table: Table, Key: key.row(), Version: known},
-		put:   table.Put{Table: Table, Key: key.row(), Value: encode(c.sent(hash, attempt))},
+// write tries to write the claim, conditional on the row still having rowVersion.
+func (c *Claims) write(ctx context.Context, key Key, hash BodyHash, attempt ident.Attempt, rowVersion table.Version) (table.Version, error) {
+	err := c.beginWrites.submit(ctx, write{
+		check: table.Check{Table: Table, Key: key.row(), Version: rowVersion},
+		put:   table.Put{Table: Table, Key: key.row(), Value: encode(c.sentRecord(hash, attempt))},
 	})
-	return known + 1, err
+	return rowVersion + 1, err
 }
 
-// settle reads the row until the store answers; a nil record means that there is none.
-func (c *Claims) settle(ctx context.Context, key Key) (table.Row, *Record, error) {
+// readRow reads the row, retrying until the store responds. The record is nil if there is no row.
+func (c *Claims) readRow(ctx context.Context, key Key) (table.Row, *Record, error) {
 	const op = "claim.Begin"
 	for {
 		row, err := c.store.Get(ctx, Table, key.row())
@@ -188,13 +189,14 @@
 		case table.Missing:
 			return row, nil, nil
 		}
-		if !pause.For(ctx, c.options.Pause) {
+		if !pause.For(ctx, c.options.RetryDelay) {
 			return row, nil, fault.New(op, Unavailable, err)
 		}
 	}
 }
 
-// resolve says what an earlier claim on the key means for this request.
+// resolve returns the result of an earlier claim on the key, or the reason why this request must
+// not run.
 func (c *Claims) resolve(ctx context.Context, record Record, hash BodyHash) (*Answer, error) {
 	const op = "claim.Begin"
 	if record.BodyHash != hash {
@@ -208,7 +210,7 @@
 	}
 	data, err := c.objects.Get(ctx, record.Object)
 	if err != nil {
-		// It has run; only its answer cannot be given now.
+		// The request has run, but its answer cannot be read now.
 		return nil, fault.New(op, Running, err)
 	}
 	var answer Answer
@@ -218,13 +220,13 @@
 	return &answer, nil
 }
 
-// Finish records the answer of a claimed request, batched with others. If it is
-// lost, a repeated request is told that the outcome is unknown; it never runs again.
+// Finish records the answer of a claimed request, batched with other writes. If the record is lost,
+// a repeated request gets an unknown outcome; it never runs again.
 func (c *Claims) Finish(ticket *Ticket, answer Answer) {
-	record := Record{State: Done, Attempt: ticket.Attempt, BodyHash: ticket.hash, UnixMS: nowMS(c.clock())}
-	if len(answer.Body) <= c.options.Inline {
+	record := Record{State: Done, Attempt: ticket.Attempt, BodyHash: ticket.hash, UnixMS: unixMillis(c.clock())}
+	if len(answer.Body) <= c.options.MaxInlineBytes {
 		record.Answer = &answer
-		c.replace(ticket, record)
+		c.update(ticket, record)
 		return
 	}
 	record.Object = "answer-" + string(ticket.Attempt)
@@ -232,33 +234,33 @@
 	if err != nil {
 		return
 	}
-	c.outcomes.background(func(ctx context.Context) {
+	c.outcomeWrites.background(func(ctx context.Context) {
 		if c.objects.Put(ctx, record.Object, data) == nil {
-			c.replace(ticket, record)
+			c.update(ticket, record)
 		}
 	})
 }
 
-// Release gives a claim back because nothing was sent under it.
+// Release releases a claim under which nothing was sent.
 func (c *Claims) Release(ticket *Ticket) {
-	c.replace(ticket, Record{
-		State: Released, Attempt: ticket.Attempt, BodyHash: ticket.hash, UnixMS: nowMS(c.clock()),
+	c.update(ticket, Record{
+		State: Released, Attempt: ticket.Attempt, BodyHash: ticket.hash, UnixMS: unixMillis(c.clock()),
 	})
 }
 
-func (c *Claims) replace(ticket *Ticket, record Record) {
-	version := c.recent.change(ticket, record)
-	c.outcomes.enqueue(write{
+func (c *Claims) update(ticket *Ticket, record Record) {
+	version := c.recentClaims.setOutcome(ticket, record)
+	c.outcomeWrites.enqueue(write{
 		check: table.Check{Table: Table, Key: ticket.Key.row(), Version: version},
 		put:   table.Put{Table: Table, Key: ticket.Key.row(), Value: encode(record)},
 	})
 }
 
-// abandon gives back a claim that this process may have written without knowing,
-// and under which it will never send.
-func (c *Claims) abandon(key Key, attempt ident.Attempt) {
-	c.outcomes.background(func(ctx context.Context) {
-		row, record, err := c.settle(ctx, key)
+// releaseAbandoned releases a claim whose write had no known result and under which this process
+// never sends.
+func (c *Claims) releaseAbandoned(key Key, attempt ident.Attempt) {
+	c.outcomeWrites.background(func(ctx context.Context) {
+		row, record, err := c.readRow(ctx, key)
 		if err != nil || record == nil || record.Attempt != attempt || record.State != Sent {
 			return
 		}
--- a/internal/share/claim/claims_test.go
+++ b/internal/share/claim/claims_test.go
@@ -18,7 +18,7 @@
 	"valescale/internal/share/claim"
 )
 
-// objects keeps large answers in memory.
+// objects stores large answers in memory.
 type objects struct {
 	mu   sync.Mutex
 	data map[string][]byte
@@ -47,9 +47,9 @@
 	return &fixture{store: store.New(), objects: &objects{data: map[string][]byte{}}}
 }
 
-// router returns the claims of one more router.
+// router returns the claims of an additional router.
 func (f *fixture) router() *claim.Claims {
-	c, _ := f.routerOf()
+	c, _ := f.newRouter()
 	return c
 }
 
@@ -73,7 +73,7 @@
 	return ticket, answer, fault.KindOf[claim.Kind](err)
 }
 
-// run walks a test through a bubble with a fake clock.
+// run executes a test in a synctest bubble with a fake clock.
 func run(t *testing.T, test func(*testing.T, *fixture)) {
 	synctest.Test(t, func(t *testing.T) {
 		f := newFixture()
@@ -82,7 +82,7 @@
 	})
 }
 
-func TestLostAnswerIsSettledByReadingBack(t *testing.T) {
+func TestBeginAfterLostCommitResponse(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		f.store.LoseAnswers(1)
 		ticket, _, kind := begin(f.router(), time.Second)
@@ -92,9 +92,9 @@
 	})
 }
 
-func TestOneOfTwoRoutersGetsTheTicket(t *testing.T) {
+func TestConcurrentBeginYieldsOneTicket(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		var tickets, others int
+		var tickets, running int
 		var mu sync.Mutex
 		var wg sync.WaitGroup
 		for range 8 {
@@ -106,18 +106,18 @@
 				if ticket != nil {
 					tickets++
 				} else if kind == claim.Running {
-					others++
+					running++
 				}
 			})
 		}
 		wg.Wait()
-		if tickets != 1 || others != 7 {
-			t.Errorf("got %d tickets and %d told that it runs, want 1 and 7", tickets, others)
+		if tickets != 1 || running != 7 {
+			t.Errorf("got %d tickets and %d errors of kind running, want 1 and 7", tickets, running)
 		}
 	})
 }
 
-func TestSecondCallerWaitsForTheAnswer(t *testing.T) {
+func TestBeginWaitsForRunningRequest(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		first, second := f.router(), f.router()
 		ticket, _, _ := begin(first, time.Second)
@@ -130,7 +130,7 @@
 	})
 }
 
-func TestStoreDown(t *testing.T) {
+func TestBeginWhileStoreIsDown(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
 		f.store.SetDown(true)
@@ -139,14 +139,14 @@
 		}
 		time.AfterFunc(time.Second, func() { f.store.SetDown(false) })
 		if ticket, _, kind := begin(c, 3*time.Second); ticket == nil {
-			t.Errorf("got kind %q once the store was back, want a ticket", kind)
+			t.Errorf("got kind %q after the store recovered, want a ticket", kind)
 		}
 	})
 }
 
-// A claim that was written without its router knowing, and under which nothing
-// will be sent, must not block the key for ever.
-func TestAbandonedClaimIsGivenBack(t *testing.T) {
+// Guards against a key that stays blocked forever: the claim was written but its response was lost,
+// so its router never sends under it.
+func TestAbandonedClaimIsReleased(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
 		f.store.LoseAnswers(1)
@@ -161,7 +161,7 @@
 	})
 }
 
-func TestReleasedClaimCanBeMadeAgain(t *testing.T) {
+func TestReleasedClaimCanBeRetaken(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		first := f.router()
 		ticket, _, _ := begin(first, time.Second)
@@ -170,7 +170,7 @@
 		if again == nil || again.Version <= ticket.Version {
 			t.Fatalf("got kind %q and ticket %+v, want one with a later version than %d", kind, again, ticket.Version)
 		}
-		// The first holder wakes up late; its outcome must not overwrite the second's.
+		// A late outcome of the first holder must not overwrite the second holder's claim.
 		first.Finish(ticket, claim.Answer{Status: 500})
 		if _, _, kind := begin(f.router(), time.Second); kind != claim.Running {
 			t.Errorf("got kind %q, want %q", kind, claim.Running)
@@ -179,7 +179,7 @@
 }
 
 func TestAnswersAreReplayedByteForByte(t *testing.T) {
-	bodies := map[string]string{"small": "\x00\xffsmall", "large": strings.Repeat("x", claim.DefaultOptions.Inline+1)}
+	bodies := map[string]string{"small": "\x00\xffsmall", "large": strings.Repeat("x", claim.DefaultOptions.MaxInlineBytes+1)}
 	for name, body := range bodies {
 		t.Run(name, func(t *testing.T) {
 			run(t, func(t *testing.T, f *fixture) {
@@ -189,7 +189,7 @@
 				c.Finish(ticket, claim.Answer{Status: 200, Body: []byte(body)})
 				_, answer, _ := begin(f.router(), 5*time.Second)
 				if answer == nil {
-					t.Fatal("no answer")
+					t.Fatal("got no answer")
 				}
 				if diff := cmp.Diff(body, string(answer.Body)); diff != "" {
 					t.Error(diff)
@@ -199,7 +199,7 @@
 	}
 }
 
-func TestOtherBodyIsRefused(t *testing.T) {
+func TestDifferentBodyIsRejected(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
 		begin(c, time.Second)
@@ -210,7 +210,7 @@
 	})
 }
 
-// Many claims share transactions, and one key that is taken does not hold up the others.
+// Concurrent claims share transactions, and a single taken key does not block the others.
 func TestClaimsShareTransactions(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
@@ -234,16 +234,16 @@
 	})
 }
 
-// TestSchedules walks the actions of spec/claim.pml over the real code: begin,
-// send, finish, give back, crash, with the store failing in between. Between any
-// two actions a router may be paused for as long as the schedule likes.
+// TestSchedules runs random sequences of the actions in spec/claim.pml against the implementation:
+// begin, send, finish, release and crash, with store failures in between. A router may be paused
+// between any two actions for any time.
 func TestSchedules(t *testing.T) {
 	sched.Walk(t, func(r *rapid.T) {
 		synctest.Test(t, func(*testing.T) { walk(r) })
 	})
 }
 
-// walk is one schedule: several routers with one request each for the same key.
+// walk runs one schedule: several routers, each with one request for the same key.
 func walk(r *rapid.T) {
 	f := newFixture()
 	defer f.close()
@@ -272,7 +272,7 @@
 				h.claims.Finish(h.ticket, claim.Answer{Status: 200})
 			}
 		case 4:
-			// Only a holder that has not sent, and now never will, gives its claim back.
+			// Only a holder that has sent nothing, and never will, releases its claim.
 			if h := pick(r, holders); h != nil && !h.sent {
 				h.sent = true
 				h.claims.Release(h.ticket)
--- a/internal/share/claim/doc.go
+++ b/internal/share/claim/doc.go
@@ -1,13 +1,13 @@
-// Package claim makes requests that may not be repeated run at most once.
+// Package claim ensures that requests which must not be repeated run at most once.
 //
-// Before the first byte of such a request goes to a target, a claim on its key is
-// written to the platform's table service under the condition that nobody holds
-// it. Nobody ever takes over a claim whose request may have been sent: a paused
-// holder may wake and send at any time. Only the holder itself gives a claim back,
-// and only when it knows that nothing was sent.
+// Before the first byte of such a request is sent to a target, a claim on its key is written to the
+// platform's table service, conditional on the key being unclaimed. A claim whose request may have
+// been sent is never taken over, because a paused holder can resume and send at any time. Only the
+// holder itself releases a claim, and only if it knows that it has sent nothing.
 //
-// The claim row's version grows with each claim and serves, with the store's era above it,
-// as the fencing token. A store that comes back from an older copy may lack claims: each
-// router writes again what it wrote lately, and none makes new ones until all have had the
-// time to. What a router that has gone with its process wrote in those seconds is lost.
+// The version of the claim row grows with each claim. Combined with the store's era it serves as
+// the fencing token. A store restored from an older snapshot may lack claims: each router rewrites
+// those that it wrote recently, and no router makes new claims until all have had time to do so.
+// Claims made between the snapshot and the rollback are lost if the process of their router has
+// exited.
 package claim
--- a/internal/share/claim/inspect.go
+++ b/internal/share/claim/inspect.go
@@ -10,10 +10,10 @@
 	"valescale/internal/plat/table"
 )
 
-// AuditTable is the name of the table of claims that operators gave back.
+// AuditTable is the name of the table that records claims released by operators.
 const AuditTable table.Name = "claim_audit"
 
-// GivenBack is one row of that table.
+// GivenBack is a row of the audit table.
 type GivenBack struct {
 	Operator  string          `json:"operator"`
 	At        time.Time       `json:"at"`
@@ -23,7 +23,7 @@
 	Note      string          `json:"note"`
 }
 
-// Inspect returns the claim on a key; a Record without a state means that there is none.
+// Inspect returns the claim on a key. The Record has an empty State if there is no claim.
 func Inspect(ctx context.Context, store Store, key Key) (Record, table.Version, error) {
 	row, err := store.Get(ctx, Table, key.row())
 	if table.KindOf(err) == table.Missing {
@@ -36,9 +36,10 @@
 	return record, row.Version, err
 }
 
-// GiveBack releases a claim that is held by nobody any more, with an audit row in
-// the same transaction. Nothing in the system can know that; the operator must.
-func GiveBack(ctx context.Context, store Store, key Key, who GivenBack) (Record, error) {
+// GiveBack releases a claim that no process holds any more, and writes an audit row in the same
+// transaction. The system cannot verify that nobody holds the claim; the operator is responsible
+// for that.
+func GiveBack(ctx context.Context, store Store, key Key, release GivenBack) (Record, error) {
 	const op = "claim.GiveBack"
 	record, version, err := Inspect(ctx, store, key)
 	if err != nil {
@@ -47,8 +48,8 @@
 	if record.State != Sent {
 		return record, fault.Newf(op, Running, "the claim is %q, not %q", record.State, Sent)
 	}
-	who.Before = record
-	audit, err := json.Marshal(who)
+	release.Before = record
+	audit, err := json.Marshal(release)
 	if err != nil {
 		return record, fault.New(op, Damaged, err)
 	}
@@ -57,7 +58,7 @@
 		Checks: []table.Check{{Table: Table, Key: key.row(), Version: version}},
 		Puts: []table.Put{
 			{Table: Table, Key: key.row(), Value: encode(record)},
-			{Table: AuditTable, Key: table.Key(who.At.UTC().Format(time.RFC3339Nano)) + "/" + key.row(), Value: audit},
+			{Table: AuditTable, Key: table.Key(release.At.UTC().Format(time.RFC3339Nano)) + "/" + key.row(), Value: audit},
 		},
 	}
 	if err := store.Commit(ctx, txn); err != nil {
--- a/internal/share/claim/recent.go
+++ b/internal/share/claim/recent.go
@@ -9,45 +9,46 @@
 	"valescale/internal/plat/table"
 )
 
-// recent holds what this router has written of its claims lately, for a store that loses it.
-type recent struct {
-	keep    time.Duration
-	answers int
-	clock   ident.Clock
-	mu      sync.Mutex
-	claims  map[ident.Attempt]*made
-	// order lists the attempts by their claims' making, the oldest first.
+// recentClaims holds the claims that this router wrote recently, to rewrite them if the store loses
+// them.
+type recentClaims struct {
+	ttl            time.Duration
+	maxAnswerBytes int
+	clock          ident.Clock
+	mu             sync.Mutex
+	claims         map[ident.Attempt]*recentClaim
+	// order lists the attempts by the time at which they claimed their key, oldest first.
 	order []ident.Attempt
-	// held is how many bytes of answers are held.
-	held int
+	// answerBytes is the total size of the answer bodies held.
+	answerBytes int
 }
 
-// made is one claim as this router wrote it last.
-type made struct {
+// recentClaim is a claim as this router last wrote it.
+type recentClaim struct {
 	key    Key
 	record Record
-	// version is the row's, as far as this router knows.
+	// version is the last known version of the row.
 	version table.Version
 	at      time.Time
 }
 
-func newRecent(keep time.Duration, answers int, clock ident.Clock) *recent {
-	return &recent{keep: keep, answers: answers, clock: clock, claims: map[ident.Attempt]*made{}}
+func newRecentClaims(ttl time.Duration, maxAnswerBytes int, clock ident.Clock) *recentClaims {
+	return &recentClaims{ttl: ttl, maxAnswerBytes: maxAnswerBytes, clock: clock, claims: map[ident.Attempt]*recentClaim{}}
 }
 
-// add remembers a claim that was made.
-func (r *recent) add(key Key, record Record, version table.Version) {
+// add records a new claim.
+func (r *recentClaims) add(key Key, record Record, version table.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget()
+	r.evict()
 	if _, known := r.claims[record.Attempt]; !known {
 		r.order = append(r.order, record.Attempt)
 	}
-	r.claims[record.Attempt] = &made{key: key, record: record, version: version, at: r.clock()}
+	r.claims[record.Attempt] = &recentClaim{key: key, record: record, version: version, at: r.clock()}
 }
 
-// change remembers what became of a claim, and returns the version that its row has.
-func (r *recent) change(ticket *Ticket, record Record) table.Version {
+// setOutcome records the outcome of a claim and returns the version of its row.
+func (r *recentClaims) setOutcome(ticket *Ticket, record Record) table.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, known := r.claims[record.Attempt]
@@ -55,31 +56,31 @@
 		return ticket.Version
 	}
 	m.record = record
-	r.bound(m)
+	r.limitAnswer(m)
 	return m.version
 }
 
-// bound has a claim keep its answer only while all answers held are within their bound: without it a request is
-// known to have been sent, and does not run again; only its answer cannot be given.
-func (r *recent) bound(m *made) {
+// limitAnswer drops the answer of a claim if it exceeds the limit for all answers held. The claim
+// is then kept as Sent, so that the request does not run again; only its answer cannot be replayed.
+func (r *recentClaims) limitAnswer(m *recentClaim) {
 	size := m.size()
-	if r.held+size > r.answers {
+	if r.answerBytes+size > r.maxAnswerBytes {
 		m.record.State, m.record.Answer = Sent, nil
 		return
 	}
-	r.held += size
+	r.answerBytes += size
 }
 
-// size is how many bytes the held answer has.
-func (m *made) size() int {
+// size returns the size of the answer body held, in bytes.
+func (m *recentClaim) size() int {
 	if m.record.Answer == nil {
 		return 0
 	}
 	return len(m.record.Answer.Body)
 }
 
-// wrote notes the version of a claim's row in the present era.
-func (r *recent) wrote(attempt ident.Attempt, version table.Version) {
+// setVersion records the version of a claim's row in the current era.
+func (r *recentClaims) setVersion(attempt ident.Attempt, version table.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if m, known := r.claims[attempt]; known {
@@ -87,45 +88,47 @@
 	}
 }
 
-// attempts lists whose claims are held.
-func (r *recent) attempts() []ident.Attempt {
+// attempts returns the attempts whose claims are held.
+func (r *recentClaims) attempts() []ident.Attempt {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.forget()
+	r.evict()
 	return slices.Clone(r.order)
 }
 
-// latest is what is held of an attempt's claim.
-func (r *recent) latest(attempt ident.Attempt) (made, bool) {
+// get returns the claim held for an attempt.
+func (r *recentClaims) get(attempt ident.Attempt) (recentClaim, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	m, known := r.claims[attempt]
 	if !known {
-		return made{}, false
+		return recentClaim{}, false
 	}
 	return *m, true
 }
 
-// forget drops claims older than any copy that the store may come back from. Those of requests that still run
-// stay: a lost claim would let them run again.
-func (r *recent) forget() {
+// evict removes claims older than any snapshot that the store can be restored from. Claims of
+// requests that still run are kept up to maxRunTime, because losing them would allow the request to
+// run again.
+func (r *recentClaims) evict() {
 	now := r.clock()
 	kept := r.order[:0]
 	for i, attempt := range r.order {
 		m := r.claims[attempt]
-		if now.Sub(m.at) <= r.keep {
+		if now.Sub(m.at) <= r.ttl {
 			kept = append(kept, r.order[i:]...)
 			break
 		}
-		if m.record.State == Sent && now.Sub(m.at) <= longestRun {
+		if m.record.State == Sent && now.Sub(m.at) <= maxRunTime {
 			kept = append(kept, attempt)
 			continue
 		}
-		r.held -= m.size()
+		r.answerBytes -= m.size()
 		delete(r.claims, attempt)
 	}
 	r.order = kept
 }
 
-// longestRun bounds how long a claim is remembered whose end was never told: requests run for minutes at most.
-const longestRun = 10 * time.Minute
+// maxRunTime limits how long a claim without a recorded outcome is kept. Requests run for minutes
+// at most.
+const maxRunTime = 10 * time.Minute
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -14,95 +14,99 @@
 	"valescale/internal/plat/table"
 )
 
-// Settling is for how long no claims are made once the store was seen to have come back from an older copy:
-// each router hears of that within a second and writes the claims again that the copy lacks.
+// Settling is how long no claims are made after the store was restored from an older snapshot. Each
+// router detects the rollback within a second and rewrites the claims that the snapshot lacks.
 const Settling = 3 * time.Second
 
-// restored has this router's claims written again, and no new ones made until others have had the time for
-// theirs: a claim that is not there may have been lost.
-func (c *Claims) restored(era, was table.Era) {
-	if was == 0 {
+// onRestore rewrites this router's claims and blocks new ones until other routers have had time to
+// rewrite theirs: a missing claim may be a lost one.
+func (c *Claims) onRestore(era, previous table.Era) {
+	if previous == 0 {
 		return
 	}
 	c.mu.Lock()
-	c.settled = c.clock().Add(Settling)
-	c.restorals++
+	c.blockedUntil = c.clock().Add(Settling)
+	c.restoreCount++
 	c.mu.Unlock()
-	claims := c.recent.attempts()
-	_ = level.Warn(c.logger).Log("msg", "no claims for a while, those of this router are written again", "era", era,
+	claims := c.recentClaims.attempts()
+	_ = level.Warn(c.logger).Log("msg", "store restored from an older snapshot; new claims are blocked while this router rewrites its recent ones", "era", era,
 		"claims", len(claims), "for_ms", Settling.Milliseconds())
-	c.outcomes.background(func(ctx context.Context) {
+	c.outcomeWrites.background(func(ctx context.Context) {
 		var wg sync.WaitGroup
 		defer wg.Wait()
-		for share := range slices.Chunk(claims, max(1, (len(claims)+rewriters-1)/rewriters)) {
-			wg.Go(func() { c.rewrite(ctx, share) })
+		for chunk := range slices.Chunk(claims, max(1, (len(claims)+rewriteWorkers-1)/rewriteWorkers)) {
+			wg.Go(func() { c.rewriteClaims(ctx, chunk) })
 		}
 	})
 }
 
-// rewriters is how many claims are looked up at once to be written again: of some hundred, each takes
-// milliseconds, and all are to be there within Settling.
-const rewriters = 16
+// rewriteWorkers is the number of claims rewritten concurrently. Some hundred claims, each taking
+// milliseconds, must be rewritten within Settling.
+const rewriteWorkers = 16
 
-// rewrite writes some claims again.
-func (c *Claims) rewrite(ctx context.Context, claims []ident.Attempt) {
+// rewriteClaims rewrites a list of claims one by one.
+func (c *Claims) rewriteClaims(ctx context.Context, claims []ident.Attempt) {
 	for _, attempt := range claims {
-		for tries := 0; !c.again(ctx, attempt, tries) && pause.For(ctx, c.options.Pause); tries++ {
+		for retries := 0; !c.rewriteClaim(ctx, attempt, retries) && pause.For(ctx, c.options.RetryDelay); retries++ {
 		}
 	}
 }
 
-// patience is how many looks at another router's claim in the place of a lost one its release may take.
-const patience = 20
+// maxReleaseChecks limits how often a row held by another router's claim is read again while that
+// claim is expected to be released.
+const maxReleaseChecks = 20
 
-// moment is how often the store has come back from an older copy so far, and whether claims wait for that.
-func (c *Claims) moment() (restorals int, settling bool) {
+// restores returns the number of store rollbacks so far, and whether claims are blocked because
+// of one.
+func (c *Claims) restores() (restoreCount int, settling bool) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return c.restorals, c.clock().Before(c.settled)
+	return c.restoreCount, c.clock().Before(c.blockedUntil)
 }
 
-// sure checks that the store has not come back from an older copy since a moment: a claim made since then may
-// stand in the place of a lost one.
-func (c *Claims) sure(since int) error {
-	if now, settling := c.moment(); settling || now != since {
-		return fault.Newf("claim.Begin", Restored, "the store has come back from an older copy, claims may be missing")
+// checkNotRestored returns an error if the store was restored from an older snapshot since it had
+// been restored the given number of times. A claim made after that may replace a lost one.
+func (c *Claims) checkNotRestored(since int) error {
+	if count, settling := c.restores(); settling || count != since {
+		return fault.Newf("claim.Begin", Restored, "the store was restored from an older snapshot and may lack claims")
 	}
 	return nil
 }
 
-// again writes a claim as this router knows it, unless the store has it so, and reports whether that is
-// settled: a claim that another router has just made is about to be given back.
-func (c *Claims) again(ctx context.Context, attempt ident.Attempt, tries int) bool {
-	m, known := c.recent.latest(attempt)
+// rewriteClaim writes a claim as this router last wrote it, unless the store already has it in that
+// state. It reports whether no further attempt is needed. A claim that another router has just made
+// in its place is about to be released, so the row is checked again later.
+func (c *Claims) rewriteClaim(ctx context.Context, attempt ident.Attempt, retries int) bool {
+	m, known := c.recentClaims.get(attempt)
 	if !known {
 		return true
 	}
-	row, record, err := c.settle(ctx, m.key)
-	// Its request may have ended meanwhile.
-	if m, known = c.recent.latest(attempt); !known {
+	row, record, err := c.readRow(ctx, m.key)
+	// The request may have ended during the read.
+	if m, known = c.recentClaims.get(attempt); !known {
 		return true
 	}
-	ours := err == nil && record != nil && record.Attempt == attempt
+	own := err == nil && record != nil && record.Attempt == attempt
 	switch {
 	case err != nil:
-		_ = level.Error(c.logger).Log("msg", "a claim cannot be written again", "attempt", attempt, "err", err)
+		_ = level.Error(c.logger).Log("msg", "cannot rewrite a claim after a store rollback", "attempt", attempt, "err", err)
 		return true
-	case record == nil && m.record.State == Released, ours && (record.State == m.record.State || record.State == Done):
-		c.recent.wrote(attempt, row.Version)
+	case record == nil && m.record.State == Released, own && (record.State == m.record.State || record.State == Done):
+		c.recentClaims.setVersion(attempt, row.Version)
 		return true
-	case record != nil && !ours && record.State == Sent && tries < patience:
+	case record != nil && !own && record.State == Sent && retries < maxReleaseChecks:
 		return false
-	case record != nil && !ours && record.State != Released:
-		_ = level.Error(c.logger).Log("msg", "another claim stands in the place of a lost one", "attempt", attempt,
+	case record != nil && !own && record.State != Released:
+		_ = level.Error(c.logger).Log("msg", "lost claim not rewritten: another attempt has claimed its key", "attempt", attempt,
 			"state", m.record.State, "other", record.Attempt, "other_state", record.State)
 		return true
 	}
-	c.recent.wrote(attempt, row.Version+1)
-	err = c.outcomes.do(ctx, write{
+	c.recentClaims.setVersion(attempt, row.Version+1)
+	err = c.outcomeWrites.submit(ctx, write{
 		check: table.Check{Table: Table, Key: m.key.row(), Version: row.Version},
 		put:   table.Put{Table: Table, Key: m.key.row(), Value: encode(m.record)},
 	})
-	// After a conflict the row is to be looked at once more; an answer that was lost meets its own writing.
+	// After a conflict the row must be read again: a retry after a lost response conflicts with the
+	// version that the first attempt wrote.
 	return table.KindOf(err) != table.Conflict
 }
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -16,50 +16,48 @@
 	"valescale/internal/share/claim"
 )
 
-// routerOf returns the claims of one more router, which hears of the store's era with its own calls.
-func (f *fixture) routerOf() (*claim.Claims, *store.Client) {
+// newRouter returns the claims of an additional router and its store client, which learns the
+// store's era from its own calls.
+func (f *fixture) newRouter() (*claim.Claims, *store.Client) {
 	client := store.NewClient(f.store)
 	c, stop := claim.New(client, f.objects, claim.DefaultOptions, log.NewNopLogger(), time.Now)
 	f.stops = append(f.stops, stop)
 	return c, client
 }
 
-// look has a router make a call to the store, as it does every few seconds.
-func look(t *testing.T, client *store.Client) {
+// readStore makes a router call the store, as every router does every few seconds.
+func readStore(t *testing.T, client *store.Client) {
 	t.Helper()
-	// Whether there is such a row does not matter.
+	// Whether the row exists does not matter.
 	_, _ = client.Get(context.Background(), "config_head", "head")
 }
 
-// Seen: nowhere yet; found when what the store said was looked for in the product's own store. How: a request
-// that may not be repeated has run under a claim; the table service comes back from a copy that lacks it; the
-// caller asks again, at another router, which makes the claim anew and has it run once more.
-//
-// Cause: a claim stood in the store alone, and its absence was taken for "never claimed". Proof: here the second
-// router gets a ticket.
-func TestClaimThatTheStoreHasLost(t *testing.T) {
+// Guards against a request that runs twice: it has run under a claim, the store is restored from a
+// snapshot without that claim, and the caller retries at another router. The second router must not
+// get a ticket, because a missing claim does not prove that the key was never claimed.
+func TestLostClaimIsRewrittenAfterStoreRollback(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		first, firstClient := f.routerOf()
-		second, secondClient := f.routerOf()
-		look(t, firstClient)
-		look(t, secondClient)
-		older := f.store.Copy()
+		first, firstClient := f.newRouter()
+		second, secondClient := f.newRouter()
+		readStore(t, firstClient)
+		readStore(t, secondClient)
+		snapshot := f.store.Copy()
 		ticket, _, kind := begin(first, time.Second)
 		if ticket == nil {
-			t.Fatalf("no ticket: %q", kind)
+			t.Fatalf("got no ticket and kind %q", kind)
 		}
 		want := claim.Answer{Status: 200, Body: []byte("booked")}
 		first.Finish(ticket, want)
 		pause.For(t.Context(), time.Second)
-		f.store.SetBack(older)
+		f.store.SetBack(snapshot)
 		if ticket, _, kind := begin(second, time.Second); ticket != nil || kind != claim.Restored {
-			t.Errorf("the second router, at once: ticket %v, kind %q; want the claim refused as not run", ticket, kind)
+			t.Errorf("second router right after the rollback: got ticket %v and kind %q, want kind restored", ticket, kind)
 		}
-		look(t, firstClient)
+		readStore(t, firstClient)
 		pause.For(t.Context(), claim.Settling)
 		ticket, got, kind := begin(second, time.Second)
 		if ticket != nil || got == nil {
-			t.Fatalf("the second router, later: ticket %v, kind %q; want the answer", ticket, kind)
+			t.Fatalf("second router after the settling time: got ticket %v and kind %q, want the answer", ticket, kind)
 		}
 		if diff := cmp.Diff(want, *got); diff != "" {
 			t.Error(diff)
@@ -67,85 +65,85 @@
 	})
 }
 
-// A request that still runs when the store comes back keeps its claim, its end is recorded, and its ticket's
-// token is below those of the new era.
-func TestClaimOfARequestThatRunsOn(t *testing.T) {
+// A request that still runs during a store rollback keeps its claim, and its outcome is recorded.
+func TestRunningRequestKeepsClaimAcrossStoreRollback(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		first, firstClient := f.routerOf()
-		second, secondClient := f.routerOf()
-		look(t, firstClient)
-		look(t, secondClient)
-		older := f.store.Copy()
+		first, firstClient := f.newRouter()
+		second, secondClient := f.newRouter()
+		readStore(t, firstClient)
+		readStore(t, secondClient)
+		snapshot := f.store.Copy()
 		ticket, _, _ := begin(first, time.Second)
-		f.store.SetBack(older)
-		look(t, firstClient)
-		look(t, secondClient)
+		f.store.SetBack(snapshot)
+		readStore(t, firstClient)
+		readStore(t, secondClient)
 		pause.For(t.Context(), claim.Settling)
 		if again, _, kind := begin(second, 100*time.Millisecond); again != nil || kind != claim.Running {
-			t.Errorf("while it runs: ticket %v, kind %q; want it to be running", again, kind)
+			t.Errorf("while the request runs: got ticket %v and kind %q, want kind running", again, kind)
 		}
 		first.Finish(ticket, claim.Answer{Status: 200})
 		pause.For(t.Context(), time.Second)
 		if _, got, kind := begin(second, time.Second); got == nil {
-			t.Errorf("after its end: kind %q, want the answer", kind)
+			t.Errorf("after the request ended: got kind %q, want the answer", kind)
 		}
 	})
 }
 
-// A claim that was given back before the store came back may be made again after it.
-func TestReleasedClaimAfterASetback(t *testing.T) {
+// A claim that was released before a store rollback can be made again after it, with a greater
+// fencing token.
+func TestReleasedClaimAfterStoreRollback(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		first, client := f.routerOf()
-		look(t, client)
-		older := f.store.Copy()
+		first, client := f.newRouter()
+		readStore(t, client)
+		snapshot := f.store.Copy()
 		ticket, _, _ := begin(first, time.Second)
 		first.Release(ticket)
 		pause.For(t.Context(), time.Second)
-		f.store.SetBack(older)
-		look(t, client)
+		f.store.SetBack(snapshot)
+		readStore(t, client)
 		pause.For(t.Context(), claim.Settling)
 		again, _, kind := begin(first, time.Second)
 		if again == nil {
-			t.Fatalf("no ticket: %q", kind)
+			t.Fatalf("got no ticket and kind %q", kind)
 		}
 		if again.Fence() <= ticket.Fence() {
-			t.Errorf("fence %d comes after %d", again.Fence(), ticket.Fence())
+			t.Errorf("got fencing token %d, want one greater than %d", again.Fence(), ticket.Fence())
 		}
 	})
 }
 
-// TestRequestsRunOnceThroughSetbacks plays three routers that claim, run, end and give back one request over and
-// over, and a store that comes back from copies of up to some seconds ago; each router calls it every half
-// second. Once the request has run it never gets another ticket, and while it runs none either.
-func TestRequestsRunOnceThroughSetbacks(t *testing.T) {
+// TestRequestsRunOnceAcrossStoreRollbacks has three routers repeatedly begin, finish and release
+// one request, while the store is restored from snapshots up to some seconds old. Each router calls
+// the store every half second. No ticket may be issued while the request runs or after it has run.
+func TestRequestsRunOnceAcrossStoreRollbacks(t *testing.T) {
 	for seed := range sched.Seeds(150) {
 		synctest.Test(t, func(t *testing.T) {
 			f := newFixture()
 			defer f.close()
-			walkBack(t, f, rand.New(rand.NewPCG(seed, seed)))
+			runWithRollbacks(t, f, rand.New(rand.NewPCG(seed, seed)))
 		})
 	}
 }
 
-// walkBack is one such play.
-func walkBack(t *testing.T, f *fixture, rng *rand.Rand) {
+// runWithRollbacks runs one random sequence.
+func runWithRollbacks(t *testing.T, f *fixture, rng *rand.Rand) {
 	var routers []*claim.Claims
 	var clients []*store.Client
 	for range 3 {
-		c, client := f.routerOf()
-		look(t, client)
+		c, client := f.newRouter()
+		readStore(t, client)
 		routers, clients = append(routers, c), append(clients, client)
 	}
 	var ticket *claim.Ticket
 	holder, ran := 0, false
-	older := f.store.Copy()
+	snapshot := f.store.Copy()
 	for step := range 60 {
 		i := rng.IntN(len(routers))
 		switch rng.IntN(8) {
 		case 0, 1, 2:
 			again, _, _ := begin(routers[i], 100*time.Millisecond)
 			if again != nil && (ticket != nil || ran) {
-				t.Fatalf("step %d: a ticket for a request that runs (%v) or has run (%v)", step, ticket != nil, ran)
+				t.Fatalf("step %d: got a ticket for a request that runs (%v) or has run (%v)", step, ticket != nil, ran)
 			}
 			if again != nil {
 				ticket, holder = again, i
@@ -161,22 +159,23 @@
 				ticket = nil
 			}
 		case 5:
-			older = f.store.Copy()
+			snapshot = f.store.Copy()
 		case 6:
-			f.store.SetBack(older)
+			f.store.SetBack(snapshot)
 		}
 		pause.For(t.Context(), time.Duration(rng.IntN(500))*time.Millisecond)
 		for _, client := range clients {
-			look(t, client)
+			readStore(t, client)
 		}
 	}
 }
 
-// An answer too large to be held beside the others stays where the store still has it.
-func TestAnswerThatIsNotHeldStays(t *testing.T) {
+// An answer that exceeds the limit for answers held in memory is not overwritten if the store still
+// has it.
+func TestAnswerOverMemoryLimitStaysInStore(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		options := claim.DefaultOptions
-		options.Answers = 0
+		options.MaxRecentBytes = 0
 		client := store.NewClient(f.store)
 		c, stop := claim.New(client, f.objects, options, log.NewNopLogger(), time.Now)
 		f.stops = append(f.stops, stop)
@@ -184,10 +183,10 @@
 		c.Finish(ticket, claim.Answer{Status: 200, Body: []byte("booked")})
 		pause.For(t.Context(), time.Second)
 		f.store.SetBack(f.store.Copy())
-		look(t, client)
+		readStore(t, client)
 		pause.For(t.Context(), claim.Settling)
 		if _, got, kind := begin(c, time.Second); got == nil {
-			t.Errorf("kind %q, want the answer", kind)
+			t.Errorf("got kind %q, want the answer", kind)
 		}
 	})
 }
--- a/internal/share/claim/sweep.go
+++ b/internal/share/claim/sweep.go
@@ -9,56 +9,56 @@
 	"valescale/internal/plat/table"
 )
 
-// Keep is how long claims are kept, by state. A key that is used again later runs again.
-type Keep struct {
-	// Ended is for claims with an answer and for those given back.
+// Keep defines how long claims are retained by state. A key that is reused after that runs again.
+type Retention struct {
+	// Ended applies to claims with an answer and to released claims.
 	Ended time.Duration
-	// Sent is for claims whose outcome nobody knows.
+	// Sent applies to claims whose outcome is unknown.
 	Sent time.Duration
 }
 
-// DefaultKeep is longer than callers may be expected to ask again.
-var DefaultKeep = Keep{Ended: 7 * 24 * time.Hour, Sent: 30 * 24 * time.Hour}
+// DefaultKeep exceeds the time during which callers can be expected to retry.
+var DefaultKeep = Retention{Ended: 7 * 24 * time.Hour, Sent: 30 * 24 * time.Hour}
 
-// Rows is what sweeping needs of the table service.
-type Rows interface {
+// ScanStore contains the table operations that a sweep requires.
+type ScanStore interface {
 	Store
 	Scan(ctx context.Context, r table.Range) ([]table.Row, error)
 }
 
-// Sweeper removes old claims, a page at a time.
+// Sweeper removes expired claims, one page at a time.
 type Sweeper struct {
-	rows  Rows
-	keep  Keep
-	clock ident.Clock
-	next  table.Key
+	rows      ScanStore
+	retention Retention
+	clock     ident.Clock
+	next      table.Key
 }
 
-// sweepPage is how many rows one step looks at.
-const sweepPage = 200
+// sweepPageRows is the number of rows that one step reads.
+const sweepPageRows = 200
 
 // NewSweeper returns a sweeper that starts at the first row.
-func NewSweeper(rows Rows, keep Keep, clock ident.Clock) *Sweeper {
-	return &Sweeper{rows: rows, keep: keep, clock: clock}
+func NewSweeper(rows ScanStore, retention Retention, clock ident.Clock) *Sweeper {
+	return &Sweeper{rows: rows, retention: retention, clock: clock}
 }
 
-// Step looks at one page and returns how many claims it removed.
+// Step scans one page and returns the number of claims removed.
 func (s *Sweeper) Step(ctx context.Context) (int, error) {
-	rows, err := s.rows.Scan(ctx, table.Range{Table: Table, From: s.next, Limit: sweepPage})
+	rows, err := s.rows.Scan(ctx, table.Range{Table: Table, From: s.next, Limit: sweepPageRows})
 	if err != nil {
 		return 0, fault.New("claim.Sweep", Unavailable, err)
 	}
 	s.next = ""
-	if len(rows) == sweepPage {
+	if len(rows) == sweepPageRows {
 		s.next = rows[len(rows)-1].Key
 	}
 	removed := 0
 	for _, row := range rows {
 		record, err := decode(row)
-		if err != nil || !s.old(record) {
+		if err != nil || !s.expired(record) {
 			continue
 		}
-		// The check keeps a claim that was made anew meanwhile.
+		// The check prevents the deletion of a claim that was retaken since the scan.
 		err = s.rows.Commit(ctx, table.Txn{
 			Checks: []table.Check{{Table: Table, Key: row.Key, Version: row.Version}},
 			Puts:   []table.Put{{Table: Table, Key: row.Key, Delete: true}},
@@ -70,10 +70,10 @@
 	return removed, nil
 }
 
-func (s *Sweeper) old(r Record) bool {
-	keep := s.keep.Ended
+func (s *Sweeper) expired(r Record) bool {
+	retention := s.retention.Ended
 	if r.State == Sent {
-		keep = s.keep.Sent
+		retention = s.retention.Sent
 	}
-	return s.clock().Sub(time.UnixMilli(r.UnixMS)) > keep
+	return s.clock().Sub(time.UnixMilli(r.UnixMS)) > retention
 }
--- a/internal/share/claim/sweep_test.go
+++ b/internal/share/claim/sweep_test.go
@@ -12,16 +12,16 @@
 	"valescale/internal/share/claim"
 )
 
-func TestOldClaimsAreRemoved(t *testing.T) {
+func TestSweepRemovesExpiredClaims(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
-		done, held := claim.Key{Workspace: "w", Name: "done"}, claim.Key{Workspace: "w", Name: "held"}
+		done, sent := claim.Key{Workspace: "w", Name: "done"}, claim.Key{Workspace: "w", Name: "held"}
 		ticket, _, err := c.Begin(context.Background(), done, hash)
 		if err != nil {
 			t.Fatal(err)
 		}
 		c.Finish(ticket, claim.Answer{Status: 200})
-		if _, _, err := c.Begin(context.Background(), held, hash); err != nil {
+		if _, _, err := c.Begin(context.Background(), sent, hash); err != nil {
 			t.Fatal(err)
 		}
 		<-time.After(time.Second)
@@ -34,15 +34,17 @@
 			return n
 		}
 		got := []int{sweep(0), sweep(claim.DefaultKeep.Ended * 2), sweep(claim.DefaultKeep.Ended * 2), sweep(claim.DefaultKeep.Sent * 2)}
-		// Nothing while both are young, then the ended one, then the one that nobody knows of.
+		// Both claims are recent at first. The ended one expires before the one with an unknown
+		// outcome.
 		if diff := cmp.Diff([]int{0, 1, 0, 1}, got); diff != "" {
 			t.Error(diff)
 		}
 	})
 }
 
-// Two holders of the lease sweep at once, and a claim is made anew between.
-func TestSweepingKeepsWhatIsNew(t *testing.T) {
+// Guards against deleting a claim that was retaken between the sweeper's scan and its delete, as
+// can happen while two lease holders sweep at once.
+func TestSweepKeepsRetakenClaim(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
 		ticket, _, _ := begin(c, time.Second)
@@ -56,7 +58,7 @@
 		})
 		later := func() time.Time { return time.Now().Add(claim.DefaultKeep.Ended * 2) }
 		if n, err := claim.NewSweeper(f.store, claim.DefaultKeep, later).Step(context.Background()); n != 0 || err != nil {
-			t.Errorf("removed %d (%v), although the claim was made anew", n, err)
+			t.Errorf("removed %d claims (%v), want none: the claim was retaken", n, err)
 		}
 		if _, _, kind := begin(f.router(), time.Second); kind != claim.Running {
 			t.Errorf("got kind %q, want %q", kind, claim.Running)
@@ -64,25 +66,25 @@
 	})
 }
 
-func TestOperatorGivesAClaimBack(t *testing.T) {
+func TestOperatorReleasesClaim(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		ctx := context.Background()
 		c := f.router()
 		ticket, _, _ := begin(c, time.Second)
-		who := claim.GivenBack{Operator: "ana", At: time.Now(), Workspace: key.Workspace, Key: key.Name, Note: "did not run"}
-		if _, err := claim.GiveBack(ctx, f.store, key, who); err != nil {
+		release := claim.GivenBack{Operator: "ana", At: time.Now(), Workspace: key.Workspace, Key: key.Name, Note: "did not run"}
+		if _, err := claim.GiveBack(ctx, f.store, key, release); err != nil {
 			t.Fatal(err)
 		}
 		rows, err := f.store.Scan(ctx, table.Range{Table: claim.AuditTable})
 		if err != nil || len(rows) != 1 {
-			t.Errorf("%d audit rows (%v), want 1", len(rows), err)
+			t.Errorf("got %d audit rows (%v), want 1", len(rows), err)
 		}
 		if again, _, kind := begin(f.router(), time.Second); again == nil || again.Fence() <= ticket.Fence() {
-			t.Errorf("got kind %q and ticket %+v, want a later one", kind, again)
+			t.Errorf("got kind %q and ticket %+v, want a greater fencing token", kind, again)
 		}
-		_, err = claim.GiveBack(ctx, f.store, claim.Key{Workspace: "w", Name: "none"}, who)
+		_, err = claim.GiveBack(ctx, f.store, claim.Key{Workspace: "w", Name: "none"}, release)
 		if kind := fault.KindOf[claim.Kind](err); kind != claim.Running {
-			t.Errorf("giving back no claim got %v", err)
+			t.Errorf("releasing a missing claim: got %v, want kind running", err)
 		}
 	})
 }
