--- a/internal/share/lease/doc.go
+++ b/internal/share/lease/doc.go
@@ -1,7 +1,7 @@
-// Package lease keeps at most one holder of a named task at a time, as far as
-// time can tell, and gives each holder an epoch that only grows.
+// Package lease assigns a named task to at most one holder at a time, within the limits of local
+// clocks, and gives each holder an epoch that only grows.
 //
-// A holder that is paused may wake and believe that it still holds the lease.
-// Whatever is done under a lease therefore carries the epoch, which targets that
-// check can refuse, and to those that do not check only wanted end states are sent.
+// A holder that was paused may resume and still act as the holder. All work done under a lease
+// therefore carries the epoch, so that targets that check it can reject an outdated holder. Targets
+// that do not check it are only sent desired end states.
 package lease
--- a/internal/share/lease/lease.go
+++ b/internal/share/lease/lease.go
@@ -11,23 +11,23 @@
 	"valescale/internal/plat/table"
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 const (
 	// Held means that another holder has the lease.
 	Held Kind = "held"
-	// Unavailable means that the store does not answer.
+	// Unavailable means that the store does not respond.
 	Unavailable Kind = "unavailable"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 // Table is the name of the table of leases.
 const Table table.Name = "lease"
 
-// Store is what leases need of the table service.
+// Store contains the table operations that leases require.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) error
 	Get(ctx context.Context, name table.Name, key table.Key) (table.Row, error)
@@ -37,42 +37,44 @@
 type record struct {
 	Holder ident.Router `json:"holder"`
 	Epoch  ident.Epoch  `json:"epoch"`
-	// Attempt tells this holder's own writes from those of its earlier process.
+	// Attempt identifies the holder's process, so that a restarted router does not treat the writes
+	// of its previous process as its own.
 	Attempt string `json:"attempt"`
-	// TTLMS is how long the holder wants to be left alone after each write, in milliseconds.
+	// TTLMS is how long the lease is valid after each write, in milliseconds.
 	TTLMS int64 `json:"ttl_ms"`
 }
 
-// Lease is this router's side of one lease.
+// Lease is this router's view of one lease.
 type Lease struct {
-	store  Store
-	name   table.Key
-	holder ident.Router
-	id     string
-	ttl    time.Duration
-	clock  ident.Clock
-	mu     sync.Mutex
+	store     Store
+	name      table.Key
+	holder    ident.Router
+	processID string
+	ttl       time.Duration
+	clock     ident.Clock
+	mu        sync.Mutex
 	// epoch and until are set while this router holds the lease.
 	epoch ident.Epoch
 	until time.Time
-	// tried is the era in which this router tried to write the row last.
-	tried table.Era
-	// seen is the row as read last and since when it has not changed, by this
-	// router's own clock: clocks of different boxes are never compared.
-	seen  table.Position
-	since time.Time
-	// restored is set while the row, or its absence, may be of an older copy that the store came back from:
-	// another router may hold the lease whatever it says.
+	// lastWriteEra is the era in which this router last tried to write the row.
+	lastWriteEra table.Era
+	// lastSeen is the position of the row as last read, and unchangedSince is the time since when
+	// it has not changed. That time is from this router's own clock: clocks of different boxes are
+	// never compared.
+	lastSeen       table.Position
+	unchangedSince time.Time
+	// restored is set while the row, or its absence, may come from an older snapshot that the store
+	// was restored from. Another router may then hold the lease regardless of the row.
 	restored bool
 }
 
-// New returns a lease that is not held; id must differ between processes.
-func New(store Store, name string, holder ident.Router, id string, ttl time.Duration, clock ident.Clock) *Lease {
-	return &Lease{store: store, name: table.Key(name), holder: holder, id: id, ttl: ttl, clock: clock}
+// New returns a lease that is not held. The processID must differ between processes.
+func New(store Store, name string, holder ident.Router, processID string, ttl time.Duration, clock ident.Clock) *Lease {
+	return &Lease{store: store, name: table.Key(name), holder: holder, processID: processID, ttl: ttl, clock: clock}
 }
 
-// Epoch returns the epoch while the lease is held; ask again before each use,
-// since time passes.
+// Epoch returns the epoch while the lease is held. It must be called before each use, because the
+// lease can expire at any time.
 func (l *Lease) Epoch() (ident.Epoch, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -82,25 +84,26 @@
 	return l.epoch, true
 }
 
-// Step renews the lease if it is held, or takes it if its row has not changed for
-// its holder's time. It is to be called a few times in each ttl.
+// Step renews the lease if it is held, or acquires it if its row has not changed for the holder's
+// TTL. It must be called several times per TTL.
 func (l *Lease) Step(ctx context.Context) error {
 	const op = "lease.Step"
-	// The time counts from before the write, when the holder could not know yet.
+	// The TTL starts before the write, since the time at which the store applies the write is
+	// unknown.
 	started := l.clock()
 	row, err := l.store.Get(ctx, Table, l.name)
 	if err != nil && table.KindOf(err) != table.Missing {
 		return fault.New(op, Unavailable, err)
 	}
-	now := record{}
+	current := record{}
 	if row.Version > 0 {
-		if err := json.Unmarshal(row.Value, &now); err != nil {
+		if err := json.Unmarshal(row.Value, &current); err != nil {
 			return fault.New(op, Unavailable, err)
 		}
 	}
-	next, ok := l.next(started, row, now)
+	next, ok := l.next(started, row, current)
 	if !ok {
-		return fault.Newf(op, Held, "by %s", now.Holder)
+		return fault.Newf(op, Held, "lease is held by %s", current.Holder)
 	}
 	value, err := json.Marshal(next)
 	if err != nil {
@@ -110,71 +113,72 @@
 		Checks: []table.Check{{Table: Table, Key: l.name, Version: row.Version}},
 		Puts:   []table.Put{{Table: Table, Key: l.name, Value: value}},
 	}
-	l.note(row.Era)
+	l.setWriteEra(row.Era)
 	if err := l.store.Commit(ctx, txn); err != nil {
-		// If the write took effect all the same, the next step reads it as this router's own.
+		// If the write took effect despite the error, the next step reads the row as this router's
+		// own.
 		return fault.New(op, Unavailable, err)
 	}
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.epoch = next.Epoch
 	l.until = started.Add(l.ttl)
-	l.seen, l.since = table.Position{Era: row.Era, Version: row.Version + 1}, started
+	l.lastSeen, l.unchangedSince = table.Position{Era: row.Era, Version: row.Version + 1}, started
 	l.restored = false
 	return nil
 }
 
-// note remembers the era in which this router tries to write the row.
-func (l *Lease) note(era table.Era) {
+// setWriteEra records the era in which this router tries to write the row.
+func (l *Lease) setWriteEra(era table.Era) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.tried = era
+	l.lastWriteEra = era
 }
 
-// next returns the record to write: a renewal under the same epoch, or a takeover
-// under the next one.
-func (l *Lease) next(now time.Time, row table.Row, known record) (record, bool) {
+// next returns the record to write: a renewal under the same epoch, or a takeover under the next
+// one.
+func (l *Lease) next(now time.Time, row table.Row, current record) (record, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	next := record{Holder: l.holder, Epoch: known.Epoch, Attempt: l.id, TTLMS: l.ttl.Milliseconds()}
-	if l.mine(now, row, known) {
+	next := record{Holder: l.holder, Epoch: current.Epoch, Attempt: l.processID, TTLMS: l.ttl.Milliseconds()}
+	if l.isOwn(now, row, current) {
 		return next, true
 	}
 	l.epoch = 0
-	l.look(now, row.Position())
-	ttl := time.Duration(known.TTLMS) * time.Millisecond
+	l.observe(now, row.Position())
+	ttl := time.Duration(current.TTLMS) * time.Millisecond
 	if l.restored {
 		ttl = max(ttl, l.ttl)
 	}
-	free := row.Version == 0 || known.Holder == ""
-	if (!free || l.restored) && now.Sub(l.since) <= ttl {
+	free := row.Version == 0 || current.Holder == ""
+	if (!free || l.restored) && now.Sub(l.unchangedSince) <= ttl {
 		return record{}, false
 	}
-	// Epochs of an earlier era that the store has lost are not given out again.
-	next.Epoch = max(known.Epoch, table.Position{Era: row.Era}.Fence()) + 1
+	// Epochs of an earlier era that the store has lost are not issued again.
+	next.Epoch = max(current.Epoch, table.Position{Era: row.Era}.Fence()) + 1
 	return next, true
 }
 
-// mine reports whether a row is this router's own, to be renewed. One of an earlier hold may come back with an
-// older copy of the store while another router holds the lease.
-func (l *Lease) mine(now time.Time, row table.Row, known record) bool {
-	if row.Version == 0 || known.Holder != l.holder || known.Attempt != l.id {
+// isOwn reports whether a row was written by this process and may be renewed. A row of an earlier
+// hold can reappear with an older snapshot of the store while another router holds the lease.
+func (l *Lease) isOwn(now time.Time, row table.Row, current record) bool {
+	if row.Version == 0 || current.Holder != l.holder || current.Attempt != l.processID {
 		return false
 	}
-	holds := l.epoch != 0 && l.epoch == known.Epoch && now.Before(l.until)
-	return holds || row.Era == l.tried
+	holds := l.epoch != 0 && l.epoch == current.Epoch && now.Before(l.until)
+	return holds || row.Era == l.lastWriteEra
 }
 
-// look notes a row that is not this router's own, and since when it has been as it is.
-func (l *Lease) look(now time.Time, row table.Position) {
-	if !l.since.IsZero() && row == l.seen {
+// observe records a row that is not this router's own, and the time since when it has not changed.
+func (l *Lease) observe(now time.Time, row table.Position) {
+	if !l.unchangedSince.IsZero() && row == l.lastSeen {
 		return
 	}
-	l.restored = l.restored || !l.since.IsZero() && row.Era > l.seen.Era
-	l.seen, l.since = row, now
+	l.restored = l.restored || !l.unchangedSince.IsZero() && row.Era > l.lastSeen.Era
+	l.lastSeen, l.unchangedSince = row, now
 }
 
-// Release gives the lease up, so that another router need not wait for it to lapse.
+// Release gives up the lease, so that another router need not wait for it to expire.
 func (l *Lease) Release(ctx context.Context) error {
 	const op = "lease.Release"
 	l.mu.Lock()
@@ -188,11 +192,11 @@
 	if err != nil {
 		return fault.New(op, Unavailable, err)
 	}
-	var now record
-	if err := json.Unmarshal(row.Value, &now); err != nil || now.Attempt != l.id {
+	var current record
+	if err := json.Unmarshal(row.Value, &current); err != nil || current.Attempt != l.processID {
 		return fault.New(op, Held, err)
 	}
-	value, err := json.Marshal(record{Epoch: now.Epoch})
+	value, err := json.Marshal(record{Epoch: current.Epoch})
 	if err != nil {
 		return fault.New(op, Unavailable, err)
 	}
--- a/internal/share/lease/lease_test.go
+++ b/internal/share/lease/lease_test.go
@@ -20,16 +20,16 @@
 
 var ctx = context.Background()
 
-// manualClock is a clock that is moved by manualClock.
+// manualClock is a clock that only tests advance.
 type manualClock struct{ now time.Time }
 
-func (h *manualClock) time() time.Time { return h.now }
+func (c *manualClock) time() time.Time { return c.now }
 
 func newManualClock() *manualClock {
 	return &manualClock{now: time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)}
 }
 
-func TestOnlyOneHolds(t *testing.T) {
+func TestSingleHolder(t *testing.T) {
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	b := lease.New(s, "orders", "b", "2", ttl, clock.time)
@@ -41,16 +41,16 @@
 	}
 	clock.now = clock.now.Add(ttl + time.Second)
 	if _, still := a.Epoch(); still {
-		t.Error("a holds a lease that it has not renewed")
+		t.Error("a still holds a lease that it has not renewed")
 	}
 	_ = b.Step(ctx)
 	second, holds := b.Epoch()
 	if !holds || second <= first {
-		t.Errorf("b holds: %v under epoch %d, want one after %d", holds, second, first)
+		t.Errorf("b holds the lease: %v, epoch %d; want an epoch greater than %d", holds, second, first)
 	}
 }
 
-func TestReleasedLeaseIsFreeAtOnce(t *testing.T) {
+func TestReleasedLeaseIsAvailableImmediately(t *testing.T) {
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	b := lease.New(s, "orders", "b", "2", ttl, clock.time)
@@ -60,27 +60,28 @@
 	}
 	_ = b.Step(ctx)
 	if epoch, holds := b.Epoch(); !holds || epoch != 2 {
-		t.Errorf("b holds: %v under epoch %d, want 2", holds, epoch)
+		t.Errorf("b holds the lease: %v, epoch %d; want epoch 2", holds, epoch)
 	}
 }
 
-func TestLostAnswerOfATakeover(t *testing.T) {
+func TestStepAfterLostCommitResponse(t *testing.T) {
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	s.LoseAnswers(1)
 	if err := a.Step(ctx); err == nil {
-		t.Fatal("no answer, but no error")
+		t.Fatal("got no error although the commit response was lost")
 	}
 	if err := a.Step(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if epoch, holds := a.Epoch(); !holds || epoch != 1 {
-		t.Errorf("a holds: %v under epoch %d, want 1", holds, epoch)
+		t.Errorf("a holds the lease: %v, epoch %d; want epoch 1", holds, epoch)
 	}
 }
 
-// TestSchedules walks the actions of spec/lease.pml over the real code: two
-// holders, pauses of any length at any place, lost answers, a store that is down.
+// TestSchedules runs random sequences of the actions in spec/lease.pml against the implementation:
+// several holders, pauses of any length at any point, lost commit responses, and a store that is
+// down.
 func TestSchedules(t *testing.T) {
 	sched.Walk(t, walk)
 }
@@ -92,7 +93,7 @@
 	for i, name := range names {
 		leases = append(leases, lease.New(s, "orders", name, strconv.Itoa(i), ttl, clock.time))
 	}
-	seen := holders{of: map[ident.Epoch]int{}}
+	owners := epochOwners{byEpoch: map[ident.Epoch]int{}}
 	for range rapid.IntRange(3, 30).Draw(r, "steps") {
 		i := rapid.IntRange(0, len(leases)-1).Draw(r, "holder")
 		switch rapid.IntRange(0, 4).Draw(r, "action") {
@@ -105,18 +106,19 @@
 		case 4:
 			s.SetDown(rapid.Bool().Draw(r, "down"))
 		}
-		seen.check(r, leases)
+		owners.check(r, leases)
 	}
 }
 
-// holders are whom each epoch was of.
-type holders struct {
-	latest ident.Epoch
-	of     map[ident.Epoch]int
+// epochOwners records which router held each epoch.
+type epochOwners struct {
+	latest  ident.Epoch
+	byEpoch map[ident.Epoch]int
 }
 
-// check checks that at most one router holds the lease, and that epochs grow and are of one router each.
-func (h *holders) check(r *rapid.T, leases []*lease.Lease) {
+// check verifies that at most one router holds the lease, that epochs grow, and that each epoch has
+// one owner.
+func (h *epochOwners) check(r *rapid.T, leases []*lease.Lease) {
 	held := 0
 	for j, l := range leases {
 		epoch, ok := l.Epoch()
@@ -124,13 +126,13 @@
 			continue
 		}
 		held++
-		if other, taken := h.of[epoch]; taken && other != j {
-			r.Fatalf("epoch %d is of both router %d and router %d", epoch, other, j)
+		if other, taken := h.byEpoch[epoch]; taken && other != j {
+			r.Fatalf("epoch %d belongs to both router %d and router %d", epoch, other, j)
 		}
-		if _, known := h.of[epoch]; !known && epoch <= h.latest {
-			r.Fatalf("epoch %d comes after %d", epoch, h.latest)
+		if _, known := h.byEpoch[epoch]; !known && epoch <= h.latest {
+			r.Fatalf("epoch %d was issued after epoch %d", epoch, h.latest)
 		}
-		h.of[epoch] = j
+		h.byEpoch[epoch] = j
 		h.latest = max(h.latest, epoch)
 	}
 	if held > 1 {
--- a/internal/share/lease/rollback_test.go
+++ b/internal/share/lease/rollback_test.go
@@ -13,28 +13,27 @@
 	"valescale/internal/share/lease"
 )
 
-// Seen: nowhere yet; found when what the store said was looked for in the product's own store. How: b took the
-// lease over from a; the table service comes back from a copy in which a still holds it. a finds its own name and
-// renews under its old epoch while b believes to hold the lease, and the next holder gets b's epoch once more.
-//
-// Cause: a row was taken for this router's own, and an epoch for the latest, whatever past they were of.
-func TestLeaseOfAnEarlierHolderComesBack(t *testing.T) {
+// Guards against two holders after a store rollback: b took the lease over from a, and the store is
+// restored from a snapshot in which a still holds it. Router a must not renew under its old epoch
+// while b holds the lease, and the next holder must not get b's epoch again. This happens if a row
+// is accepted as the router's own, or its epoch as the latest, without comparing eras.
+func TestFormerHolderAfterStoreRollback(t *testing.T) {
 	s, clock := store.New(), newManualClock()
 	a := lease.New(store.NewClient(s), "orders", "a", "1", ttl, clock.time)
 	b := lease.New(store.NewClient(s), "orders", "b", "2", ttl, clock.time)
 	_ = a.Step(ctx)
 	_ = b.Step(ctx)
-	older := s.Copy()
+	snapshot := s.Copy()
 	clock.now = clock.now.Add(ttl + 1)
 	_ = b.Step(ctx)
 	second, holds := b.Epoch()
 	if !holds {
-		t.Fatal("b has not taken the lease over")
+		t.Fatal("b did not acquire the expired lease")
 	}
-	s.SetBack(older)
+	s.SetBack(snapshot)
 	_ = a.Step(ctx)
 	if epoch, holds := a.Epoch(); holds {
-		t.Errorf("a holds the lease under epoch %d while b does under %d", epoch, second)
+		t.Errorf("a holds the lease under epoch %d while b holds it under epoch %d", epoch, second)
 	}
 	_ = b.Step(ctx)
 	clock.now = clock.now.Add(ttl + 1)
@@ -42,26 +41,26 @@
 	clock.now = clock.now.Add(ttl + 1)
 	_ = a.Step(ctx)
 	if epoch, holds := a.Epoch(); !holds || epoch <= second {
-		t.Errorf("a holds: %v under epoch %d, want one after %d", holds, epoch, second)
+		t.Errorf("a holds the lease: %v, epoch %d; want an epoch greater than %d", holds, epoch, second)
 	}
 }
 
-// TestSchedulesWithSetbacks walks the actions of TestSchedules, and stores that come back from older copies.
+// TestSchedulesWithSetbacks runs the actions of TestSchedules together with store rollbacks.
 func TestSchedulesWithSetbacks(t *testing.T) {
-	sched.Walk(t, walkBack)
+	sched.Walk(t, walkWithRollbacks)
 }
 
-func walkBack(r *rapid.T) {
+func walkWithRollbacks(r *rapid.T) {
 	s, clock := store.New(), newManualClock()
 	names := []ident.Router{"a", "b", "c"}
 	var leases []*lease.Lease
 	for i, name := range names {
 		leases = append(leases, lease.New(store.NewClient(s), "orders", name, strconv.Itoa(i), ttl, clock.time))
-		// Who has seen no era cannot know of a later one.
+		// A router that has observed no era cannot detect a later one.
 		_ = leases[i].Step(ctx)
 	}
-	copies := []store.Copy{s.Copy()}
-	seen := holders{of: map[ident.Epoch]int{}}
+	snapshots := []store.Copy{s.Copy()}
+	owners := epochOwners{byEpoch: map[ident.Epoch]int{}}
 	for range rapid.IntRange(3, 40).Draw(r, "steps") {
 		i := rapid.IntRange(0, len(leases)-1).Draw(r, "holder")
 		switch rapid.IntRange(0, 6).Draw(r, "action") {
@@ -72,10 +71,10 @@
 		case 4:
 			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
-			copies = append(copies, s.Copy())
+			snapshots = append(snapshots, s.Copy())
 		case 6:
-			s.SetBack(copies[rapid.IntRange(0, len(copies)-1).Draw(r, "copy")])
+			s.SetBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
 		}
-		seen.check(r, leases)
+		owners.check(r, leases)
 	}
 }
