--- a/internal/share/config/change.go
+++ b/internal/share/config/change.go
@@ -11,7 +11,7 @@
 	"valescale/internal/rule/policy"
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 const (
@@ -19,19 +19,20 @@
 	Conflict Kind = "conflict"
 	// Invalid means that the documents do not compile.
 	Invalid Kind = "invalid"
-	// Unavailable means that the store does not answer; nothing was recorded.
+	// Unavailable means that the store does not respond. Nothing was recorded.
 	Unavailable Kind = "unavailable"
-	// Unknown means that the change may have been recorded; ask again with the same change id.
+	// Unknown means that the change may have been recorded. The caller should retry with the same
+	// change ID.
 	Unknown Kind = "unknown"
-	// Behind means that the store knows less than this router has in force.
+	// Behind means that the store has a lower revision than a router has in force.
 	Behind Kind = "behind"
-	// Damaged means that a row cannot be read.
+	// Damaged means that a row cannot be decoded.
 	Damaged Kind = "damaged"
-	// Gap means that changes between the one in force and the one offered are missing.
+	// Gap means that changes are missing between the revision in force and those offered.
 	Gap Kind = "gap"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 // The tables of the configuration.
@@ -40,17 +41,18 @@
 	ChangeTable table.Name = "config_change"
 	DocTable    table.Name = "config_document"
 	AuditTable  table.Name = "config_audit"
-	// IDTable maps change ids to revisions, so that a lost answer can be settled.
+	// IDTable maps change IDs to revisions, so that the outcome of a commit with a lost response
+	// can be determined.
 	IDTable table.Name = "config_change_id"
 )
 
-// headKey is the key of the only row of the head's table.
+// headKey is the key of the only row in HeadTable.
 const headKey table.Key = "head"
 
-// Operator is the name of who made a change.
+// Operator is the name of the operator who made a change.
 type Operator string
 
-// Change is one recorded revision.
+// Change is a recorded revision.
 type Change struct {
 	Revision  ident.Revision    `json:"revision"`
 	ID        string            `json:"change_id"`
@@ -60,7 +62,7 @@
 	Documents []policy.Document `json:"documents"`
 }
 
-// AuditRow is who changed one document from what to what.
+// AuditRow records the change of one document by an operator.
 type AuditRow struct {
 	Revision ident.Revision `json:"revision"`
 	Operator Operator       `json:"operator"`
@@ -71,27 +73,27 @@
 	Note     string         `json:"note,omitempty"`
 }
 
-// Snapshot is a whole configuration at a revision.
+// Snapshot is the full configuration at a revision.
 type Snapshot struct {
 	Revision  ident.Revision
 	Documents []policy.Document
 }
 
-// head is the value of the head's row.
+// head is the value of the head row. Rows of IDTable have the same form.
 type head struct {
 	Revision ident.Revision `json:"revision"`
 }
 
-// stored is the value of a document's row.
-type stored struct {
+// storedDocument is the value of a document's row.
+type storedDocument struct {
 	Document policy.Document `json:"document"`
 	Revision ident.Revision  `json:"revision"`
 }
 
-// revisionKey orders rows by revision.
+// revisionKey returns a key that sorts rows by revision.
 func revisionKey(r ident.Revision) table.Key { return table.Key(fmt.Sprintf("%020d", r)) }
 
-// auditKey orders audit rows with the latest first.
+// auditKey returns a key that sorts audit rows with the latest first.
 func auditKey(r ident.Revision, n int) table.Key {
 	return table.Key(fmt.Sprintf("%020d/%04d", ^uint64(0)-uint64(r), n))
 }
@@ -101,7 +103,7 @@
 func encode(value any) []byte {
 	data, err := json.Marshal(value)
 	if err != nil {
-		// The row types have nothing that JSON cannot hold.
+		// The row types contain only types that JSON can represent.
 		panic(err)
 	}
 	return data
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -22,16 +22,16 @@
 
 func TestMain(m *testing.M) { sched.Main(m) }
 
-// router is one router's side of the configuration.
+// router is the configuration state of one router.
 type router struct {
 	keeper   *config.Keeper
 	recorder *config.Recorder
 	follower *config.Follower
-	// heard is the highest revision that other routers told of.
-	heard ident.Revision
+	// peerRevision is the highest revision reported by other routers.
+	peerRevision ident.Revision
 }
 
-// peers lets routers fetch from each other by name, unless a link is cut.
+// peers lets routers fetch from each other by name while the network is connected.
 type peers struct {
 	routers map[ident.Router]*router
 	cut     bool
@@ -44,8 +44,8 @@
 	}
 	changes, ok := r.keeper.Since(after)
 	if !ok {
-		whole := r.keeper.Documents()
-		return config.Fetched{Head: whole.Revision, Snapshot: &whole}, nil
+		snapshot := r.keeper.Documents()
+		return config.Fetched{Head: snapshot.Revision, Snapshot: &snapshot}, nil
 	}
 	return config.Fetched{Head: r.keeper.InForce().Revision, Changes: changes}, nil
 }
@@ -54,7 +54,7 @@
 
 func newRouter(s config.Store, p *peers, name ident.Router) *router {
 	r := &router{keeper: config.NewKeeper(nil)}
-	r.recorder = config.NewRecorder(s, r.keeper, func() ident.Revision { return r.heard }, clock)
+	r.recorder = config.NewRecorder(s, r.keeper, func() ident.Revision { return r.peerRevision }, clock)
 	r.follower = config.NewFollower(r.keeper, r.recorder, p, time.Second, log.NewNopLogger(), 1)
 	p.routers[name] = r
 	return r
@@ -74,7 +74,7 @@
 
 var ctx = context.Background()
 
-func TestRecordLeavesAnAuditRow(t *testing.T) {
+func TestRecordWritesAuditRows(t *testing.T) {
 	s := store.New()
 	r := newRouter(s, &peers{routers: map[ident.Router]*router{}}, "a")
 	for i := 1; i <= 2; i++ {
@@ -96,7 +96,7 @@
 	}
 }
 
-func TestConflictShowsTheOtherChange(t *testing.T) {
+func TestConflictReturnsOtherChange(t *testing.T) {
 	s := store.New()
 	p := &peers{routers: map[ident.Router]*router{}}
 	a, b := newRouter(s, p, "a"), newRouter(s, p, "b")
@@ -110,13 +110,13 @@
 	if diff := cmp.Diff(documents(t, "judge", 4), out.Theirs); diff != "" {
 		t.Error(diff)
 	}
-	// A change of another document is none.
+	// A change of another document is not a conflict.
 	if out, err = b.recorder.Record(ctx, propose("3", 0, documents(t, "board", 8))); err != nil || out.Change.Revision != 2 {
 		t.Errorf("got revision %d and %v, want 2", out.Change.Revision, err)
 	}
 }
 
-func TestLostAnswerOfARecordedChange(t *testing.T) {
+func TestRecordAfterLostCommitResponse(t *testing.T) {
 	s := store.New()
 	r := newRouter(s, &peers{routers: map[ident.Router]*router{}}, "a")
 	s.LoseAnswers(1)
@@ -125,11 +125,11 @@
 		t.Fatalf("got revision %d and %v, want 1", out.Change.Revision, err)
 	}
 	if out, err = r.recorder.Record(ctx, propose("1", 0, documents(t, "judge", 4))); err != nil || out.Change.Revision != 1 {
-		t.Errorf("the same change again got revision %d and %v, want 1", out.Change.Revision, err)
+		t.Errorf("recording the same change again: got revision %d and %v, want 1", out.Change.Revision, err)
 	}
 }
 
-func TestNeverLower(t *testing.T) {
+func TestRevisionNeverDecreases(t *testing.T) {
 	s := store.New()
 	r := newRouter(s, &peers{routers: map[ident.Router]*router{}}, "a")
 	if _, err := r.recorder.Record(ctx, propose("1", 0, documents(t, "judge", 4))); err != nil {
@@ -141,7 +141,7 @@
 	}
 	s.FreezeReads(false)
 	if err := r.follower.Poll(ctx); err != nil || r.keeper.InForce().Revision != 2 {
-		t.Fatalf("got %d and %v, want 2", r.keeper.InForce().Revision, err)
+		t.Fatalf("got revision %d and %v, want 2", r.keeper.InForce().Revision, err)
 	}
 	old := store.New()
 	stale := config.NewRecorder(old, r.keeper, func() ident.Revision { return 0 }, clock)
@@ -156,7 +156,7 @@
 		t.Error(err)
 	}
 	if got := r.keeper.InForce().Revision; got != 2 {
-		t.Errorf("revision %d in force, want 2", got)
+		t.Errorf("got revision %d in force, want 2", got)
 	}
 	if _, err := stale.Record(ctx, propose("3", 2, documents(t, "judge", 6))); fault.KindOf[config.Kind](err) != config.Behind {
 		t.Errorf("got %v from an older store, want kind %q", err, config.Behind)
@@ -176,7 +176,7 @@
 	s.SetDown(true)
 	b := newRouter(s, p, "b")
 	if err := b.follower.Poll(ctx); err == nil || b.follower.Seen() {
-		t.Error("a router without store or peers counts as having the configuration")
+		t.Error("a router without store or peers reports that it has the configuration")
 	}
 	if err := b.follower.Copy(ctx, "a"); err != nil || !b.follower.Seen() || b.keeper.InForce().Revision != 1 {
 		t.Errorf("got revision %d and %v, want 1", b.keeper.InForce().Revision, err)
@@ -184,11 +184,11 @@
 	c := newRouter(s, p, "c")
 	p.cut = true
 	if err := c.follower.Copy(ctx, "a"); err == nil || c.follower.Seen() {
-		t.Error("a router that is cut off counts as having the configuration")
+		t.Error("a disconnected router reports that it has the configuration")
 	}
 }
 
-// TestSchedules walks the actions of spec/config.pml over the real code.
+// TestSchedules runs random sequences of the actions in spec/config.pml against the implementation.
 func TestSchedules(t *testing.T) {
 	sched.Walk(t, walk)
 }
@@ -209,7 +209,7 @@
 		case 0:
 			record(r, at, recorded, fmt.Sprint(step))
 		case 1:
-			// Another operator's change comes between this one's reads and its commit.
+			// Another operator's change is committed between this one's reads and its commit.
 			other := p.routers[rapid.SampledFrom(names).Draw(r, "other")]
 			s.BeforeCommit(func(table.Txn) {
 				s.BeforeCommit(nil)
@@ -232,19 +232,19 @@
 			highest[name] = 0
 		}
 		for _, name := range names {
-			have := p.routers[name].keeper.InForce().Revision
-			if have < highest[name] {
-				r.Fatalf("router %s went back from %d to %d", name, highest[name], have)
+			revision := p.routers[name].keeper.InForce().Revision
+			if revision < highest[name] {
+				r.Fatalf("router %s went from revision %d back to %d", name, highest[name], revision)
 			}
-			highest[name] = have
+			highest[name] = revision
 		}
 	}
 	s.SetDown(false)
 	s.FreezeReads(false)
-	agree(r, p, names)
+	checkAgreement(r, p, names)
 }
 
-// record makes a change and checks that nothing else has its revision.
+// record makes a change and checks that no other change has its revision.
 func record(r *rapid.T, at *router, recorded map[ident.Revision]string, id string) {
 	name := rapid.SampledFrom([]string{"judge", "board"}).Draw(r, "document")
 	shards := rapid.IntRange(1, 64).Draw(r, "shards")
@@ -258,8 +258,8 @@
 	recorded[out.Change.Revision] = id
 }
 
-// agree brings all routers up to the head and compares what they have in force.
-func agree(r *rapid.T, p *peers, names []ident.Router) {
+// checkAgreement updates all routers to the head and compares their configurations.
+func checkAgreement(r *rapid.T, p *peers, names []ident.Router) {
 	var first config.Snapshot
 	for i, name := range names {
 		if err := p.routers[name].follower.Poll(ctx); err != nil {
@@ -275,33 +275,31 @@
 	}
 }
 
-// watched is a store that has something done before changes are read.
-type watched struct {
+// hookedStore is a store that calls a function before each scan.
+type hookedStore struct {
 	config.Store
-	reading func()
+	beforeScan func()
 }
 
-func (w *watched) Scan(ctx context.Context, r table.Range) ([]table.Row, error) {
-	w.reading()
-	return w.Store.Scan(ctx, r)
+func (h *hookedStore) Scan(ctx context.Context, r table.Range) ([]table.Row, error) {
+	h.beforeScan()
+	return h.Store.Scan(ctx, r)
 }
 
-// Seen: once in a test of a whole fleet, beside other work: a router that had just started was ready with no
-// configuration in force.
-//
-// How and cause: it counted as knowing the configuration once it had read its revision, before it had read the
-// changes up to it, and whoever asked in between let it take requests.
-func TestKnownOnceInForce(t *testing.T) {
+// Guards against a starting router that is ready without a configuration in force. This happens if
+// it counts as initialized after reading the head revision but before installing the changes up to
+// it, and a concurrent check lets it accept requests.
+func TestSeenOnlyAfterInstall(t *testing.T) {
 	s := store.New()
 	p := &peers{routers: map[ident.Router]*router{}}
 	newRouter(s, p, "a").record(t, "one", 1)
 	var late *router
 	early := false
-	late = newRouter(&watched{Store: s, reading: func() { early = early || late.follower.Seen() }}, p, "late")
+	late = newRouter(&hookedStore{Store: s, beforeScan: func() { early = early || late.follower.Seen() }}, p, "late")
 	if err := late.follower.Poll(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if early || !late.follower.Seen() {
-		t.Errorf("known before it was read: %v, known afterwards: %v", early, late.follower.Seen())
+		t.Errorf("Seen before the install: %v, after it: %v; want false, true", early, late.follower.Seen())
 	}
 }
--- a/internal/share/config/follow.go
+++ b/internal/share/config/follow.go
@@ -20,104 +20,105 @@
 	Fetch(ctx context.Context, from ident.Router, after ident.Revision) (Fetched, error)
 }
 
-// Fetched is what another router has: the changes after a revision, or its whole
-// configuration when the asker is too far behind.
+// Fetched is a peer's response: the changes after a revision, or a full snapshot if the requesting
+// router is too far behind.
 type Fetched struct {
 	Head     ident.Revision
 	Changes  []Change
 	Snapshot *Snapshot
 }
 
-// Alarm is something that an operator must look at.
+// Alarm is a condition that requires an operator's attention.
 type Alarm string
 
-// AlarmStoreBehind says that the store's head is lower than what is in force, and that this router could not
-// write again what it has lost.
+// AlarmStoreBehind means that the store's head is lower than the revision in force, and that this
+// router could not rewrite the lost changes.
 const AlarmStoreBehind Alarm = "store_behind"
 
-// AlarmNotInstalled says that a recorded change cannot be put in force here.
+// AlarmNotInstalled means that a recorded change cannot be installed on this router.
 const AlarmNotInstalled Alarm = "change_not_installed"
 
-// Follower keeps a keeper up with the recorded head.
+// Follower keeps a Keeper up to date with the recorded head.
 type Follower struct {
-	keeper   *Keeper
-	recorder *Recorder
-	peer     Peer
-	poll     time.Duration
-	logger   log.Logger
-	rng      *rand.Rand
-	mu       sync.Mutex
-	alarms   map[Alarm]bool
-	// fetching keeps to one fetch at a time.
-	fetching sync.Mutex
-	seen     bool
-	// era is that of the latest reading of the head that was not behind.
+	keeper       *Keeper
+	recorder     *Recorder
+	peer         Peer
+	pollInterval time.Duration
+	logger       log.Logger
+	rng          *rand.Rand
+	mu           sync.Mutex
+	alarms       map[Alarm]bool
+	// fetchMu ensures that only one fetch runs at a time.
+	fetchMu     sync.Mutex
+	initialized bool
+	// era is the era of the latest head that was not behind the revision in force.
 	era table.Era
-	// failure is that of the latest poll; only Run uses it.
+	// failure is the error text of the latest poll. It is used only by Run.
 	failure string
 }
 
-// NewFollower returns a follower that polls the head about every poll.
-func NewFollower(keeper *Keeper, recorder *Recorder, peer Peer, poll time.Duration, logger log.Logger, seed uint64) *Follower {
+// NewFollower returns a follower that polls the head at about the given interval.
+func NewFollower(keeper *Keeper, recorder *Recorder, peer Peer, pollInterval time.Duration, logger log.Logger, seed uint64) *Follower {
 	return &Follower{
-		keeper: keeper, recorder: recorder, peer: peer, poll: poll, logger: logger,
+		keeper: keeper, recorder: recorder, peer: peer, pollInterval: pollInterval, logger: logger,
 		rng: rand.New(rand.NewPCG(seed, seed)), alarms: map[Alarm]bool{},
 	}
 }
 
-// Run polls until the context ends.
+// Run polls until ctx is done.
 func (f *Follower) Run(ctx context.Context) {
 	for {
-		f.tell(ctx, f.Poll(ctx))
-		// The jitter of half the interval spreads the routers' polls.
-		wait := f.poll*3/4 + time.Duration(f.rng.Int64N(int64(f.poll/2)+1))
+		f.logFailure(ctx, f.Poll(ctx))
+		// The jitter of half the interval spreads the polls of different routers.
+		wait := f.pollInterval*3/4 + time.Duration(f.rng.Int64N(int64(f.pollInterval/2)+1))
 		if !pause.For(ctx, wait) {
 			return
 		}
 	}
 }
 
-// tell logs a poll's failure, unless it is that of the poll before.
-func (f *Follower) tell(ctx context.Context, err error) {
+// logFailure logs the error of a poll unless the previous poll failed with the same error.
+func (f *Follower) logFailure(ctx context.Context, err error) {
 	failure := ""
 	if err != nil {
 		failure = err.Error()
 	}
 	if failure != f.failure && ctx.Err() == nil {
-		_ = level.Warn(f.logger).Log("msg", "following the recorded configuration", "revision", f.keeper.InForce().Revision, "err", err)
+		_ = level.Warn(f.logger).Log("msg", "cannot follow the recorded configuration", "revision", f.keeper.InForce().Revision, "err", err)
 	}
 	f.failure = failure
 }
 
-// Poll reads the head from the store and installs what is missing.
+// Poll reads the head from the store and installs the missing changes.
 func (f *Follower) Poll(ctx context.Context) error {
-	f.fetching.Lock()
-	defer f.fetching.Unlock()
+	f.fetchMu.Lock()
+	defer f.fetchMu.Unlock()
 	head, revision, err := f.recorder.readHead(ctx)
 	if err != nil {
 		return err
 	}
-	have := f.keeper.InForce().Revision
-	f.setAlarm(AlarmStoreBehind, revision < have)
-	if revision < have {
-		return f.behind(ctx, head.Era, revision, have)
+	current := f.keeper.InForce().Revision
+	f.setAlarm(AlarmStoreBehind, revision < current)
+	if revision < current {
+		return f.handleStoreBehind(ctx, head.Era, revision, current)
 	}
 	f.era = head.Era
-	for have < revision {
-		changes, err := f.recorder.Changes(ctx, have)
+	for current < revision {
+		changes, err := f.recorder.Changes(ctx, current)
 		if err != nil {
 			return err
 		}
 		if len(changes) == 0 {
-			return fault.Newf("config.Poll", Gap, "head %d, but nothing after %d", revision, have)
+			return fault.Newf("config.Poll", Gap, "the head is revision %d but the store has no change after revision %d", revision, current)
 		}
 		if err := f.install(changes); err != nil {
 			return err
 		}
-		have = f.keeper.InForce().Revision
+		current = f.keeper.InForce().Revision
 	}
-	// Only now: a router that counts as knowing the configuration takes requests.
-	f.markSeen()
+	// The router becomes ready for requests once it is initialized, so this must follow the
+	// installation.
+	f.markInitialized()
 	return nil
 }
 
@@ -127,12 +128,12 @@
 	return err
 }
 
-// Heard follows a head that another router told of: from that router, or from the
-// store when it does not answer.
+// Heard follows a new head reported by a peer. It fetches the changes from that peer, or from the
+// store if the peer does not respond.
 func (f *Follower) Heard(ctx context.Context, from ident.Router) error {
-	f.fetching.Lock()
+	f.fetchMu.Lock()
 	err := f.fetch(ctx, from)
-	f.fetching.Unlock()
+	f.fetchMu.Unlock()
 	if err != nil {
 		return f.Poll(ctx)
 	}
@@ -150,30 +151,30 @@
 	return f.install(got.Changes)
 }
 
-// Copy takes over what a ready router has in force, when this router starts and
-// the store does not answer.
+// Copy installs the configuration of a ready router. It is used at startup while the store does not
+// respond.
 func (f *Follower) Copy(ctx context.Context, from ident.Router) error {
-	f.fetching.Lock()
-	defer f.fetching.Unlock()
+	f.fetchMu.Lock()
+	defer f.fetchMu.Unlock()
 	if err := f.fetch(ctx, from); err != nil {
 		return err
 	}
-	f.markSeen()
+	f.markInitialized()
 	return nil
 }
 
-// Seen reports whether this router has ever known the configuration: from the
-// store, or from a router that was ready.
+// Seen reports whether this router has ever obtained the configuration, from the store or from a
+// ready router.
 func (f *Follower) Seen() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.seen
+	return f.initialized
 }
 
-func (f *Follower) markSeen() {
+func (f *Follower) markInitialized() {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	f.seen = true
+	f.initialized = true
 }
 
 func (f *Follower) setAlarm(alarm Alarm, on bool) {
@@ -186,7 +187,7 @@
 	delete(f.alarms, alarm)
 }
 
-// Alarms returns what an operator must look at.
+// Alarms returns the active alarms.
 func (f *Follower) Alarms() []Alarm {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/share/config/keeper.go
+++ b/internal/share/config/keeper.go
@@ -11,43 +11,43 @@
 	"valescale/internal/rule/policy"
 )
 
-// InForce is a compiled configuration with its revision.
+// InForce is a compiled configuration and its revision.
 type InForce struct {
 	Revision ident.Revision
 	Set      *policy.Set
 }
 
-// Keeper holds what is in force on this router; its revision only grows.
+// Keeper holds the configuration in force on this router. Its revision only grows.
 type Keeper struct {
 	mu        sync.Mutex
 	documents map[policy.ID]policy.Document
 	recent    []Change
-	force     atomic.Pointer[InForce]
-	installed func(InForce)
+	active    atomic.Pointer[InForce]
+	onInstall func(InForce)
 }
 
-// keepChanges is how many changes are kept for peers that lack them.
-const keepChanges = 256
+// maxRecentChanges is the number of changes kept for peers that lack them.
+const maxRecentChanges = 256
 
-// NewKeeper returns a keeper of the empty configuration; installed is called after each change.
-func NewKeeper(installed func(InForce)) *Keeper {
-	k := &Keeper{documents: map[policy.ID]policy.Document{}, installed: installed}
+// NewKeeper returns a Keeper with an empty configuration. onInstall is called after each change.
+func NewKeeper(onInstall func(InForce)) *Keeper {
+	k := &Keeper{documents: map[policy.ID]policy.Document{}, onInstall: onInstall}
 	set, _ := policy.Compile(nil)
-	k.force.Store(&InForce{Set: set})
+	k.active.Store(&InForce{Set: set})
 	return k
 }
 
 // InForce returns the configuration in force.
-func (k *Keeper) InForce() InForce { return *k.force.Load() }
+func (k *Keeper) InForce() InForce { return *k.active.Load() }
 
-// Documents returns the documents in force with their revision, in order.
+// Documents returns the documents in force, sorted, and their revision.
 func (k *Keeper) Documents() Snapshot {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return Snapshot{Revision: k.InForce().Revision, Documents: sorted(k.documents)}
 }
 
-// Since returns the changes after a revision, if they are all still kept.
+// Since returns the changes after a revision. It reports false if some of them are no longer kept.
 func (k *Keeper) Since(after ident.Revision) ([]Change, bool) {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -62,33 +62,33 @@
 	return nil, false
 }
 
-// Install puts changes in force that follow on the present revision. Those that
-// are in force already are passed over.
+// Install installs changes that directly follow the current revision. Changes that are already in
+// force are skipped.
 func (k *Keeper) Install(changes []Change) error {
 	const op = "config.Install"
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	revision := k.InForce().Revision
 	next := maps.Clone(k.documents)
-	var fresh []Change
+	var added []Change
 	for _, c := range changes {
 		if c.Revision <= revision {
 			continue
 		}
 		if c.Revision != revision+1 {
-			return fault.Newf(op, Gap, "have %d, offered %d", revision, c.Revision)
+			return fault.Newf(op, Gap, "expected the change after revision %d, got revision %d", revision, c.Revision)
 		}
 		merge(next, c.Documents)
 		revision = c.Revision
-		fresh = append(fresh, c)
+		added = append(added, c)
 	}
-	if len(fresh) == 0 {
+	if len(added) == 0 {
 		return nil
 	}
-	return k.put(op, revision, next, fresh)
+	return k.activate(op, revision, next, added)
 }
 
-// InstallSnapshot puts a whole configuration in force if it is later than the present one.
+// InstallSnapshot installs a full configuration if it is later than the current one.
 func (k *Keeper) InstallSnapshot(s Snapshot) error {
 	k.mu.Lock()
 	defer k.mu.Unlock()
@@ -97,28 +97,29 @@
 	}
 	next := map[policy.ID]policy.Document{}
 	merge(next, s.Documents)
-	return k.put("config.InstallSnapshot", s.Revision, next, nil)
+	return k.activate("config.InstallSnapshot", s.Revision, next, nil)
 }
 
-// put compiles and swaps; the caller holds the lock. A set that does not compile
-// was never recorded by this version of the program, so it is refused.
-func (k *Keeper) put(op string, revision ident.Revision, documents map[policy.ID]policy.Document, fresh []Change) error {
+// activate compiles the documents and replaces the configuration in force. The caller must hold the
+// lock. A configuration that does not compile was recorded by another version of the program and is
+// rejected.
+func (k *Keeper) activate(op string, revision ident.Revision, documents map[policy.ID]policy.Document, added []Change) error {
 	set, problems := policy.Compile(sorted(documents))
 	if len(problems) > 0 {
 		return fault.New(op, Invalid, problems[0].Err)
 	}
 	k.documents = documents
-	if fresh == nil {
+	if added == nil {
 		k.recent = nil
 	}
-	k.recent = append(k.recent, fresh...)
-	if extra := len(k.recent) - keepChanges; extra > 0 {
+	k.recent = append(k.recent, added...)
+	if extra := len(k.recent) - maxRecentChanges; extra > 0 {
 		k.recent = slices.Delete(k.recent, 0, extra)
 	}
-	force := InForce{Revision: revision, Set: set}
-	k.force.Store(&force)
-	if k.installed != nil {
-		k.installed(force)
+	active := InForce{Revision: revision, Set: set}
+	k.active.Store(&active)
+	if k.onInstall != nil {
+		k.onInstall(active)
 	}
 	return nil
 }
--- a/internal/share/config/record.go
+++ b/internal/share/config/record.go
@@ -9,7 +9,7 @@
 	"valescale/internal/rule/policy"
 )
 
-// Store is what the configuration needs of the table service.
+// Store contains the table operations that the configuration requires.
 type Store interface {
 	Commit(ctx context.Context, txn table.Txn) error
 	Get(ctx context.Context, name table.Name, key table.Key) (table.Row, error)
@@ -18,64 +18,64 @@
 
 // Recorder writes changes to the store and reads them back.
 type Recorder struct {
-	store  Store
-	keeper *Keeper
-	heard  func() ident.Revision
-	clock  ident.Clock
+	store        Store
+	keeper       *Keeper
+	peerRevision func() ident.Revision
+	clock        ident.Clock
 }
 
-// NewRecorder returns a recorder for the configuration that a keeper holds; heard is the highest revision
-// that other routers have told of.
-func NewRecorder(store Store, keeper *Keeper, heard func() ident.Revision, clock ident.Clock) *Recorder {
-	return &Recorder{store: store, keeper: keeper, heard: heard, clock: clock}
+// NewRecorder returns a recorder for the configuration held by a Keeper. peerRevision returns the
+// highest revision reported by other routers.
+func NewRecorder(store Store, keeper *Keeper, peerRevision func() ident.Revision, clock ident.Clock) *Recorder {
+	return &Recorder{store: store, keeper: keeper, peerRevision: peerRevision, clock: clock}
 }
 
-// Proposal is a change that an operator asks for.
+// Proposal is a change requested by an operator.
 type Proposal struct {
 	ID       string
 	Operator Operator
 	Note     string
-	// Base is the revision that the operator saw.
+	// Base is the revision on which the operator based the change.
 	Base      ident.Revision
 	Documents []policy.Document
 }
 
-// Outcome is what became of a proposal.
+// Outcome is the result of a proposal.
 type Outcome struct {
 	Change Change
-	// Theirs are the documents that were changed since the proposal's base.
+	// Theirs contains the documents that were changed after the proposal's base.
 	Theirs   []policy.Document
 	Head     ident.Revision
 	Problems []policy.Problem
 }
 
-// recordTries bounds how often a change is tried again after another change that
-// does not touch its documents came first.
-const recordTries = 8
+// maxRecordAttempts limits how often a change is retried after losing to a concurrent change of
+// other documents.
+const maxRecordAttempts = 8
 
-// Record writes a change. Its answer may be lost after the write took effect;
-// calling again with the same id then returns the recorded change.
+// Record writes a change. If the response is lost after the write took effect, a call with the same
+// ID returns the recorded change.
 func (r *Recorder) Record(ctx context.Context, p Proposal) (Outcome, error) {
 	const op = "config.Record"
-	for range recordTries {
-		done, err := r.recorded(ctx, p.ID)
-		if err != nil || done.Change.Revision != 0 {
-			return done, err
+	for range maxRecordAttempts {
+		found, err := r.findRecorded(ctx, p.ID)
+		if err != nil || found.Change.Revision != 0 {
+			return found, err
 		}
 		out, err := r.tryRecord(ctx, p)
 		switch table.KindOf(err) {
 		case table.Conflict:
 			continue
 		case table.Unknown, table.Unavailable:
-			return r.settle(ctx, p.ID, err)
+			return r.resolveLostCommit(ctx, p.ID, err)
 		}
 		return out, err
 	}
-	return Outcome{}, fault.Newf(op, Conflict, "other changes came first %d times", recordTries)
+	return Outcome{}, fault.Newf(op, Conflict, "other changes came first %d times", maxRecordAttempts)
 }
 
-// recorded looks a change up by its id.
-func (r *Recorder) recorded(ctx context.Context, id string) (Outcome, error) {
+// findRecorded returns the recorded change with an ID, or an empty Outcome if there is none.
+func (r *Recorder) findRecorded(ctx context.Context, id string) (Outcome, error) {
 	const op = "config.recorded"
 	row, err := r.store.Get(ctx, IDTable, table.Key(id))
 	if table.KindOf(err) == table.Missing {
@@ -99,32 +99,34 @@
 	return Outcome{Change: change, Head: change.Revision}, nil
 }
 
-// settle finds out whether a commit whose answer was lost took effect.
-func (r *Recorder) settle(ctx context.Context, id string, cause error) (Outcome, error) {
+// resolveLostCommit determines whether a commit without a response took effect.
+func (r *Recorder) resolveLostCommit(ctx context.Context, id string, cause error) (Outcome, error) {
 	const op = "config.Record"
-	out, err := r.recorded(ctx, id)
+	out, err := r.findRecorded(ctx, id)
 	switch {
 	case err == nil && out.Change.Revision != 0:
 		return out, nil
 	case table.KindOf(cause) == table.Unavailable:
 		return Outcome{}, fault.New(op, Unavailable, cause)
 	default:
-		// A lost commit may still be on its way, so even "not there" proves nothing.
+		// The lost commit may still be in transit, so a missing row does not prove that it had no
+		// effect.
 		return Outcome{}, fault.New(op, Unknown, cause)
 	}
 }
 
-// state is the store's present head and the documents that a proposal touches.
-type state struct {
+// storeState contains the store's current head and the stored versions of the documents in a
+// proposal.
+type storeState struct {
 	head     table.Row
 	revision ident.Revision
 	rows     []table.Row
-	before   []stored
+	before   []storedDocument
 }
 
-func (r *Recorder) read(ctx context.Context, documents []policy.Document) (state, error) {
+func (r *Recorder) readState(ctx context.Context, documents []policy.Document) (storeState, error) {
 	const op = "config.Record"
-	var s state
+	var s storeState
 	row, revision, err := r.readHead(ctx)
 	if err != nil {
 		return s, err
@@ -135,7 +137,7 @@
 		if err != nil && table.KindOf(err) != table.Missing {
 			return s, fault.New(op, Unavailable, err)
 		}
-		var before stored
+		var before storedDocument
 		if row.Version > 0 {
 			if err := decode(row, &before); err != nil {
 				return s, err
@@ -165,17 +167,18 @@
 // tryRecord checks a proposal against the store's state and commits it.
 func (r *Recorder) tryRecord(ctx context.Context, p Proposal) (Outcome, error) {
 	const op = "config.Record"
-	// Known before the store is read: what it shows then is as late, unless it has lost some.
-	known := max(r.keeper.InForce().Revision, r.heard())
-	s, err := r.read(ctx, p.Documents)
+	// This must be evaluated before the store is read: the head read afterwards is at least as
+	// late, unless the store has lost changes.
+	minRevision := max(r.keeper.InForce().Revision, r.peerRevision())
+	s, err := r.readState(ctx, p.Documents)
 	if err != nil {
 		return Outcome{}, err
 	}
-	if s.revision < known {
-		return Outcome{}, fault.Newf(op, Behind, "store has %d, in force is %d", s.revision, known)
+	if s.revision < minRevision {
+		return Outcome{}, fault.Newf(op, Behind, "store has %d, in force is %d", s.revision, minRevision)
 	}
-	if theirs := changedSince(s.before, p.Base); len(theirs) > 0 {
-		return Outcome{Theirs: theirs, Head: s.revision}, fault.New(op, Conflict, nil)
+	if conflicting := changedSince(s.before, p.Base); len(conflicting) > 0 {
+		return Outcome{Theirs: conflicting, Head: s.revision}, fault.New(op, Conflict, nil)
 	}
 	if problems, err := r.check(ctx, s.revision, p.Documents); err != nil || len(problems) > 0 {
 		return Outcome{Problems: problems, Head: s.revision}, err
@@ -189,42 +192,43 @@
 	return Outcome{Change: change, Head: change.Revision}, nil
 }
 
-// changedSince returns the documents that another change touched after a revision.
-func changedSince(before []stored, base ident.Revision) []policy.Document {
-	var theirs []policy.Document
+// changedSince returns the documents that were changed after a revision.
+func changedSince(before []storedDocument, base ident.Revision) []policy.Document {
+	var conflicting []policy.Document
 	for _, b := range before {
 		if b.Revision > base {
-			theirs = append(theirs, b.Document)
+			conflicting = append(conflicting, b.Document)
 		}
 	}
-	return theirs
+	return conflicting
 }
 
-// check compiles the configuration as it would be after a change to the store's head.
+// check compiles the configuration that would result from a change to the store's head.
 func (r *Recorder) check(ctx context.Context, revision ident.Revision, documents []policy.Document) ([]policy.Problem, error) {
-	now := r.keeper.Documents()
-	if now.Revision != revision {
-		changes, err := r.Changes(ctx, now.Revision)
+	current := r.keeper.Documents()
+	if current.Revision != revision {
+		changes, err := r.Changes(ctx, current.Revision)
 		if err != nil {
 			return nil, err
 		}
-		now = apply(now, changes)
+		current = apply(current, changes)
 	}
-	next := apply(now, []Change{{Revision: revision + 1, Documents: documents}})
+	next := apply(current, []Change{{Revision: revision + 1, Documents: documents}})
 	_, problems := policy.Compile(next.Documents)
 	return problems, nil
 }
 
-// Check compiles the configuration in force as it would be with other documents.
+// Check compiles the configuration in force with the given documents applied and returns the
+// problems found.
 func (r *Recorder) Check(documents []policy.Document) []policy.Problem {
 	_, problems := r.Candidate(documents)
 	return problems
 }
 
-// Candidate returns the configuration in force as it would be with other documents.
+// Candidate returns the configuration in force with the given documents applied.
 func (r *Recorder) Candidate(documents []policy.Document) (*policy.Set, []policy.Problem) {
-	now := r.keeper.Documents()
-	return policy.Compile(apply(now, []Change{{Revision: now.Revision + 1, Documents: documents}}).Documents)
+	current := r.keeper.Documents()
+	return policy.Compile(apply(current, []Change{{Revision: current.Revision + 1, Documents: documents}}).Documents)
 }
 
 func apply(s Snapshot, changes []Change) Snapshot {
@@ -240,8 +244,9 @@
 	return Snapshot{Revision: s.Revision, Documents: sorted(documents)}
 }
 
-// transaction writes a change under the condition that nothing it rests on has moved.
-func transaction(s state, c Change) table.Txn {
+// transaction returns the writes of a change, conditional on the rows it is based on being
+// unchanged.
+func transaction(s storeState, c Change) table.Txn {
 	txn := table.Txn{
 		Checks: []table.Check{
 			{Table: HeadTable, Key: headKey, Version: s.head.Version},
@@ -257,7 +262,7 @@
 	for i, d := range c.Documents {
 		txn.Checks = append(txn.Checks, table.Check{Table: DocTable, Key: docKey(d.ID), Version: s.rows[i].Version})
 		txn.Puts = append(txn.Puts,
-			table.Put{Table: DocTable, Key: docKey(d.ID), Value: encode(stored{Document: d, Revision: c.Revision})},
+			table.Put{Table: DocTable, Key: docKey(d.ID), Value: encode(storedDocument{Document: d, Revision: c.Revision})},
 			table.Put{Table: AuditTable, Key: auditKey(c.Revision, i), Value: encode(AuditRow{
 				Revision: c.Revision, Operator: c.Operator, At: c.At, Document: d.ID,
 				Before: s.before[i].Document.Text, After: d.Text, Note: c.Note,
@@ -266,12 +271,12 @@
 	return txn
 }
 
-// maxRows bounds one read of the store.
-const maxRows = 500
+// maxScanRows limits the number of rows in one scan of the store.
+const maxScanRows = 500
 
-// Changes reads the recorded changes after a revision.
+// Changes returns the recorded changes after a revision.
 func (r *Recorder) Changes(ctx context.Context, after ident.Revision) ([]Change, error) {
-	rows, err := r.store.Scan(ctx, table.Range{Table: ChangeTable, From: revisionKey(after + 1), Limit: maxRows})
+	rows, err := r.store.Scan(ctx, table.Range{Table: ChangeTable, From: revisionKey(after + 1), Limit: maxScanRows})
 	if err != nil {
 		return nil, fault.New("config.Changes", Unavailable, err)
 	}
@@ -286,13 +291,14 @@
 	return out, nil
 }
 
-// Audit reads audit rows, the latest first, from before a revision on; zero means from the latest.
+// Audit returns audit rows of revisions before the given one, the latest first. Zero starts at the
+// latest revision.
 func (r *Recorder) Audit(ctx context.Context, before ident.Revision, limit int) ([]AuditRow, error) {
 	from := table.Key("")
 	if before > 0 {
 		from = auditKey(before-1, 0)
 	}
-	rows, err := r.store.Scan(ctx, table.Range{Table: AuditTable, From: from, Limit: min(max(limit, 1), maxRows)})
+	rows, err := r.store.Scan(ctx, table.Range{Table: AuditTable, From: from, Limit: min(max(limit, 1), maxScanRows)})
 	if err != nil {
 		return nil, fault.New("config.Audit", Unavailable, err)
 	}
