--- a/internal/share/lease/lease.go
+++ b/internal/share/lease/lease.go
@@ -88,8 +88,8 @@
 // TTL. It must be called several times per TTL.
 func (l *Lease) Step(ctx context.Context) error {
 	const op = "lease.Step"
-	// The TTL starts before the write, since the time at which the store applies the write is
-	// unknown.
+	// The TTL is counted from before the write, so that the lease expires here no later than for
+	// other routers, which see the row only after the write.
 	started := l.clock()
 	row, err := l.store.Get(ctx, Table, l.name)
 	if err != nil && table.KindOf(err) != table.Missing {
