--- a/internal/share/claim/recent.go
+++ b/internal/share/claim/recent.go
@@ -41,7 +41,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evict()
-	if _, known := r.claims[record.Attempt]; !known {
+	if _, found := r.claims[record.Attempt]; !found {
 		r.order = append(r.order, record.Attempt)
 	}
 	r.claims[record.Attempt] = &recentClaim{key: key, record: record, version: version, at: r.clock()}
@@ -51,8 +51,8 @@
 func (r *recentClaims) setOutcome(ticket *Ticket, record Record) table.Version {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m, known := r.claims[record.Attempt]
-	if !known {
+	m, found := r.claims[record.Attempt]
+	if !found {
 		return ticket.Version
 	}
 	m.record = record
@@ -83,7 +83,7 @@
 func (r *recentClaims) setVersion(attempt ident.Attempt, version table.Version) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if m, known := r.claims[attempt]; known {
+	if m, found := r.claims[attempt]; found {
 		m.version = version
 	}
 }
@@ -100,8 +100,8 @@
 func (r *recentClaims) get(attempt ident.Attempt) (recentClaim, bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	m, known := r.claims[attempt]
-	if !known {
+	m, found := r.claims[attempt]
+	if !found {
 		return recentClaim{}, false
 	}
 	return *m, true
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -77,13 +77,13 @@
 // state. It reports whether no further attempt is needed. A claim that another router has just made
 // in its place is about to be released, so the row is checked again later.
 func (c *Claims) rewriteClaim(ctx context.Context, attempt ident.Attempt, retries int) bool {
-	m, known := c.recentClaims.get(attempt)
-	if !known {
+	m, found := c.recentClaims.get(attempt)
+	if !found {
 		return true
 	}
 	row, record, err := c.readRow(ctx, m.key)
 	// The request may have ended during the read.
-	if m, known = c.recentClaims.get(attempt); !known {
+	if m, found = c.recentClaims.get(attempt); !found {
 		return true
 	}
 	own := err == nil && record != nil && record.Attempt == attempt
--- a/internal/share/config/restore.go
+++ b/internal/share/config/restore.go
@@ -30,8 +30,8 @@
 // on this router. If several routers do so at once, the transaction's checks let only one succeed.
 func (f *Follower) restoreChanges(ctx context.Context, revision ident.Revision) error {
 	const op = "config.Restore"
-	changes, known := f.keeper.Since(max(revision, 1) - 1)
-	if !known {
+	changes, found := f.keeper.Since(max(revision, 1) - 1)
+	if !found {
 		return fault.Newf(op, Behind, "store has revision %d and this router no longer has all changes since", revision)
 	}
 	if revision > 0 {
--- a/internal/share/lease/lease_test.go
+++ b/internal/share/lease/lease_test.go
@@ -129,7 +129,7 @@
 		if other, taken := h.byEpoch[epoch]; taken && other != j {
 			r.Fatalf("epoch %d belongs to both router %d and router %d", epoch, other, j)
 		}
-		if _, known := h.byEpoch[epoch]; !known && epoch <= h.latest {
+		if _, found := h.byEpoch[epoch]; !found && epoch <= h.latest {
 			r.Fatalf("epoch %d was issued after epoch %d", epoch, h.latest)
 		}
 		h.byEpoch[epoch] = j
