--- a/internal/share/claim/sweep.go
+++ b/internal/share/claim/sweep.go
@@ -9,7 +9,7 @@
 	"valescale/internal/plat/table"
 )
 
-// Keep defines how long claims are retained by state. A key that is reused after that runs again.
+// Retention defines how long claims are retained by state. A key that is reused after that runs again.
 type Retention struct {
 	// Ended applies to claims with an answer and to released claims.
 	Ended time.Duration
