--- a/internal/share/peer/address_test.go
+++ b/internal/share/peer/address_test.go
@@ -10,22 +10,23 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Pattern: a fleet of 400 routers, each of which calls all others now and then. What a router
-// keeps for one that it has called, the connection aside, must not count beside the 0.3 KB of a
-// member: with a generated client for each it was 12 KB, 4.8 MB for such a fleet.
-func TestClientsOfLargeFleetsAreSmall(t *testing.T) {
+// Guards against a large memory footprint per peer. In a fleet of 400 routers each router calls all
+// others from time to time. The memory of the client of one router, its connection aside, must be
+// small compared with the 0.3 KB of a member: with one generated client each it was 12 KB, 4.8 MB
+// for such a fleet.
+func TestClientMemory(t *testing.T) {
 	clients, closeClients := NewClients(nil, &Meter{})
 	t.Cleanup(closeClients)
-	const routers, most = 400, 256
-	kept := make([]peerpb.PeerServiceClient, 0, routers)
+	const routers, limit = 400, 256
+	retained := make([]peerpb.PeerServiceClient, 0, routers)
 	var before, after runtime.MemStats
 	runtime.ReadMemStats(&before)
 	for i := range routers {
-		kept = append(kept, clients.At(fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)))
+		retained = append(retained, clients.At(fmt.Sprintf("10.0.%d.%d:80", i/250, i%250)))
 	}
 	runtime.ReadMemStats(&after)
-	if got := (after.TotalAlloc - before.TotalAlloc) / uint64(len(kept)); got > most {
-		t.Errorf("a router's client takes %d bytes, want %d at most", got, most)
+	if got := (after.TotalAlloc - before.TotalAlloc) / uint64(len(retained)); got > limit {
+		t.Errorf("client of a router takes %d bytes, want at most %d", got, limit)
 	}
 }
 
@@ -41,7 +42,7 @@
 				t.Fatal(err)
 			}
 			if got := reply.Msg.GetFrom(); got != name {
-				t.Errorf("%s answered in place of %s", got, name)
+				t.Errorf("response of %s to a call to %s", got, name)
 			}
 		}
 	}
--- a/internal/share/peer/change_test.go
+++ b/internal/share/peer/change_test.go
@@ -7,11 +7,11 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// Whoever asks what changed may sort or shorten what it got; others are told the same as before.
-func TestWhatChangedIsTheAskersOwn(t *testing.T) {
+// Callers may sort or truncate the returned keys without changing the result of later calls.
+func TestChangesSinceReturnsCopy(t *testing.T) {
 	var c changes[string]
 	for _, key := range []string{"b", "a", "b", "c"} {
-		c.note(key)
+		c.add(key)
 	}
 	got, _ := c.since(0)
 	slices.Sort(got)
--- a/internal/share/peer/client.go
+++ b/internal/share/peer/client.go
@@ -12,27 +12,28 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Clients calls other routers over one HTTP/2 connection each.
+// Clients calls other routers over one shared HTTP/2 connection per address.
 type Clients struct {
 	calls peerpb.PeerServiceClient
 	open  *openConns
 }
 
 const (
-	// dialTimeout bounds the making of a connection: a hundred round trips between zones,
-	// and a part of the two seconds in which a starting router's first copy is due.
+	// dialTimeout limits the time to establish a connection. It is a hundred round trips between
+	// zones and a fraction of the two seconds within which a starting router needs its first
+	// snapshot.
 	dialTimeout = 500 * time.Millisecond
-	// idleTimeout is how long a connection without a call is kept: with 400 routers and a
-	// gossip call in half a second, one to each comes back within that time.
+	// idleTimeout is the time after which a connection without calls is closed. In a fleet of 400
+	// routers with a gossip call every half second, each of them is called again within that time.
 	idleTimeout = 5 * time.Minute
-	// pingAfter is after how long without a frame a connection is asked whether it lives,
-	// pingTimeout how long the answer may take.
-	pingAfter   = 15 * time.Second
-	pingTimeout = 2 * time.Second
+	// pingInterval is the time without a frame after which a connection is checked with a ping;
+	// pingTimeout limits the wait for the response.
+	pingInterval = 15 * time.Second
+	pingTimeout  = 2 * time.Second
 )
 
-// NewClients returns clients that dial with TLS, or in clear text when config is
-// nil, and the function that closes their connections.
+// NewClients returns clients that dial with TLS, or without encryption when config is nil, and a
+// function that closes their idle connections.
 func NewClients(config *tls.Config, meter *Meter) (*Clients, func()) {
 	dialer := &net.Dialer{Timeout: dialTimeout}
 	protocols := &http.Protocols{}
@@ -55,10 +56,10 @@
 			}
 			return open.add(addr, meter.Conn(c)), nil
 		},
-		HTTP2: &http.HTTP2Config{SendPingTimeout: pingAfter, PingTimeout: pingTimeout},
+		HTTP2: &http.HTTP2Config{SendPingTimeout: pingInterval, PingTimeout: pingTimeout},
 	}
-	sender := addressed{&http.Client{Transport: &silenceWatch{next: transport, open: open}}}
-	calls := peerpb.NewPeerServiceClient(sender, scheme+"://"+anyRouter, connect.WithInterceptors(trimHeaders{}))
+	sender := addrClient{&http.Client{Transport: &silentConnCloser{next: transport, open: open}}}
+	calls := peerpb.NewPeerServiceClient(sender, scheme+"://"+placeholderHost, connect.WithInterceptors(trimHeaders{}))
 	return &Clients{calls: calls, open: open}, transport.CloseIdleConnections
 }
 
@@ -67,14 +68,15 @@
 	return &client{addr: addr, calls: c.calls}
 }
 
-// Unanswered tells of requests to an address that were not answered in time: connections
-// there that have fallen silent are closed.
+// Unanswered reports that requests to an address timed out. Connections to the address that count
+// as silent are closed.
 func (c *Clients) Unanswered(addr string) { c.open.closeSilent(addr) }
 
-// trimHeaders takes out of each call, streams aside, the headers that routers have no use for.
+// trimHeaders removes the headers that routers do not use from unary calls.
 type trimHeaders struct{}
 
-// WrapUnary shortens the user agent. What is large enough to be compressed is so before it is sent.
+// WrapUnary shortens the user agent and removes Accept-Encoding. Payloads that are large enough to
+// be compressed are compressed before they are sent.
 func (trimHeaders) WrapUnary(next connect.UnaryFunc) connect.UnaryFunc {
 	return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
 		if req.Spec().IsClient {
@@ -85,12 +87,12 @@
 	}
 }
 
-// WrapStreamingClient leaves streams as they are: a link sends its header once.
+// WrapStreamingClient returns streams unchanged: a link sends its headers only once.
 func (trimHeaders) WrapStreamingClient(next connect.StreamingClientFunc) connect.StreamingClientFunc {
 	return next
 }
 
-// WrapStreamingHandler leaves streams as they are: only calls are trimmed.
+// WrapStreamingHandler returns handlers unchanged: only unary calls are trimmed.
 func (trimHeaders) WrapStreamingHandler(next connect.StreamingHandlerFunc) connect.StreamingHandlerFunc {
 	return next
 }
--- a/internal/share/peer/codec.go
+++ b/internal/share/peer/codec.go
@@ -10,7 +10,8 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Encode returns the wire form of a digest. Times travel as ages, since clocks differ.
+// Encode returns the wire form of a digest. Times are sent as ages, since the clocks of routers
+// differ.
 func Encode(now time.Time, d Digest) *peerpb.Digest {
 	out := &peerpb.Digest{
 		From:         string(d.From),
@@ -40,7 +41,7 @@
 	return out
 }
 
-// encodeSuspect returns the wire form of a suspect.
+// encodeSuspect returns the wire form of a suspect request.
 func encodeSuspect(now time.Time, s crash.Suspect) *peerpb.Suspect {
 	out := &peerpb.Suspect{Request: uint64(s.Request)}
 	for _, e := range s.Ends {
@@ -54,18 +55,18 @@
 	return out
 }
 
-// longestAge bounds times on the wire: a day, longer than anything is remembered.
-const longestAge = 24 * time.Hour
+// maxAge limits the ages on the wire. One day is longer than the retention period of any record.
+const maxAge = 24 * time.Hour
 
-// millis is a time of at most a day in milliseconds.
+// millis converts a duration to milliseconds, limited to maxAge.
 func millis(d time.Duration) uint32 {
-	return uint32(min(max(d, 0), longestAge).Milliseconds())
+	return uint32(min(max(d, 0), maxAge).Milliseconds())
 }
 
-// duration reads a time in milliseconds.
 func duration(ms uint32) time.Duration { return time.Duration(ms) * time.Millisecond }
 
-// decodeSuspect reads the wire form of a suspect; ends that are told of in part are left out.
+// decodeSuspect reads the wire form of a suspect request. Crashes without all of their fields are
+// left out.
 func decodeSuspect(now time.Time, in *peerpb.Suspect) crash.Suspect {
 	s := crash.Suspect{Request: ident.Fingerprint(in.GetRequest())}
 	ages, ran := in.GetAgesMs(), in.GetRanMs()
--- a/internal/share/peer/codec_test.go
+++ b/internal/share/peer/codec_test.go
@@ -12,9 +12,9 @@
 	"valescale/internal/rule/place"
 )
 
-// What a router says of itself arrives as it is: routers that disagree on a box's cores
-// by a rounding disagree on who is home of a shard, for as long as they live.
-func TestMembersArriveAsTheyAre(t *testing.T) {
+// A member is unchanged after encoding and decoding: routers that disagree on the cores of a box by
+// a rounding error permanently disagree on the homes of shards.
+func TestMemberRoundTrip(t *testing.T) {
 	for _, cores := range []ident.Cores{0.1, 0.192, 0.4, 0.8, 3} {
 		sent := Member{ID: "r", Addr: "10.0.0.1:1", Zone: "a", Region: "co", Incarnation: 7, Cores: cores, State: Live, Seq: 3}
 		if diff := cmp.Diff(sent, decodeMember(EncodeMember(sent))); diff != "" {
@@ -23,8 +23,8 @@
 	}
 }
 
-// Each router counts its own cores as it knows them and the others' as it heard them. All
-// must come to the same homes.
+// Each router uses its own cores as configured and those of its peers as decoded. All routers must
+// compute the same homes.
 func TestAllRoutersAgreeOnHomes(t *testing.T) {
 	routers := []ident.Router{"a", "b", "c", "d", "e", "f", "g"}
 	var shards []place.ShardID
@@ -54,10 +54,10 @@
 	}
 }
 
-// What routers tell of requests under which targets end comes through as ages, whatever the clocks; ends
-// that are told of in part are left out. As news in one message it takes 760 bytes at most.
-func TestSuspectsOnTheWire(t *testing.T) {
-	here, there := time.Unix(5000, 0), time.Unix(1000, 0)
+// Suspect requests are sent as ages, so that clock differences do not matter. Crashes with missing
+// fields are left out. The records of 32 requests in one message take at most 760 bytes.
+func TestSuspectEncoding(t *testing.T) {
+	senderNow, receiverNow := time.Unix(5000, 0), time.Unix(1000, 0)
 	suspect := func(now time.Time) crash.Suspect {
 		return crash.Suspect{
 			Request: 1 << 60,
@@ -68,21 +68,21 @@
 			Served: now.Add(-time.Hour),
 		}
 	}
-	never := crash.Suspect{Request: 3}
-	wire := Encode(here, Digest{Suspects: []crash.Suspect{suspect(here), never}})
-	got := Decode(there, wire).Suspects
-	if diff := cmp.Diff([]crash.Suspect{suspect(there), never}, got); diff != "" {
+	withoutCrashes := crash.Suspect{Request: 3}
+	wire := Encode(senderNow, Digest{Suspects: []crash.Suspect{suspect(senderNow), withoutCrashes}})
+	got := Decode(receiverNow, wire).Suspects
+	if diff := cmp.Diff([]crash.Suspect{suspect(receiverNow), withoutCrashes}, got); diff != "" {
 		t.Error(diff)
 	}
 	wire.Suspects[0].RanMs = wire.Suspects[0].RanMs[:1]
-	if got := Decode(there, wire).Suspects[0].Ends; len(got) != 1 {
-		t.Errorf("%d ends of two that one lacks a part of, want 1", len(got))
+	if got := Decode(receiverNow, wire).Suspects[0].Ends; len(got) != 1 {
+		t.Errorf("%d crashes decoded from two of which one is incomplete, want 1", len(got))
 	}
 	var list []crash.Suspect
 	for i := range ident.Fingerprint(32) {
-		list = append(list, crash.Suspect{Request: i << 50, Ends: []crash.End{{Start: 1 << 31, At: here, Ran: time.Second}}})
+		list = append(list, crash.Suspect{Request: i << 50, Ends: []crash.End{{Start: 1 << 31, At: senderNow, Ran: time.Second}}})
 	}
-	if size := proto.Size(Encode(here, Digest{Suspects: list})); size > 760 {
+	if size := proto.Size(Encode(senderNow, Digest{Suspects: list})); size > 760 {
 		t.Errorf("32 suspects take %d bytes", size)
 	}
 }
--- a/internal/share/peer/digest.go
+++ b/internal/share/peer/digest.go
@@ -12,132 +12,132 @@
 	"valescale/internal/rule/crash"
 )
 
-// Ack says which revision is in force at a member.
+// Ack reports the revision in force at a member.
 type Ack struct {
 	Member   uint32
 	Revision ident.Revision
 }
 
-// Digest is one bounded message of news between two routers.
+// Digest is one gossip message of limited size between two routers.
 type Digest struct {
 	From    ident.Router
 	Head    ident.Revision
 	Members []Member
 	Marks   []Mark
 	Acks    []Ack
-	// MembersHash is the same at routers that know the same members.
+	// MembersHash is equal at routers whose views contain the same members in the same states.
 	MembersHash uint64
-	// Whole asks for the receiver's whole list of members.
+	// Whole requests the full list of members from the receiver.
 	Whole bool
-	// InForce has a bit for each member, in order of id, that has Head in force. It
-	// counts only between routers that know the same members.
+	// InForce has one bit for each member, in order of id, which is set if the member has Head in
+	// force. It is used only between routers with the same MembersHash.
 	InForce []byte
-	// Suspects are requests under which targets have ended.
+	// Suspects are the requests under which targets crashed.
 	Suspects []crash.Suspect
-	// Trials are what routers have seen of versions on trial.
+	// Trials are the reports of routers on versions under canary rollout.
 	Trials []canary.Report
-	// Era is the latest of the store that the sender has heard of.
+	// Era is the latest era of the store that the sender has received.
 	Era table.Era
 }
 
-// wholeAfter is how many mismatching hashes in a row make a router ask for the
-// whole list; news in flight explains one or two.
-const wholeAfter = 4
+// maxHashMismatches is the number of consecutive hash mismatches after which a router requests the
+// full list of members; updates in flight explain one or two.
+const maxHashMismatches = 4
 
-// Outgoing makes the digest for one peer: the news that was passed on least often first.
-func (v *View) Outgoing(to ident.Router, whole bool) Digest {
-	d := Digest{From: v.self, Head: v.head, Era: v.era, MembersHash: v.hash, Whole: v.wantWhole}
-	v.wantWhole = false
-	d.Members = v.outMembers(whole)
+// Outgoing returns the digest for one peer. Updates that were sent least often come first.
+func (v *View) Outgoing(to ident.Router, full bool) Digest {
+	d := Digest{From: v.self, Head: v.head, Era: v.era, MembersHash: v.hash, Whole: v.requestMembers}
+	v.requestMembers = false
+	d.Members = v.outgoingMembers(full)
 	peer, known := v.members[to]
-	if known && peer.State != Live && !whole {
-		// A router that is wrongly thought gone can only refute what it hears.
+	if known && peer.State != Live && !full {
+		// A live router can refute its wrong state only if it receives it.
 		d.Members = append(d.Members, peer.Member)
 	}
-	d.Acks = v.outAcks()
+	d.Acks = v.outgoingAcks()
 	d.InForce = v.inForce()
-	d.Marks = v.outMarks()
+	d.Marks = v.outgoingLeaving()
 	return d
 }
 
-func (v *View) outMembers(whole bool) []Member {
-	limit := v.spreadLimit()
-	var news []*memberEntry
+func (v *View) outgoingMembers(full bool) []Member {
+	limit := v.sendLimit()
+	var updates []*memberEntry
 	for _, e := range v.members {
-		if whole || e.sent < limit {
-			news = append(news, e)
+		if full || e.sent < limit {
+			updates = append(updates, e)
 		}
 	}
-	slices.SortFunc(news, func(a, b *memberEntry) int {
+	slices.SortFunc(updates, func(a, b *memberEntry) int {
 		return cmp.Or(cmp.Compare(a.sent, b.sent), cmp.Compare(a.ID, b.ID))
 	})
-	if !whole && len(news) > v.limits.Members {
-		news = news[:v.limits.Members]
+	if !full && len(updates) > v.limits.Members {
+		updates = updates[:v.limits.Members]
 	}
-	out := make([]Member, 0, len(news))
-	for _, e := range news {
+	out := make([]Member, 0, len(updates))
+	for _, e := range updates {
 		e.sent++
 		out = append(out, e.Member)
 	}
 	return out
 }
 
-func (v *View) outAcks() []Ack {
-	limit := v.spreadLimit()
-	var news []*memberEntry
+func (v *View) outgoingAcks() []Ack {
+	limit := v.sendLimit()
+	var updates []*memberEntry
 	for _, e := range v.members {
 		if e.revision > 0 && e.ackSent < limit {
-			news = append(news, e)
+			updates = append(updates, e)
 		}
 	}
-	slices.SortFunc(news, func(a, b *memberEntry) int {
+	slices.SortFunc(updates, func(a, b *memberEntry) int {
 		return cmp.Or(cmp.Compare(a.ackSent, b.ackSent), cmp.Compare(b.revision, a.revision), cmp.Compare(a.ID, b.ID))
 	})
-	if len(news) > v.limits.Acks {
-		news = news[:v.limits.Acks]
+	if len(updates) > v.limits.Acks {
+		updates = updates[:v.limits.Acks]
 	}
-	out := make([]Ack, 0, len(news))
-	for _, e := range news {
+	out := make([]Ack, 0, len(updates))
+	for _, e := range updates {
 		e.ackSent++
 		out = append(out, Ack{Member: e.Hash(), Revision: e.revision})
 	}
 	return out
 }
 
-func (v *View) outMarks() []Mark {
-	limit := v.spreadLimit()
+func (v *View) outgoingLeaving() []Mark {
+	limit := v.sendLimit()
 	var out []Mark
-	for id, m := range v.marks {
+	for id, m := range v.leaving {
 		if m.sent < limit {
 			out = append(out, Mark{Target: id, Incarnation: m.incarnation})
 		}
 	}
 	slices.SortFunc(out, func(a, b Mark) int {
-		return cmp.Or(cmp.Compare(v.marks[a.Target].sent, v.marks[b.Target].sent), cmp.Compare(a.Target, b.Target))
+		return cmp.Or(cmp.Compare(v.leaving[a.Target].sent, v.leaving[b.Target].sent), cmp.Compare(a.Target, b.Target))
 	})
-	if len(out) > v.limits.Marks {
-		out = out[:v.limits.Marks]
+	if len(out) > v.limits.Leaving {
+		out = out[:v.limits.Leaving]
 	}
 	for _, m := range out {
-		v.marks[m.Target].sent++
+		v.leaving[m.Target].sent++
 	}
 	return out
 }
 
-// News is what of a digest was not known before.
-type News struct {
-	// Head is set when the sender knows of a later revision than this router did.
+// Update is the part of a digest that the view did not contain before.
+type Update struct {
+	// Head is set when the sender has received a later revision than this router.
 	Head ident.Revision
-	// Era is set when the sender has heard of a later era of the store.
+	// Era is set when the sender has received a later era of the store.
 	Era table.Era
-	// SendWhole is set when the sender asks for the whole list of members.
-	SendWhole bool
+	// SendMembers is set when the sender requests the full list of members.
+	SendMembers bool
 }
 
-// Incoming merges a digest from a peer. Hearing from a router shows nothing of
-// its state but what the digest itself says.
-func (v *View) Incoming(now time.Time, d Digest) News {
-	var news News
+// Incoming merges a digest from a peer. Receiving a digest is no evidence of the state of its
+// sender beyond what the digest contains.
+func (v *View) Incoming(now time.Time, d Digest) Update {
+	var update Update
 	for _, m := range d.Members {
 		v.mergeMember(now, m)
 	}
@@ -152,15 +152,15 @@
 	}
 	if d.Head > v.head {
 		v.head = d.Head
-		news.Head = d.Head
+		update.Head = d.Head
 	}
 	if d.Era > v.era {
 		v.era = d.Era
-		news.Era = d.Era
+		update.Era = d.Era
 	}
-	v.compare(d)
-	news.SendWhole = d.Whole
-	return news
+	v.compareHash(d)
+	update.SendMembers = d.Whole
+	return update
 }
 
 func (v *View) mergeAck(a Ack) {
@@ -175,8 +175,8 @@
 	}
 }
 
-// order returns the members' ids in order.
-func (v *View) order() []ident.Router {
+// memberIDs returns the ids of the members in order.
+func (v *View) memberIDs() []ident.Router {
 	if v.sorted == nil {
 		v.sorted = slices.Sorted(maps.Keys(v.members))
 	}
@@ -185,43 +185,45 @@
 
 const bitsPerByte = 8
 
-// inForce marks the members that are known to have the head in force; nothing where members do not tell.
+// inForce returns the bits of the members that have the head in force, or nil while no revision is
+// in force at this router.
 func (v *View) inForce() []byte {
 	if v.members[v.self].revision == 0 {
 		return nil
 	}
-	ids := v.order()
-	marks := make([]byte, (len(ids)+bitsPerByte-1)/bitsPerByte)
+	ids := v.memberIDs()
+	bits := make([]byte, (len(ids)+bitsPerByte-1)/bitsPerByte)
 	for i, id := range ids {
 		if v.members[id].revision >= v.head {
-			marks[i/bitsPerByte] |= 1 << (i % bitsPerByte)
+			bits[i/bitsPerByte] |= 1 << (i % bitsPerByte)
 		}
 	}
-	return marks
+	return bits
 }
 
-// mergeInForce takes in who has a revision in force, from a router with the same members.
-func (v *View) mergeInForce(head ident.Revision, marks []byte) {
-	for i, id := range v.order() {
-		if i/bitsPerByte >= len(marks) {
+// mergeInForce merges the bits of a router with the same members, which show where the head is in
+// force.
+func (v *View) mergeInForce(head ident.Revision, bits []byte) {
+	for i, id := range v.memberIDs() {
+		if i/bitsPerByte >= len(bits) {
 			return
 		}
 		e := v.members[id]
-		if marks[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0 && e.revision < head && id != v.self {
+		if bits[i/bitsPerByte]&(1<<(i%bitsPerByte)) != 0 && e.revision < head && id != v.self {
 			e.revision = head
 		}
 	}
 }
 
-// compare asks for the whole list of members when hashes keep differing.
-func (v *View) compare(d Digest) {
+// compareHash requests the full list of members after repeated hash mismatches.
+func (v *View) compareHash(d Digest) {
 	if d.MembersHash == v.hash {
 		v.mismatches = 0
 		return
 	}
 	v.mismatches++
-	if v.mismatches >= wholeAfter {
+	if v.mismatches >= maxHashMismatches {
 		v.mismatches = 0
-		v.wantWhole = true
+		v.requestMembers = true
 	}
 }
--- a/internal/share/peer/doc.go
+++ b/internal/share/peer/doc.go
@@ -1,11 +1,11 @@
-// Package peer is what routers know of each other and of the targets, and how
-// they tell each other.
+// Package peer maintains each router's membership view of the other routers and of the targets, and
+// the gossip that keeps these views up to date.
 //
-// View is the knowledge itself: it merges digests from other routers with the
-// platform's list and what sends and answers show, and it never does input or
-// output, so that tests and measurements can drive it round by round. Node moves
-// the digests between routers over connect-go, and Server answers the others.
+// View holds the state: it merges gossip digests from other routers with the platform's list of
+// boxes and with the results of requests. It does no input or output, so that tests and
+// measurements can drive it round by round. Node exchanges the digests with other routers over
+// connect-go; Node.Respond and Node.Gossip serve the digests that other routers send.
 //
-// Views of two routers differ for seconds. Nothing that must hold depends on
-// them being the same; what is lost meanwhile is speed or precision.
+// The views of two routers can differ for seconds. No invariant depends on them being equal; a
+// difference costs only latency or precision.
 package peer
--- a/internal/share/peer/lack_test.go
+++ b/internal/share/peer/lack_test.go
@@ -7,8 +7,8 @@
 	"valescale/internal/fake/scarce"
 )
 
-// A router that cannot open a connection suspects nobody for it.
-func TestOwnLackSuspectsNobody(t *testing.T) {
+// A router that cannot open a connection for lack of file descriptors does not suspect its peer.
+func TestDescriptorExhaustionSuspectsNoPeer(t *testing.T) {
 	addr := newRouter(t, "r")
 	clients, closeClients := NewClients(nil, &Meter{})
 	t.Cleanup(closeClients)
@@ -19,9 +19,9 @@
 	n := NewNode(view, clients, nil, DefaultPace, nil, 1, time.Now)
 	scarce.Descriptors(t)
 	if err := n.Exchange(t.Context(), other); err == nil {
-		t.Fatal("an exchange without descriptors was answered")
+		t.Fatal("exchange succeeded without file descriptors")
 	}
 	if m, _ := view.Member("other"); m.State != Live {
-		t.Errorf("the other router is %v", m.State)
+		t.Errorf("state of the peer: got %v, want live", m.State)
 	}
 }
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -19,10 +19,10 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Dialer gives the client of the router at an address.
+// Dialer returns the client of the router at an address.
 type Dialer interface {
 	At(addr string) peerpb.PeerServiceClient
-	// Unanswered tells of requests to an address that were not answered in time.
+	// Unanswered reports that requests to an address timed out.
 	Unanswered(addr string)
 }
 
@@ -31,43 +31,44 @@
 	List(ctx context.Context) ([]boxes.Box, error)
 }
 
-// Hooks are called, outside of any lock, when something changed.
+// Hooks are the callbacks for changes. They are called without holding a lock.
 type Hooks struct {
 	// Changed is called after routers or targets changed.
 	Changed func()
-	// Head is called when a router tells of a later revision than any known.
+	// Head is called when a router sends a later revision than any received before.
 	Head func(revision ident.Revision, from ident.Router)
-	// Era is called when a router has heard of a later era of the store than any known.
+	// Era is called when a router sends a later era of the store than any received before.
 	Era func(era table.Era)
 }
 
-// Crashes are what routers tell each other of requests under which targets end.
+// Crashes exchanges the records of requests under which targets crashed.
 type Crashes interface {
-	// Outgoing returns what is to be told one of so many routers.
+	// Outgoing returns the records to send to one router of a fleet of the given size.
 	Outgoing(routers int) []crash.Suspect
-	// Incoming takes in what another router tells.
+	// Incoming merges the records from another router.
 	Incoming(list []crash.Suspect)
 }
 
-// Trials are what routers tell each other of versions on trial.
+// Trials exchanges the evidence on versions under canary rollout.
 type Trials interface {
-	// Reports returns what is to be told a router.
+	// Reports returns the reports to send to a router.
 	Reports() []canary.Report
-	// Heard takes in what another router tells.
+	// Heard merges the reports from another router.
 	Heard(reports []canary.Report)
 }
 
-// Pace is how often things are done.
+// Pace contains the intervals and limits of gossip and of reading the list of boxes.
 type Pace struct {
 	Gossip time.Duration
 	List   time.Duration
-	// Call bounds one exchange.
+	// Call limits the duration of one exchange.
 	Call time.Duration
-	// Fanout is how many peers are told at once of a new revision or of leaving.
+	// Fanout is the number of peers that Tell exchanges digests with, for example for a new
+	// revision or when the router leaves.
 	Fanout int
 }
 
-// DefaultPace stays within a few kilobytes a second.
+// DefaultPace keeps the traffic of gossip within a few kilobytes a second.
 var DefaultPace = Pace{Gossip: time.Second, List: 2 * time.Second, Call: time.Second, Fanout: 3}
 
 // Node exchanges digests with other routers and reads the list of boxes.
@@ -84,12 +85,13 @@
 	clock   ident.Clock
 	crashes Crashes
 	trials  Trials
-	// urgent asks for news to be passed on ahead of the rounds.
-	urgent chan struct{}
+	// trigger requests an exchange ahead of the next round.
+	trigger chan struct{}
 }
 
-// NewNode returns a node that does nothing until Run; seeds are addresses to try
-// while no other router is known. Without a lister the view is told of boxes by others.
+// NewNode returns a node that is idle until Run is called. The seeds are the addresses that are
+// used while the view contains no other router. With a nil lister, the caller updates the view with
+// the boxes through Do.
 func NewNode(view *View, dial Dialer, list Lister, pace Pace, seeds []string, seed uint64, clock ident.Clock) *Node {
 	n := &Node{
 		view:  view,
@@ -99,7 +101,7 @@
 		pace:  pace,
 		clock: clock,
 
-		urgent: make(chan struct{}, 1),
+		trigger: make(chan struct{}, 1),
 	}
 	for _, addr := range seeds {
 		n.seeds = append(n.seeds, Member{ID: ident.Router(addr), Addr: addr})
@@ -107,58 +109,63 @@
 	return n
 }
 
-// SetHooks sets what is called on changes; it must come before Run.
+// SetHooks sets the callbacks for changes. It must be called before Run.
 func (n *Node) SetHooks(hooks Hooks) { n.hooks = hooks }
 
-// SetCrashes sets what is told of requests under which targets end; it must come before Run.
+// SetCrashes sets the source and receiver of the records of requests under which targets crashed.
+// It must be called before Run.
 func (n *Node) SetCrashes(c Crashes) { n.crashes = c }
 
-// SetTrials sets what is told of versions on trial; it must come before Run.
+// SetTrials sets the source and receiver of the canary reports. It must be called before Run.
 func (n *Node) SetTrials(t Trials) { n.trials = t }
 
-// Spread has news passed on ahead of the rounds, from router to router.
+// Spread triggers an exchange ahead of the next round, so that urgent updates spread from router to
+// router without waiting for rounds.
 func (n *Node) Spread() {
 	select {
-	case n.urgent <- struct{}{}:
+	case n.trigger <- struct{}{}:
+	// An exchange is already requested.
 	default:
 		// It is asked for already.
 	}
 }
 
-// spreadPause is the least time between two such tellings: an engine that ends makes news at every router
-// that had a request there, within milliseconds. Three hops through a fleet take 0.3 s.
-const spreadPause = 100 * time.Millisecond
+// triggerInterval is the minimum time between two triggered exchanges: a crash of an engine
+// produces updates at every router that had a request there, within milliseconds. Three hops
+// through a fleet take 0.3 s.
+const triggerInterval = 100 * time.Millisecond
 
-// spread passes urgent news on. It does not wait for answers: a peer that is frozen takes a second.
-func (n *Node) spread(ctx context.Context, wg *sync.WaitGroup) {
+// runTriggered runs the triggered exchanges. It does not wait for the responses: a peer that is
+// frozen delays an exchange by a second.
+func (n *Node) runTriggered(ctx context.Context, wg *sync.WaitGroup) {
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case <-n.urgent:
+		case <-n.trigger:
 			wg.Go(func() { n.Tell(ctx) })
 		}
-		if !pause.For(ctx, spreadPause) {
+		if !pause.For(ctx, triggerInterval) {
 			return
 		}
 	}
 }
 
-// Run works until the context ends.
+// Run exchanges digests and reads the list of boxes until the context ends.
 func (n *Node) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
 	if n.list != nil {
 		wg.Go(func() { n.every(ctx, n.pace.List, n.readList) })
 	}
-	wg.Go(func() { n.spread(ctx, &wg) })
+	wg.Go(func() { n.runTriggered(ctx, &wg) })
 	n.every(ctx, n.pace.Gossip, func(ctx context.Context) {
-		n.round(ctx, &wg)
+		n.gossipRound(ctx, &wg)
 	})
 }
 
-// every calls work at once and then at intervals that vary by a fifth, so that
-// routers do not fall into step.
+// every calls work immediately and then at intervals with a jitter of a tenth in both directions,
+// so that routers do not synchronize.
 func (n *Node) every(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	for {
 		work(ctx)
@@ -179,7 +186,8 @@
 	n.Do(func(v *View) { v.ObserveList(n.clock(), list) })
 }
 
-// Do runs a change of the view and tells the hooks if it mattered.
+// Do applies a change to the view and calls the Changed hook if the version of the view has
+// changed.
 func (n *Node) Do(change func(*View)) {
 	n.mu.Lock()
 	change(n.view)
@@ -191,22 +199,22 @@
 	}
 }
 
-// Read runs a look at the view.
-func (n *Node) Read(look func(*View)) {
+// Read calls a function with the view while the lock is held.
+func (n *Node) Read(read func(*View)) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	look(n.view)
+	read(n.view)
 }
 
-// round exchanges digests with one peer.
-func (n *Node) round(ctx context.Context, wg *sync.WaitGroup) {
+// gossipRound starts an exchange of digests with one peer.
+func (n *Node) gossipRound(ctx context.Context, wg *sync.WaitGroup) {
 	n.Do(func(v *View) { v.Tick(n.clock()) })
 	for _, peer := range n.pick(1) {
 		wg.Go(func() { _ = n.Exchange(ctx, peer) })
 	}
 }
 
-// Tell exchanges digests with several peers at once, so that news travels ahead of the rounds.
+// Tell exchanges digests with several peers at once, so that updates spread ahead of the rounds.
 func (n *Node) Tell(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range n.pick(n.pace.Fanout) {
@@ -215,7 +223,7 @@
 	wg.Wait()
 }
 
-// pick chooses whom to exchange news with: the seeds while nobody else is known.
+// pick selects the peers for an exchange, or seeds while the view contains no other router.
 func (n *Node) pick(count int) []Member {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -227,7 +235,8 @@
 	return seeds[:min(count, len(seeds))]
 }
 
-// Exchange sends news to one peer and takes in its news.
+// Exchange sends a digest to one peer and merges the digest of its response. A failed exchange
+// makes the peer suspect, unless the cause is a lack of resources of this process.
 func (n *Node) Exchange(ctx context.Context, peer Member) error {
 	ctx, cancel := context.WithTimeout(ctx, n.pace.Call)
 	defer cancel()
@@ -241,15 +250,15 @@
 	}
 	in := Decode(n.clock(), reply.Msg)
 	if n.Incoming(in) {
-		whole := n.outgoing(peer.ID, true)
-		_, err = n.dial.At(peer.Addr).Gossip(ctx, connect.NewRequest(Encode(n.clock(), whole)))
+		full := n.outgoing(peer.ID, true)
+		_, err = n.dial.At(peer.Addr).Gossip(ctx, connect.NewRequest(Encode(n.clock(), full)))
 	}
 	return err
 }
 
-func (n *Node) outgoing(to ident.Router, whole bool) Digest {
+func (n *Node) outgoing(to ident.Router, full bool) Digest {
 	n.mu.Lock()
-	d := n.view.Outgoing(to, whole)
+	d := n.view.Outgoing(to, full)
 	routers := len(n.view.members)
 	n.mu.Unlock()
 	if n.crashes != nil {
@@ -261,15 +270,15 @@
 	return d
 }
 
-// Incoming takes in a peer's digest and reports whether the peer asks for the whole list of members.
+// Incoming merges a peer's digest and reports whether the peer requests the full list of members.
 func (n *Node) Incoming(d Digest) bool {
-	var news News
-	n.Do(func(v *View) { news = v.Incoming(n.clock(), d) })
-	if news.Head > 0 && n.hooks.Head != nil {
-		n.hooks.Head(news.Head, d.From)
+	var update Update
+	n.Do(func(v *View) { update = v.Incoming(n.clock(), d) })
+	if update.Head > 0 && n.hooks.Head != nil {
+		n.hooks.Head(update.Head, d.From)
 	}
-	if news.Era > 0 && n.hooks.Era != nil {
-		n.hooks.Era(news.Era)
+	if update.Era > 0 && n.hooks.Era != nil {
+		n.hooks.Era(update.Era)
 	}
 	if n.crashes != nil && len(d.Suspects) > 0 {
 		n.crashes.Incoming(d.Suspects)
@@ -277,21 +286,21 @@
 	if n.trials != nil && len(d.Trials) > 0 {
 		n.trials.Heard(d.Trials)
 	}
-	return news.SendWhole
+	return update.SendMembers
 }
 
-// Answer takes in a peer's digest and returns this router's.
-func (n *Node) Answer(d Digest) Digest {
-	whole := n.Incoming(d)
-	return n.outgoing(d.From, whole)
+// Respond merges a peer's digest and returns the digest of this router.
+func (n *Node) Respond(d Digest) Digest {
+	full := n.Incoming(d)
+	return n.outgoing(d.From, full)
 }
 
-// Gossip is Answer in the form of the wire.
+// Gossip is Respond for digests in wire form.
 func (n *Node) Gossip(in *peerpb.Digest) *peerpb.Digest {
-	return Encode(n.clock(), n.Answer(Decode(n.clock(), in)))
+	return Encode(n.clock(), n.Respond(Decode(n.clock(), in)))
 }
 
-// Unanswered tells of requests to a router that were not answered in time.
+// Unanswered reports that requests to a router timed out.
 func (n *Node) Unanswered(id ident.Router) {
 	n.mu.Lock()
 	m, ok := n.view.Member(id)
--- a/internal/share/peer/pick.go
+++ b/internal/share/peer/pick.go
@@ -9,31 +9,33 @@
 )
 
 const (
-	// nearNeighbours and farNeighbours are with how many routers of its own availability zone and of others a router
-	// exchanges news. Each is chosen by about as many again. Over that many lasting connections news reaches
-	// 1,000 routers in as many rounds as it does over a new connection to anyone for each exchange, of which a
-	// router had hundreds after minutes.
-	nearNeighbours = 10
-	farNeighbours  = 6
-	// lostOneIn is how seldom a router thought dead is tried instead of a neighbour.
-	lostOneIn = 10
+	// nearPeers and farPeers are the numbers of routers in the router's own availability zone and
+	// in other zones that it exchanges digests with; each router is selected by about as many
+	// again. Over these persistent connections updates reach 1,000 routers in as many rounds as
+	// with a random peer for each exchange, which opens hundreds of connections per router within
+	// minutes.
+	nearPeers = 10
+	farPeers  = 6
+	// deadPickInterval is the mean number of picks per attempt to reach a dead router.
+	deadPickInterval = 10
 )
 
-// Pick chooses routers to exchange news with at random: mostly neighbours, seldom one thought dead.
+// Pick selects random routers to exchange digests with: usually gossip peers, occasionally one dead
+// router.
 func (v *View) Pick(rng *rand.Rand, count int) []Member {
-	if lost := v.lost(); len(lost) > 0 && rng.IntN(lostOneIn) == 0 {
-		return []Member{v.members[lost[rng.IntN(len(lost))]].Member}
+	if deadRouters := v.deadRouters(); len(deadRouters) > 0 && rng.IntN(deadPickInterval) == 0 {
+		return []Member{v.members[deadRouters[rng.IntN(len(deadRouters))]].Member}
 	}
-	out := v.neighbours()
+	out := v.gossipPeers()
 	rng.Shuffle(len(out), func(i, j int) { out[i], out[j] = out[j], out[i] })
 	return out[:min(count, len(out))]
 }
 
-// lost lists the routers that are thought to be dead. They are tried now and then, since after a cut both
-// sides think so of each other.
-func (v *View) lost() []ident.Router {
+// deadRouters returns the routers in state Dead. They are tried occasionally, since after a network
+// partition each side considers the other dead.
+func (v *View) deadRouters() []ident.Router {
 	var out []ident.Router
-	for _, id := range v.order() {
+	for _, id := range v.memberIDs() {
 		if v.members[id].State == Dead {
 			out = append(out, id)
 		}
@@ -41,46 +43,47 @@
 	return out
 }
 
-// neighbours are the routers that are not thought dead and that a hash of both puts first: some of this router's
-// availability zone, some of others. Who dies is followed by the next; the others stay.
-func (v *View) neighbours() []Member {
+// gossipPeers returns the routers that are not dead and have the highest rendezvous hash with this
+// router: some in its availability zone, some in other zones. A router that dies is replaced by the
+// next one; the others remain selected.
+func (v *View) gossipPeers() []Member {
 	self := v.members[v.self]
-	var near, far nearest
-	for _, id := range v.order() {
+	var near, far topScored
+	for _, id := range v.memberIDs() {
 		m := &v.members[id].Member
 		switch {
 		case id == v.self || m.State == Dead:
 		case m.Zone == self.Zone:
-			near.offer(m, ident.Mix(uint64(self.Hash()), uint64(m.Hash())), nearNeighbours+farNeighbours)
+			near.add(m, ident.Mix(uint64(self.Hash()), uint64(m.Hash())), nearPeers+farPeers)
 		default:
-			far.offer(m, ident.Mix(uint64(self.Hash()), uint64(m.Hash())), nearNeighbours+farNeighbours)
+			far.add(m, ident.Mix(uint64(self.Hash()), uint64(m.Hash())), nearPeers+farPeers)
 		}
 	}
-	// Where one kind is short, more of the other make up for it.
-	fromFar := min(len(far), max(farNeighbours, nearNeighbours+farNeighbours-len(near)))
-	fromNear := min(len(near), nearNeighbours+farNeighbours-fromFar)
+	// If there are too few routers of one kind, more of the other kind are selected.
+	farCount := min(len(far), max(farPeers, nearPeers+farPeers-len(near)))
+	nearCount := min(len(near), nearPeers+farPeers-farCount)
 	var out []Member
-	for _, r := range slices.Concat(near[:fromNear], far[:fromFar]) {
+	for _, r := range slices.Concat(near[:nearCount], far[:farCount]) {
 		out = append(out, *r.member)
 	}
 	return out
 }
 
-// nearest are the routers with the highest scores, the highest first.
-type nearest []rated
+// topScored contains the routers with the highest scores, in descending order.
+type topScored []scoredMember
 
-// rated is a router with its score.
-type rated struct {
+// scoredMember is a router with its rendezvous score.
+type scoredMember struct {
 	member *Member
 	score  uint64
 }
 
-// offer puts a router in its place among the first so many.
-func (n *nearest) offer(m *Member, score uint64, most int) {
-	if len(*n) == most && score <= (*n)[most-1].score {
+// add inserts a router by its score and truncates the list to the limit.
+func (n *topScored) add(m *Member, score uint64, limit int) {
+	if len(*n) == limit && score <= (*n)[limit-1].score {
 		return
 	}
-	at, _ := slices.BinarySearchFunc(*n, score, func(r rated, score uint64) int { return cmp.Compare(score, r.score) })
-	*n = slices.Insert(*n, at, rated{member: m, score: score})
-	*n = (*n)[:min(len(*n), most)]
+	at, _ := slices.BinarySearchFunc(*n, score, func(r scoredMember, score uint64) int { return cmp.Compare(score, r.score) })
+	*n = slices.Insert(*n, at, scoredMember{member: m, score: score})
+	*n = (*n)[:min(len(*n), limit)]
 }
--- a/internal/share/peer/silent.go
+++ b/internal/share/peer/silent.go
@@ -10,45 +10,46 @@
 	"github.com/pkg/errors"
 )
 
-// silentAfter is how long a connection on which something was sent may bring nothing, not
-// even the protocol's own frames, before it counts as silent once a request there was not
-// answered: longer than a busy box of 0.4 cores is held up, and no longer than a call of
-// gossip, with which the other router would be suspected.
-const silentAfter = 800 * time.Millisecond
+// silentTimeout is the time after a write without any received byte, protocol frames included,
+// after which a connection counts as silent once a request on it has timed out. It is longer than
+// the stalls of a busy box with 0.4 cores and no longer than a gossip call, whose failure makes the
+// other router suspect.
+const silentTimeout = 800 * time.Millisecond
 
-// openConns are the open connections by address. Connections can fall silent for good
-// without a reset; all calls to a router share one, so that each of them would wait in
-// vain until the connection's own check, seconds apart to save bytes, has found it dead.
+// openConns tracks the open connections by address. A connection can become permanently silent
+// without a reset. All calls to a router share one connection, so each of them would time out until
+// the connection's ping, whose interval of seconds saves traffic, detects the failure.
 type openConns struct {
 	mu    sync.Mutex
 	conns map[string]map[*openConn]bool
 }
 
-// openConn is a connection that knows for how long what it sent has brought nothing.
+// openConn is a connection that records since when its writes are without a received byte.
 type openConn struct {
 	net.Conn
 	mu sync.Mutex
-	// asked is when something was first sent after bytes came last; zero for nothing.
-	asked  time.Time
-	forget func()
+	// unansweredSince is the time of the first write after the last received bytes; zero if there
+	// is none.
+	unansweredSince time.Time
+	untrack         func()
 }
 
-// Read reads; whatever comes ends a silence.
+// Read implements net.Conn. Any received byte ends the silence.
 func (c *openConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if n > 0 {
 		c.mu.Lock()
-		c.asked = time.Time{}
+		c.unansweredSince = time.Time{}
 		c.mu.Unlock()
 	}
 	return n, err
 }
 
-// Write writes, which may begin a silence.
+// Write implements net.Conn. It starts the silence if none is under way.
 func (c *openConn) Write(p []byte) (int, error) {
 	c.mu.Lock()
-	if c.asked.IsZero() {
-		c.asked = time.Now()
+	if c.unansweredSince.IsZero() {
+		c.unansweredSince = time.Now()
 	}
 	c.mu.Unlock()
 	return c.Conn.Write(p)
@@ -58,22 +59,22 @@
 func (c *openConn) silent() bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return !c.asked.IsZero() && time.Since(c.asked) >= silentAfter
+	return !c.unansweredSince.IsZero() && time.Since(c.unansweredSince) >= silentTimeout
 }
 
-// Close closes the connection and forgets it.
+// Close closes the connection and stops tracking it.
 func (c *openConn) Close() error {
-	c.forget()
+	c.untrack()
 	return c.Conn.Close()
 }
 
-// add follows a connection until it is closed.
+// add tracks a connection until it is closed.
 func (o *openConns) add(addr string, c net.Conn) net.Conn {
-	followed := &openConn{Conn: c}
-	followed.forget = func() {
+	tracked := &openConn{Conn: c}
+	tracked.untrack = func() {
 		o.mu.Lock()
 		defer o.mu.Unlock()
-		delete(o.conns[addr], followed)
+		delete(o.conns[addr], tracked)
 		if len(o.conns[addr]) == 0 {
 			delete(o.conns, addr)
 		}
@@ -83,12 +84,11 @@
 	if o.conns[addr] == nil {
 		o.conns[addr] = map[*openConn]bool{}
 	}
-	o.conns[addr][followed] = true
-	return followed
+	o.conns[addr][tracked] = true
+	return tracked
 }
 
-// closeSilent closes the connections to an address that have fallen silent. Later calls
-// make new ones.
+// closeSilent closes the silent connections to an address. Later calls open new ones.
 func (o *openConns) closeSilent(addr string) {
 	o.mu.Lock()
 	var silent []*openConn
@@ -99,19 +99,19 @@
 	}
 	o.mu.Unlock()
 	for _, c := range silent {
-		// It is given up; that it cannot be closed changes nothing.
+		// The connection is no longer used, so an error from closing it has no consequence.
 		_ = c.Close()
 	}
 }
 
-// silenceWatch makes calls and closes the connections on which they are not answered.
-type silenceWatch struct {
+// silentConnCloser is a transport that closes silent connections when a request times out.
+type silentConnCloser struct {
 	next http.RoundTripper
 	open *openConns
 }
 
 // RoundTrip implements http.RoundTripper.
-func (s *silenceWatch) RoundTrip(r *http.Request) (*http.Response, error) {
+func (s *silentConnCloser) RoundTrip(r *http.Request) (*http.Response, error) {
 	resp, err := s.next.RoundTrip(r)
 	if errors.Is(err, context.DeadlineExceeded) {
 		s.open.closeSilent(r.URL.Host)
--- a/internal/share/peer/silent_test.go
+++ b/internal/share/peer/silent_test.go
@@ -13,15 +13,15 @@
 	"valescale/internal/share/peerpb"
 )
 
-// A connection that falls silent for good is given up after a call or two, not after the
-// connection's own check many seconds later.
-func TestConnectionsThatFallSilent(t *testing.T) {
+// A connection that becomes permanently silent is closed after one or two calls, not only by its
+// ping many seconds later.
+func TestSilentConnectionClosed(t *testing.T) {
 	router := newRouter(t, "r")
 	m := listen.NewMute(t, router)
 	clients, closeClients := NewClients(nil, &Meter{})
 	t.Cleanup(closeClients)
 	call := func() error {
-		ctx, cancel := context.WithTimeout(t.Context(), silentAfter+100*time.Millisecond)
+		ctx, cancel := context.WithTimeout(t.Context(), silentTimeout+100*time.Millisecond)
 		defer cancel()
 		_, err := clients.At(m.Addr).Gossip(ctx, connect.NewRequest(&peerpb.Digest{}))
 		return err
@@ -31,18 +31,18 @@
 	}
 	m.Sever()
 	if err := call(); err == nil {
-		t.Error("a call over a silent connection was answered")
+		t.Error("call over a silent connection succeeded")
 	}
 	if err := call(); err != nil {
-		t.Errorf("the call after one that was not answered: %v", err)
+		t.Errorf("call after one that timed out: %v", err)
 	}
 }
 
-// newRouter returns the address of a router that answers gossip with its name.
+// newRouter returns the address of a router that responds to gossip with its name.
 func newRouter(t *testing.T, name string) string {
 	t.Helper()
 	mux := http.NewServeMux()
-	mux.Handle(peerpb.NewPeerServiceHandler(gossiping{name: name}))
+	mux.Handle(peerpb.NewPeerServiceHandler(gossipHandler{name: name}))
 	protocols := &http.Protocols{}
 	protocols.SetUnencryptedHTTP2(true)
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -55,12 +55,12 @@
 	return l.Addr().String()
 }
 
-// gossiping answers gossip with its name, and nothing else.
-type gossiping struct {
+// gossipHandler responds to gossip with its name and implements no other call.
+type gossipHandler struct {
 	name string
 	peerpb.UnimplementedPeerServiceHandler
 }
 
-func (g gossiping) Gossip(context.Context, *connect.Request[peerpb.Digest]) (*connect.Response[peerpb.Digest], error) {
+func (g gossipHandler) Gossip(context.Context, *connect.Request[peerpb.Digest]) (*connect.Response[peerpb.Digest], error) {
 	return connect.NewResponse(&peerpb.Digest{From: g.name}), nil
 }
--- a/internal/share/peer/target.go
+++ b/internal/share/peer/target.go
@@ -10,7 +10,7 @@
 	"valescale/internal/plat/ident"
 )
 
-// Target is one engine or plain service replica.
+// Target is one engine or one replica of a plain service.
 type Target struct {
 	ID          ident.Target
 	Addr        string
@@ -19,107 +19,110 @@
 	Region      ident.Region
 	Incarnation ident.Incarnation
 	Leaving     bool
-	// Joined is when this incarnation was first seen here; zero for those of the first list.
+	// Joined is the time at which the slow start of this incarnation begins: when the router first
+	// received it, later if the target flaps, and zero for targets of the first list.
 	Joined time.Time
 }
 
-// Mark says that one incarnation of a target is leaving.
+// Mark records that one incarnation of a target is leaving.
 type Mark struct {
 	Target      ident.Target
 	Incarnation ident.Incarnation
 }
 
-// targetEntry is what is known of a target.
+// targetEntry is the state of a target in the view.
 type targetEntry struct {
 	Target
-	// missing counts the lists in a row that did not have the target.
+	// missing counts the consecutive lists without the target.
 	missing int
-	// returns counts how often it came back lately, which lengthens its slow start.
+	// returns counts how often the target has recently reappeared or restarted, which delays its
+	// slow start.
 	returns  int
 	returned time.Time
-	gone     bool
+	removed  bool
 }
 
-// markEntry is the mark of a target with how it has been passed on.
-type markEntry struct {
+// leavingEntry is the leaving incarnation of a target with the number of digests that contained it.
+type leavingEntry struct {
 	incarnation ident.Incarnation
 	at          time.Time
 	sent        int
 }
 
 const (
-	// flapMemory is how long a return counts against a target.
-	flapMemory = time.Minute
-	// maxFlapDelay bounds how much longer a flapping target's slow start gets.
+	// flapWindow is the time after a return during which a further one increases the delay.
+	flapWindow = time.Minute
+	// maxFlapDelay limits the delay of a flapping target's slow start.
 	maxFlapDelay = time.Minute
-	// flapStep is how much longer each return makes it.
+	// flapStep is the additional delay per return.
 	flapStep = 10 * time.Second
 )
 
-// ObserveList takes in the platform's list of boxes.
+// ObserveList updates the view from the platform's list of boxes.
 func (v *View) ObserveList(now time.Time, list []boxes.Box) {
 	seen := make(map[ident.Target]bool, len(list))
-	v.onList = map[ident.Router]bool{}
+	v.listedLive = map[ident.Router]bool{}
 	for _, b := range list {
 		switch b.Role {
 		case boxes.RouterRole:
-			v.onList[ident.Router(b.ID)] = b.State == boxes.Live
+			v.listedLive[ident.Router(b.ID)] = b.State == boxes.Live
 			v.observeRouter(now, b)
 		case boxes.TargetRole:
 			seen[ident.Target(b.ID)] = true
 			v.observeTarget(now, b)
 		}
 	}
-	v.noteMissing(seen)
-	v.listed = true
+	v.countMissing(seen)
+	v.targetsListed = true
 }
 
-// noteMissing counts the lists that lack a target, which is gone after some.
-func (v *View) noteMissing(seen map[ident.Target]bool) {
+// countMissing counts the consecutive lists without a target and removes the target once the limit
+// is reached.
+func (v *View) countMissing(seen map[ident.Target]bool) {
 	for id, t := range v.targets {
 		if seen[id] {
 			t.missing = 0
 			continue
 		}
 		t.missing++
-		if t.missing >= v.limits.MissingLists && !t.gone {
-			t.gone = true
+		if t.missing >= v.limits.MissingLists && !t.removed {
+			t.removed = true
 			v.targetChanged(id)
 		}
 	}
 }
 
-// targetChanged counts a change of a target.
+// targetChanged records a change of a target.
 func (v *View) targetChanged(id ident.Target) {
 	v.version++
-	v.targetChanges.note(id)
+	v.targetChanges.add(id)
 }
 
-// TargetNews is what is new of the targets.
+// TargetNews contains the changes of targets since the last update.
 type TargetNews struct {
-	// Boxes are those of targets that are new or say something else.
+	// Boxes are the boxes of targets that are new or whose data has changed.
 	Boxes []boxes.Box
-	// Gone are targets that are there no more.
+	// Gone are the targets that have been removed.
 	Gone []ident.Target
 }
 
-// ObserveTargets takes in what is new of the targets since the last call, in place of lists of all boxes. Whatever
-// a box says that the view does not keep has changed too.
-func (v *View) ObserveTargets(now time.Time, news TargetNews) {
-	for _, b := range news.Boxes {
+// ObserveTargets updates the targets from the changes since the last call, in place of lists of all
+// boxes. Every box counts as a change, since data that the view does not keep may have changed too.
+func (v *View) ObserveTargets(now time.Time, update TargetNews) {
+	for _, b := range update.Boxes {
 		v.observeTarget(now, b)
 		v.targetChanged(ident.Target(b.ID))
 	}
-	for _, id := range news.Gone {
-		if t, known := v.targets[id]; known && !t.gone {
-			t.gone = true
+	for _, id := range update.Gone {
+		if t, known := v.targets[id]; known && !t.removed {
+			t.removed = true
 			v.targetChanged(id)
 		}
 	}
-	v.listed = true
+	v.targetsListed = true
 }
 
-// ObserveRouters takes in the routers of a list that says nothing of targets.
+// ObserveRouters adds the routers of a list that contains no targets.
 func (v *View) ObserveRouters(now time.Time, list []boxes.Box) {
 	for _, b := range list {
 		if b.Role == boxes.RouterRole {
@@ -128,9 +131,10 @@
 	}
 }
 
-// observeRouter learns of a router that no peer has told of yet. The list lags, so
-// it never overrules what the router or its peers say. A list that names the router's incarnation says what that says
-// of itself at first: routers that read the same list have nothing to tell each other.
+// observeRouter adds a router that is not in the view yet. The list lags, so it never overrides
+// what the router or its peers report. If the list contains the router's incarnation, the entry
+// equals the state that the router first reports of itself, so that routers that read the same list
+// have no updates to exchange.
 func (v *View) observeRouter(now time.Time, b boxes.Box) {
 	id := ident.Router(b.ID)
 	if _, known := v.members[id]; known || b.State != boxes.Live {
@@ -144,7 +148,7 @@
 	v.members[id].listed = true
 }
 
-// observeTarget takes in what a list says of a target, unless it is of an earlier incarnation.
+// observeTarget updates a target from a list, unless the list contains an earlier incarnation.
 func (v *View) observeTarget(now time.Time, b boxes.Box) {
 	id := ident.Target(b.ID)
 	t, known := v.targets[id]
@@ -155,33 +159,34 @@
 		t = &targetEntry{}
 		v.targets[id] = t
 	}
-	if !known || b.Incarnation > t.Incarnation || t.gone {
-		t.Joined = v.joined(now, t, known)
+	if !known || b.Incarnation > t.Incarnation || t.removed {
+		t.Joined = v.slowStart(now, t, known)
 		v.targetChanged(id)
 	}
 	t.ID, t.Addr, t.Service, t.Zone, t.Region = id, b.Addr, b.Service, b.Zone, b.Region
 	t.Incarnation = b.Incarnation
-	t.gone = false
+	t.removed = false
 	if b.State == boxes.Leaving {
 		v.MarkLeaving(now, Mark{Target: id, Incarnation: b.Incarnation})
 	}
 }
 
-// joined is when the slow start of a target begins that has just come, or come back if known.
-func (v *View) joined(now time.Time, t *targetEntry, known bool) time.Time {
-	joined := now
-	if !v.listed {
-		joined = time.Time{}
+// slowStart returns the time at which the slow start of a target that is new, or has returned if
+// known, begins.
+func (v *View) slowStart(now time.Time, t *targetEntry, known bool) time.Time {
+	slowStart := now
+	if !v.targetsListed {
+		slowStart = time.Time{}
 	}
 	if known {
-		joined = joined.Add(t.flap(now))
+		slowStart = slowStart.Add(t.recordReturn(now))
 	}
-	return joined
+	return slowStart
 }
 
-// flap notes a return and says how much later than now the slow start begins.
-func (t *targetEntry) flap(now time.Time) time.Duration {
-	if now.Sub(t.returned) > flapMemory {
+// recordReturn records a return of the target and returns the delay of its slow start.
+func (t *targetEntry) recordReturn(now time.Time) time.Duration {
+	if now.Sub(t.returned) > flapWindow {
 		t.returns = 0
 	}
 	t.returns++
@@ -189,14 +194,14 @@
 	return min(time.Duration(t.returns-1)*flapStep, maxFlapDelay)
 }
 
-// MarkLeaving notes that an incarnation of a target is leaving. This is never
-// taken back; a later incarnation starts anew.
+// MarkLeaving records that an incarnation of a target is leaving and reports whether that is new.
+// The state is final for the incarnation; a later incarnation starts without it.
 func (v *View) MarkLeaving(now time.Time, m Mark) bool {
-	known, ok := v.marks[m.Target]
+	known, ok := v.leaving[m.Target]
 	if ok && known.incarnation >= m.Incarnation {
 		return false
 	}
-	v.marks[m.Target] = &markEntry{incarnation: m.Incarnation, at: now}
+	v.leaving[m.Target] = &leavingEntry{incarnation: m.Incarnation, at: now}
 	v.targetChanged(m.Target)
 	return true
 }
@@ -205,28 +210,28 @@
 func (v *View) Targets(service ident.Service, region ident.Region) []Target {
 	var out []Target
 	for _, t := range v.targets {
-		if t.Service != service || t.Region != region || t.gone {
+		if t.Service != service || t.Region != region || t.removed {
 			continue
 		}
-		out = append(out, v.marked(t))
+		out = append(out, v.withLeaving(t))
 	}
 	slices.SortFunc(out, func(a, b Target) int { return cmp.Compare(a.ID, b.ID) })
 	return out
 }
 
-// Target returns a target that is there.
+// Target returns a target that has not been removed.
 func (v *View) Target(id ident.Target) (Target, bool) {
 	t, known := v.targets[id]
-	if !known || t.gone {
+	if !known || t.removed {
 		return Target{}, false
 	}
-	return v.marked(t), true
+	return v.withLeaving(t), true
 }
 
-// marked is a target as its row and the marks say.
-func (v *View) marked(t *targetEntry) Target {
+// withLeaving returns a target with Leaving set if its incarnation is recorded as leaving.
+func (v *View) withLeaving(t *targetEntry) Target {
 	target := t.Target
-	if m, ok := v.marks[target.ID]; ok && m.incarnation >= target.Incarnation {
+	if m, ok := v.leaving[target.ID]; ok && m.incarnation >= target.Incarnation {
 		target.Leaving = true
 	}
 	return target
@@ -237,7 +242,7 @@
 	seen := map[ident.Region]bool{}
 	var out []ident.Region
 	for _, t := range v.targets {
-		if t.Service == service && !t.gone && !seen[t.Region] {
+		if t.Service == service && !t.removed && !seen[t.Region] {
 			seen[t.Region] = true
 			out = append(out, t.Region)
 		}
--- a/internal/share/peer/view.go
+++ b/internal/share/peer/view.go
@@ -11,68 +11,72 @@
 	"valescale/internal/plat/table"
 )
 
-// Limits bounds what one digest carries and how long things are believed.
+// Limits contains the size limits of a digest and the timeouts of the membership view.
 type Limits struct {
-	// Members, Acks and Marks are how many of each one digest carries at most.
+	// Members, Acks and Leaving are the maximum numbers of entries of each kind in one digest.
 	Members int
 	Acks    int
-	Marks   int
-	// SuspectFor is how long a suspect router has to say that it is alive.
-	SuspectFor time.Duration
-	// DeadFor is how long a dead router is remembered, so that old news cannot revive it.
-	DeadFor time.Duration
-	// ListedGrace is how long a router that is only known from a list may not answer before
-	// it is suspect.
+	Leaving int
+	// SuspectTimeout is the time within which a suspect router can refute that it is dead.
+	SuspectTimeout time.Duration
+	// DeadTTL is the time for which a dead router is retained, so that outdated updates cannot
+	// revive it.
+	DeadTTL time.Duration
+	// ListedGrace is the time for which a router that is known only from a list is not made suspect
+	// by failed contacts.
 	ListedGrace time.Duration
-	// MissingLists is how many lists in a row must lack a target before it is gone; one
-	// list may be late or cut short.
+	// MissingLists is the number of consecutive lists without a target after which the target is
+	// removed; a single list may be late or truncated.
 	MissingLists int
-	// MarkFor is how long the mark of a target that is gone is remembered.
-	MarkFor time.Duration
+	// LeavingTTL is the time for which a leaving record is retained after its target is removed or
+	// replaced by a later incarnation.
+	LeavingTTL time.Duration
 }
 
-// DefaultLimits keep a digest under about a kilobyte.
+// DefaultLimits keep a digest below about one kilobyte.
 var DefaultLimits = Limits{
-	Members:    8,
-	Acks:       8,
-	Marks:      8,
-	SuspectFor: 3 * time.Second,
-	DeadFor:    10 * time.Minute,
-	MarkFor:    time.Hour,
+	Members:        8,
+	Acks:           8,
+	Leaving:        8,
+	SuspectTimeout: 3 * time.Second,
+	DeadTTL:        10 * time.Minute,
+	LeavingTTL:     time.Hour,
 
 	MissingLists: 2,
 }
 
-// View is one router's knowledge of routers and targets. It is not safe
-// for use by several goroutines at once.
+// View is one router's membership view of the routers and targets. It is not safe for concurrent
+// use.
 type View struct {
 	self    ident.Router
 	limits  Limits
 	members map[ident.Router]*memberEntry
 	byHash  map[uint32]ident.Router
 	targets map[ident.Target]*targetEntry
-	marks   map[ident.Target]*markEntry
+	leaving map[ident.Target]*leavingEntry
 	head    ident.Revision
 	era     table.Era
-	listed  bool
-	// onList are the live routers of the latest list.
-	onList map[ident.Router]bool
-	// version grows with each change that routing cares about.
+	// targetsListed is set after the first list of targets; the targets of that list have no slow
+	// start.
+	targetsListed bool
+	// listedLive contains the routers of the latest list and whether they are live.
+	listedLive map[ident.Router]bool
+	// version increases with each change that is relevant to routing.
 	version uint64
-	// memberVersion grows with those among them that are of routers.
+	// memberVersion increases with those of these changes that concern routers.
 	memberVersion uint64
-	// targetChanges are those among them that are of targets.
+	// targetChanges contains those of these changes that concern targets.
 	targetChanges changes[ident.Target]
-	// hash is the exclusive or of all members' digests.
+	// hash is the XOR of the state hashes of all members.
 	hash uint64
-	// sorted holds the members' ids in order, or nothing after one came or went.
+	// sorted caches the ids of the members in order; nil after a member was added or removed.
 	sorted []ident.Router
-	// mismatches counts digests in a row whose sender knew other members.
-	mismatches int
-	wantWhole  bool
+	// mismatches counts the consecutive digests with a different MembersHash.
+	mismatches     int
+	requestMembers bool
 }
 
-// NewView returns a view that knows only its own router.
+// NewView returns a view that contains only its own router.
 func NewView(now time.Time, self Member, limits Limits) *View {
 	v := &View{
 		self:    self.ID,
@@ -80,7 +84,7 @@
 		members: map[ident.Router]*memberEntry{},
 		byHash:  map[uint32]ident.Router{},
 		targets: map[ident.Target]*targetEntry{},
-		marks:   map[ident.Target]*markEntry{},
+		leaving: map[ident.Target]*leavingEntry{},
 	}
 	self.State = Live
 	self.Seq = firstSeq
@@ -88,24 +92,25 @@
 	return v
 }
 
-// Version grows with each change of routers or targets.
+// Version increases with each change of routers or targets.
 func (v *View) Version() uint64 { return v.version }
 
-// MemberVersion grows with each change of routers.
+// MemberVersion increases with each change of routers.
 func (v *View) MemberVersion() uint64 { return v.memberVersion }
 
-// TargetVersion grows with each change of targets.
+// TargetVersion increases with each change of targets.
 func (v *View) TargetVersion() uint64 { return v.targetChanges.count }
 
-// TargetsSince returns the targets that changed after a version; known is false if that was too long ago to tell.
+// TargetsSince returns the targets that changed after a version; known is false if the change log
+// no longer reaches back that far.
 func (v *View) TargetsSince(version uint64) (ids []ident.Target, known bool) {
 	return v.targetChanges.since(version)
 }
 
-// Self returns this router as the others are to see it.
+// Self returns the entry of this router as it is sent to peers.
 func (v *View) Self() Member { return v.members[v.self].Member }
 
-// Member returns one router.
+// Member returns the entry of one router.
 func (v *View) Member(id ident.Router) (Member, bool) {
 	e, ok := v.members[id]
 	if !ok {
@@ -114,23 +119,24 @@
 	return e.Member, true
 }
 
-// listedDoubt is for how long a router that is known from a list alone may have died before: its neighbours find out
-// within seconds, and tell.
-const listedDoubt = 10 * time.Second
+// recentListing is the time for which a router that is known only from a list may have died before
+// it was listed: its gossip peers detect that within seconds and report it.
+const recentListing = 10 * time.Second
 
-// Doubtful reports whether all that is known of a router is a list that named it a moment ago.
+// Doubtful reports whether a router is known only from a list that was received within
+// recentListing.
 func (v *View) Doubtful(now time.Time, id ident.Router) bool {
 	e, known := v.members[id]
-	return known && e.listed && now.Sub(e.changed) < listedDoubt
+	return known && e.listed && now.Sub(e.changed) < recentListing
 }
 
-// Members returns all routers that are remembered, in order of id.
+// Members returns all routers in the view, dead ones included, in order of id.
 func (v *View) Members() []Member { return slices.Collect(v.All()) }
 
-// All goes through all routers that are remembered, in order of id.
+// All iterates over all routers in the view, dead ones included, in order of id.
 func (v *View) All() iter.Seq[Member] {
 	return func(yield func(Member) bool) {
-		for _, id := range v.order() {
+		for _, id := range v.memberIDs() {
 			if !yield(v.members[id].Member) {
 				return
 			}
@@ -138,8 +144,8 @@
 	}
 }
 
-// Routers returns the ids of the live routers of a region, in order; an empty
-// region means all.
+// Routers returns the ids of the live routers of a region in order, or those of all regions if the
+// region is empty.
 func (v *View) Routers(region ident.Region) []ident.Router {
 	var out []ident.Router
 	for m := range v.All() {
@@ -161,7 +167,7 @@
 	return out
 }
 
-// setMember stores a member and starts passing it on.
+// setMember stores a member and schedules its update for the next digests.
 func (v *View) setMember(now time.Time, m Member) {
 	e, ok := v.members[m.ID]
 	if !ok {
@@ -170,7 +176,7 @@
 		v.sorted = nil
 		v.byHash[m.Hash()] = m.ID
 	} else {
-		v.hash ^= e.digest()
+		v.hash ^= e.stateHash()
 	}
 	if e.State != m.State || e.Incarnation != m.Incarnation || e.Addr != m.Addr || e.Cores != m.Cores {
 		v.memberChanged()
@@ -182,10 +188,10 @@
 	e.listed = false
 	e.changed = now
 	e.sent = 0
-	v.hash ^= m.digest()
+	v.hash ^= m.stateHash()
 }
 
-// mergeMember takes in one update and reports whether it was news.
+// mergeMember merges one update and reports whether it changed the view.
 func (v *View) mergeMember(now time.Time, m Member) bool {
 	if m.ID == v.self {
 		return v.refute(now, m)
@@ -198,14 +204,14 @@
 	return true
 }
 
-// refute answers news of this router that is not its own.
+// refute overrides an update about this router that did not originate from it.
 func (v *View) refute(now time.Time, m Member) bool {
 	self := v.Self()
 	if m.Incarnation < self.Incarnation || (m.Incarnation == self.Incarnation && !m.newer(self)) {
 		return false
 	}
 	if m.Incarnation > self.Incarnation {
-		// A later process runs under this id; this one must not fight it.
+		// A later process runs under this id; this one must not compete with it.
 		return false
 	}
 	self.Seq = m.Seq + 1
@@ -213,7 +219,7 @@
 	return true
 }
 
-// Leave marks this router as leaving, for good.
+// Leave sets the state of this router to Leaving, which is final.
 func (v *View) Leave(now time.Time) {
 	self := v.Self()
 	self.State = Leaving
@@ -221,7 +227,8 @@
 	v.setMember(now, self)
 }
 
-// ContactFailed notes that a router did not answer.
+// ContactFailed records that a router did not respond: a live router becomes suspect, a leaving one
+// dead.
 func (v *View) ContactFailed(now time.Time, id ident.Router) {
 	e, ok := v.members[id]
 	if !ok || id == v.self {
@@ -235,7 +242,7 @@
 	case Live:
 		m.State = Suspect
 	case Leaving:
-		// It said that it would go, and it has.
+		// The router announced that it would stop.
 		m.State = Dead
 	default:
 		return
@@ -243,45 +250,46 @@
 	v.setMember(now, m)
 }
 
-// Tick declares routers dead that were suspect, or leaving, for too long, and
-// forgets what is old.
+// Tick sets routers to Dead that were suspect for longer than SuspectTimeout and removes expired
+// entries.
 func (v *View) Tick(now time.Time) {
 	for id, e := range v.members {
 		age := now.Sub(e.changed)
 		switch {
 		case id == v.self:
-		case e.State == Suspect && age > v.limits.SuspectFor:
+		case e.State == Suspect && age > v.limits.SuspectTimeout:
 			m := e.Member
 			m.State = Dead
 			v.setMember(now, m)
-		case e.State == Dead && age > v.limits.DeadFor:
-			v.hash ^= e.digest()
+		case e.State == Dead && age > v.limits.DeadTTL:
+			v.hash ^= e.stateHash()
 			delete(v.byHash, e.Hash())
 			delete(v.members, id)
 			v.sorted = nil
 			v.memberChanged()
 		}
 	}
-	v.forgetMarks(now)
+	v.evictLeaving(now)
 }
 
-// memberChanged counts a change of a router.
+// memberChanged records a change of a router.
 func (v *View) memberChanged() {
 	v.version++
 	v.memberVersion++
 }
 
-// forgetMarks forgets the old marks of targets that are gone or have started anew.
-func (v *View) forgetMarks(now time.Time) {
-	for id, m := range v.marks {
+// evictLeaving removes the expired leaving records of targets that are removed or have a later
+// incarnation.
+func (v *View) evictLeaving(now time.Time) {
+	for id, m := range v.leaving {
 		t, known := v.targets[id]
-		if now.Sub(m.at) > v.limits.MarkFor && (!known || t.gone || t.Incarnation > m.incarnation) {
-			delete(v.marks, id)
+		if now.Sub(m.at) > v.limits.LeavingTTL && (!known || t.removed || t.Incarnation > m.incarnation) {
+			delete(v.leaving, id)
 		}
 	}
 }
 
-// SetRevision notes the revision in force here.
+// SetRevision records the revision in force at this router.
 func (v *View) SetRevision(revision ident.Revision) {
 	e := v.members[v.self]
 	if revision <= e.revision {
@@ -292,17 +300,18 @@
 	v.head = max(v.head, revision)
 }
 
-// RaiseHead notes a revision that this router has in force, for those who lack it, where nobody waits for
-// all to have it.
+// RaiseHead raises the head to a revision that is in force at this router without acknowledging it,
+// so that routers without it receive it. It is for revisions whose installation at all routers is
+// not awaited.
 func (v *View) RaiseHead(revision ident.Revision) { v.head = max(v.head, revision) }
 
-// RaiseEra notes an era of the store that this router has heard of.
+// RaiseEra raises the latest era of the store that this router has received.
 func (v *View) RaiseEra(era table.Era) { v.era = max(v.era, era) }
 
-// Head is the highest revision heard of.
+// Head returns the highest revision received.
 func (v *View) Head() ident.Revision { return v.head }
 
-// RevisionOf is the revision known to be in force at a router.
+// RevisionOf returns the revision that a router has acknowledged as in force.
 func (v *View) RevisionOf(id ident.Router) ident.Revision {
 	e, ok := v.members[id]
 	if !ok {
@@ -311,13 +320,13 @@
 	return e.revision
 }
 
-// Outstanding returns the routers that are not known to have a revision in force
-// and are not known to be gone. A router that does not answer is gone only once
-// the platform's list no longer has it: cut off from its peers, it may still serve.
+// Outstanding returns the routers that have not acknowledged a revision and are not known to have
+// stopped. A dead router counts as stopped only once the platform's list no longer contains it:
+// partitioned from its peers, it may still serve requests.
 func (v *View) Outstanding(revision ident.Revision) []ident.Router {
 	var out []ident.Router
 	for id, e := range v.members {
-		if (e.State != Dead || v.onList[id]) && e.revision < revision {
+		if (e.State != Dead || v.listedLive[id]) && e.revision < revision {
 			out = append(out, id)
 		}
 	}
@@ -325,9 +334,9 @@
 	return out
 }
 
-// spreadLimit is how often an update is passed on before it is left to the
-// comparison of hashes: a few times the logarithm of the number of routers.
-func (v *View) spreadLimit() int {
+// sendLimit is the number of times that an update is sent before later differences are left to the
+// comparison of hashes: a small multiple of the logarithm of the number of routers.
+func (v *View) sendLimit() int {
 	const times = 3
 	return times * bits.Len(uint(len(v.members)))
 }
--- a/internal/share/peer/view_test.go
+++ b/internal/share/peer/view_test.go
@@ -18,20 +18,20 @@
 
 var start = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// fleet is routers that exchange digests round by round, through the wire's form.
+// fleet is a set of routers that exchange digests round by round in wire form.
 type fleet struct {
-	t       *testing.T
-	now     time.Time
-	views   []*peer.View
-	ids     []ident.Router
-	rng     *rand.Rand
-	cut     func(a, b int) bool
-	largest int
-	bytes   int
+	t           *testing.T
+	now         time.Time
+	views       []*peer.View
+	ids         []ident.Router
+	rng         *rand.Rand
+	partitioned func(a, b int) bool
+	largest     int
+	bytes       int
 }
 
 func newFleet(t *testing.T, n int) *fleet {
-	f := &fleet{t: t, now: start, rng: rand.New(rand.NewPCG(1, 1)), cut: func(int, int) bool { return false }}
+	f := &fleet{t: t, now: start, rng: rand.New(rand.NewPCG(1, 1)), partitioned: func(int, int) bool { return false }}
 	for i := range n {
 		id := ident.Router(fmt.Sprintf("router-%03d", i))
 		self := peer.Member{
@@ -40,7 +40,7 @@
 		f.ids = append(f.ids, id)
 		f.views = append(f.views, peer.NewView(start, self, peer.DefaultLimits))
 	}
-	// All know all from the platform's list, as routers that start do.
+	// All routers receive the same list from the platform, as they do when they start.
 	var list []boxes.Box
 	for _, v := range f.views {
 		m := v.Self()
@@ -52,7 +52,7 @@
 	return f
 }
 
-// wire sends a digest through its encoding.
+// wire encodes and decodes a digest.
 func (f *fleet) wire(d peer.Digest) peer.Digest {
 	data, err := proto.Marshal(peer.Encode(time.Time{}, d))
 	if err != nil {
@@ -67,9 +67,9 @@
 	return peer.Decode(time.Time{}, &m)
 }
 
-// exchange is one call from a to b.
+// exchange runs one call from a to b.
 func (f *fleet) exchange(a, b int) {
-	if f.cut(a, b) {
+	if f.partitioned(a, b) {
 		f.views[a].ContactFailed(f.now, f.ids[b])
 		return
 	}
@@ -77,17 +77,17 @@
 	f.deliver(b, a, false)
 }
 
-func (f *fleet) deliver(from, to int, whole bool) {
-	news := f.views[to].Incoming(f.now, f.wire(f.views[from].Outgoing(f.ids[to], whole)))
-	if news.SendWhole && !whole {
+func (f *fleet) deliver(from, to int, full bool) {
+	update := f.views[to].Incoming(f.now, f.wire(f.views[from].Outgoing(f.ids[to], full)))
+	if update.SendMembers && !full {
 		f.deliver(to, from, true)
 	}
 }
 
-// index finds a router by its id.
+// index returns the position of a router by its id.
 func (f *fleet) index(id ident.Router) int { return slices.Index(f.ids, id) }
 
-// round lets a second pass in which each router calls one other.
+// round advances the time by a second and lets each router call one peer.
 func (f *fleet) round() {
 	f.now = f.now.Add(time.Second)
 	for a := range f.views {
@@ -98,23 +98,23 @@
 	}
 }
 
-// until counts the rounds until something holds.
-func (f *fleet) until(what string, limit int, holds func() bool) int {
+// until runs rounds until the condition holds and returns their number.
+func (f *fleet) until(description string, limit int, condition func() bool) int {
 	f.t.Helper()
 	for n := range limit + 1 {
-		if holds() {
+		if condition() {
 			return n
 		}
 		f.round()
 	}
-	f.t.Fatalf("not within %d rounds: %s", limit, what)
+	f.t.Fatalf("condition not reached within %d rounds: %s", limit, description)
 	return 0
 }
 
-func (f *fleet) all(holds func(*peer.View) bool) func() bool {
+func (f *fleet) all(condition func(*peer.View) bool) func() bool {
 	return func() bool {
 		for _, v := range f.views {
-			if !holds(v) {
+			if !condition(v) {
 				return false
 			}
 		}
@@ -122,13 +122,13 @@
 	}
 }
 
-// push lets a router that has just heard of a head tell some others at once, as
-// routers do, and returns the number of hops until nobody hears anything new.
+// push lets each router that receives a new head exchange digests with several peers immediately,
+// as routers do, and returns the number of hops until no router receives anything new.
 func (f *fleet) push(from int) int {
 	hops := 0
-	for fresh := []int{from}; len(fresh) > 0; hops++ {
+	for informed := []int{from}; len(informed) > 0; hops++ {
 		var next []int
-		for _, a := range fresh {
+		for _, a := range informed {
 			for _, m := range f.views[a].Pick(f.rng, peer.DefaultPace.Fanout) {
 				b := f.index(m.ID)
 				before := f.views[b].Head()
@@ -139,18 +139,18 @@
 				}
 			}
 		}
-		fresh = next
+		informed = next
 	}
 	return hops
 }
 
-// TestSpread counts the rounds, which are seconds, in which a revision is in force
+// TestRevisionPropagation counts the rounds, which are seconds, until a revision is in force
 // everywhere and acknowledged at its origin.
-func TestSpread(t *testing.T) {
+func TestRevisionPropagation(t *testing.T) {
 	for _, n := range []int{8, 400} {
 		t.Run(fmt.Sprint(n, " routers"), func(t *testing.T) {
 			f := newFleet(t, n)
-			f.until("all know all", 60, f.all(func(v *peer.View) bool {
+			f.until("all views contain all routers", 60, f.all(func(v *peer.View) bool {
 				for _, m := range v.Members() {
 					if m.Incarnation == 0 {
 						return false
@@ -173,110 +173,111 @@
 				}
 				return len(f.views[0].Outstanding(7)) == 0
 			}
-			const most = 6
-			rounds := f.until("in force everywhere and acknowledged", most, func() bool {
+			const limit = 6
+			rounds := f.until("in force everywhere and acknowledged", limit, func() bool {
 				for range 2 * peer.DefaultPace.Fanout {
 					f.exchange(0, f.rng.IntN(n))
 				}
 				return acknowledged()
 			})
-			t.Logf("pushed to %d of %d routers in %d hops, acknowledged by all after %d more rounds, largest digest %d bytes",
+			t.Logf("pushed to %d of %d routers in %d hops, acknowledged by all after %d further rounds, largest digest %d bytes",
 				reached, n, hops, rounds, f.largest)
 			if f.largest > 1200 {
-				t.Errorf("a digest has %d bytes", f.largest)
+				t.Errorf("digest takes %d bytes, want at most 1200", f.largest)
 			}
 		})
 	}
 }
 
-// Without the push ahead of them, rounds alone bring a head to everybody.
-func TestHeadByRoundsAlone(t *testing.T) {
+// Regular rounds alone bring a head to all routers, without triggered exchanges.
+func TestHeadPropagationByRounds(t *testing.T) {
 	f := newFleet(t, 400)
 	f.views[0].SetRevision(7)
-	rounds := f.until("the head is known", 12, f.all(func(v *peer.View) bool { return v.Head() == 7 }))
-	t.Logf("head known at 400 routers after %d rounds", rounds)
+	rounds := f.until("all views have the head", 12, f.all(func(v *peer.View) bool { return v.Head() == 7 }))
+	t.Logf("head received by 400 routers after %d rounds", rounds)
 }
 
-func live(addr string, incarnation ident.Incarnation, state boxes.State) []boxes.Box {
+func engineList(addr string, incarnation ident.Incarnation, state boxes.State) []boxes.Box {
 	return []boxes.Box{{ID: "engine-1", Role: boxes.TargetRole, Addr: addr, Service: "judge", Region: "r", State: state, Incarnation: incarnation}}
 }
 
-func TestLeavingIsStickyForAnIncarnation(t *testing.T) {
+func TestLeavingIsFinalForIncarnation(t *testing.T) {
 	v := peer.NewView(start, peer.Member{ID: "a"}, peer.DefaultLimits)
-	v.ObserveList(start, live("x", 1, boxes.Live))
+	v.ObserveList(start, engineList("x", 1, boxes.Live))
 	v.MarkLeaving(start, peer.Mark{Target: "engine-1", Incarnation: 1})
-	// The list lags and still says live; an old incarnation's mark comes late.
-	v.ObserveList(start, live("x", 1, boxes.Live))
+	// The list lags and still contains the target as live.
+	v.ObserveList(start, engineList("x", 1, boxes.Live))
 	if got := v.Targets("judge", "r"); len(got) != 1 || !got[0].Leaving {
 		t.Errorf("got %+v, want leaving", got)
 	}
-	v.ObserveList(start, live("x", 2, boxes.Live))
+	v.ObserveList(start, engineList("x", 2, boxes.Live))
+	// The leaving record of an earlier incarnation arrives late.
 	v.MarkLeaving(start, peer.Mark{Target: "engine-1", Incarnation: 1})
 	if got := v.Targets("judge", "r"); got[0].Leaving {
-		t.Error("a new incarnation is still leaving")
+		t.Error("later incarnation is still leaving")
 	}
-	v.ObserveList(start, live("x", 1, boxes.Leaving))
+	v.ObserveList(start, engineList("x", 1, boxes.Leaving))
 	if got := v.Targets("judge", "r"); got[0].Leaving || got[0].Incarnation != 2 {
-		t.Error("an old list brought the earlier incarnation back")
+		t.Error("outdated list restored the earlier incarnation")
 	}
 }
 
-func TestMissingOnceIsNotGone(t *testing.T) {
+func TestTargetRemovedAfterMissingLists(t *testing.T) {
 	v := peer.NewView(start, peer.Member{ID: "a"}, peer.DefaultLimits)
-	v.ObserveList(start, live("x", 1, boxes.Live))
+	v.ObserveList(start, engineList("x", 1, boxes.Live))
 	v.ObserveList(start, nil)
 	if len(v.Targets("judge", "r")) != 1 {
-		t.Error("gone after one list without it")
+		t.Error("target removed after one list without it")
 	}
 	v.ObserveList(start, nil)
 	if len(v.Targets("judge", "r")) != 0 {
-		t.Error("still there after two lists without it")
+		t.Error("target not removed after two lists without it")
 	}
 	later := start.Add(10 * time.Second)
-	v.ObserveList(later, live("x", 1, boxes.Live))
+	v.ObserveList(later, engineList("x", 1, boxes.Live))
 	first := v.Targets("judge", "r")[0].Joined
 	for range 2 {
 		v.ObserveList(later, nil)
 		v.ObserveList(later, nil)
-		v.ObserveList(later, live("x", 1, boxes.Live))
+		v.ObserveList(later, engineList("x", 1, boxes.Live))
 	}
 	if again := v.Targets("judge", "r")[0].Joined; !again.After(first) {
-		t.Error("a flapping target starts as fast as a steady one")
+		t.Error("slow start of a flapping target is not delayed")
 	}
 }
 
-func TestDeadRouterIsNoticedAndWrongNewsRefuted(t *testing.T) {
+func TestDeadRouterDetectedAndRefuted(t *testing.T) {
 	f := newFleet(t, 20)
-	f.until("all know all", 30, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 20 }))
-	f.cut = func(a, b int) bool { return a == 3 || b == 3 }
+	f.until("all views contain all routers", 30, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 20 }))
+	f.partitioned = func(a, b int) bool { return a == 3 || b == 3 }
 	dead := func(v *peer.View) bool {
 		m, _ := v.Member("router-003")
 		return m.ID == v.Self().ID || m.State == peer.Dead
 	}
 	f.until("router 3 is dead", 20, f.all(dead))
-	f.cut = func(int, int) bool { return false }
-	f.until("router 3 is back", 30, f.all(func(v *peer.View) bool {
+	f.partitioned = func(int, int) bool { return false }
+	f.until("router 3 is live again", 30, f.all(func(v *peer.View) bool {
 		m, _ := v.Member("router-003")
 		return m.State == peer.Live
 	}))
 }
 
-func TestTwoHalvesJoinAgain(t *testing.T) {
+func TestPartitionHeals(t *testing.T) {
 	f := newFleet(t, 20)
 	half := func(i int) bool { return i%2 == 0 }
-	f.cut = func(a, b int) bool { return half(a) != half(b) }
-	f.until("each half holds the other dead", 40, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 10 }))
-	f.cut = func(int, int) bool { return false }
+	f.partitioned = func(a, b int) bool { return half(a) != half(b) }
+	f.until("each half considers the other dead", 40, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 10 }))
+	f.partitioned = func(int, int) bool { return false }
 	f.until("all are live again", 40, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 20 }))
 }
 
-// A region is cut off for two minutes. Meanwhile a change cannot be accepted, since
-// its routers are still on the platform's list; afterwards it reaches them soon.
-func TestRegionCutOff(t *testing.T) {
+// A region is partitioned for two minutes. During that time a change cannot be accepted, since the
+// region's routers are still on the platform's list; afterwards it reaches them within 20 rounds.
+func TestRegionPartition(t *testing.T) {
 	f := newFleet(t, 25)
-	f.until("all know all", 40, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 25 }))
+	f.until("all views contain all routers", 40, f.all(func(v *peer.View) bool { return len(v.Routers("")) == 25 }))
 	region := func(i int) bool { return i%5 == 0 }
-	f.cut = func(a, b int) bool { return region(a) != region(b) }
+	f.partitioned = func(a, b int) bool { return region(a) != region(b) }
 	for range 60 {
 		f.round()
 	}
@@ -285,29 +286,29 @@
 		f.round()
 		for i, v := range f.views {
 			if region(i) != region(1) && v.Head() != 0 {
-				t.Fatal("a head crossed the cut")
+				t.Fatal("head received across the partition")
 			}
 			v.SetRevision(v.Head())
 		}
 	}
 	if got := len(f.views[1].Outstanding(9)); got != 5 {
-		t.Errorf("%d routers outstanding, want the 5 that are cut off", got)
+		t.Errorf("%d routers outstanding, want the 5 in the partitioned region", got)
 	}
-	f.cut = func(int, int) bool { return false }
+	f.partitioned = func(int, int) bool { return false }
 	rounds := f.until("in force and acknowledged everywhere", 20, func() bool {
 		for _, v := range f.views {
 			v.SetRevision(v.Head())
 		}
 		return len(f.views[1].Outstanding(9)) == 0
 	})
-	t.Logf("in force everywhere %d rounds after the cut", rounds)
+	t.Logf("in force everywhere %d rounds after the partition", rounds)
 }
 
 func TestLeavingRouterStaysLeaving(t *testing.T) {
 	f := newFleet(t, 8)
-	f.until("all know all", 20, f.all(func(v *peer.View) bool { return len(v.Members()) == 8 }))
+	f.until("all views contain all routers", 20, f.all(func(v *peer.View) bool { return len(v.Members()) == 8 }))
 	f.views[2].Leave(f.now)
-	f.until("all know that router 2 leaves", 20, f.all(func(v *peer.View) bool {
+	f.until("all views have router 2 as leaving", 20, f.all(func(v *peer.View) bool {
 		m, _ := v.Member("router-002")
 		return m.State == peer.Leaving
 	}))
@@ -315,23 +316,23 @@
 	m.State, m.Seq = peer.Live, m.Seq+5
 	f.views[0].Incoming(f.now, peer.Digest{From: "x", Members: []peer.Member{m}})
 	if got, _ := f.views[0].Member("router-002"); got.State != peer.Leaving {
-		t.Errorf("a leaving router became %s", got.State)
+		t.Errorf("leaving router became %s", got.State)
 	}
 	f.views[0].ContactFailed(f.now, "router-002")
 	if got, _ := f.views[0].Member("router-002"); got.State != peer.Dead {
-		t.Errorf("a leaving router that has gone is %s", got.State)
+		t.Errorf("leaving router that does not respond is %s", got.State)
 	}
 }
 
-// A router that is only known from a list has a moment to come up before it is suspect, whether the list names its
-// start or not.
-func TestListedRouterThatIsNotUpYet(t *testing.T) {
+// A router that is known only from a list has a grace period to start before it becomes suspect,
+// whether the list contains its incarnation or not.
+func TestListedRouterGrace(t *testing.T) {
 	for _, incarnation := range []ident.Incarnation{0, 7} {
-		listedRouterThatIsNotUpYet(t, incarnation)
+		checkListedRouterGrace(t, incarnation)
 	}
 }
 
-func listedRouterThatIsNotUpYet(t *testing.T, incarnation ident.Incarnation) {
+func checkListedRouterGrace(t *testing.T, incarnation ident.Incarnation) {
 	limits := peer.DefaultLimits
 	limits.ListedGrace = 600 * time.Millisecond
 	now := time.Unix(1000, 0)
@@ -357,9 +358,10 @@
 	if diff := cmp.Diff([]ident.Router{"router-001", "router-002"}, v.Outstanding(2)); diff != "" {
 		t.Error(diff)
 	}
-	// A router that does not answer may still serve until the platform's list drops it.
+	// A router that does not respond may still serve requests until the platform's list no longer
+	// contains it.
 	v.ContactFailed(f.now, "router-002")
-	v.Tick(f.now.Add(peer.DefaultLimits.SuspectFor * 2))
+	v.Tick(f.now.Add(peer.DefaultLimits.SuspectTimeout * 2))
 	if diff := cmp.Diff(2, len(v.Outstanding(2))); diff != "" {
 		t.Error(diff)
 	}
@@ -367,7 +369,7 @@
 	if diff := cmp.Diff([]ident.Router{"router-001"}, v.Outstanding(2)); diff != "" {
 		t.Error(diff)
 	}
-	// What a router's earlier process had in force says nothing of the next one.
+	// The revision in force at a router's earlier process is not attributed to the next one.
 	f.views[1].SetRevision(2)
 	f.exchange(1, 0)
 	if diff := cmp.Diff(0, len(v.Outstanding(2))); diff != "" {
@@ -381,43 +383,46 @@
 	}
 }
 
-// Routers that are known before the first targets do not make those targets newcomers,
-// which get a small share at first.
-func TestFirstTargetsAreNoNewcomers(t *testing.T) {
+// Routers that are received before the first list of targets do not subject those targets to a slow
+// start, in which they get a small share of the requests.
+func TestFirstTargetsSkipSlowStart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	v := peer.NewView(now, peer.Member{ID: "self", Region: "co"}, peer.DefaultLimits)
 	v.ObserveRouters(now, []boxes.Box{{ID: "other", Role: boxes.RouterRole, Region: "co", State: boxes.Live}})
 	v.ObserveList(now.Add(time.Second), []boxes.Box{{ID: "t", Role: boxes.TargetRole, Service: "s", Region: "co", State: boxes.Live, Incarnation: 1}})
 	targets := v.Targets("s", "co")
 	if len(targets) != 1 || !targets[0].Joined.IsZero() {
-		t.Errorf("got %+v, want a target that has been there all along", targets)
+		t.Errorf("got %+v, want one target without a slow start", targets)
 	}
 }
 
-// A router that starts hears from the others what era they know, and so takes the first answer of a store that has
-// come back from an older copy since for one of a later era.
-func TestErasAreToldOf(t *testing.T) {
+// A router that starts receives the era from its peers. It can therefore tell that the store has
+// been restored from an older snapshot in the meantime: the first response of the store belongs to
+// a later era.
+func TestErasPropagate(t *testing.T) {
 	now := time.Unix(1000, 0)
-	known, starts := peer.NewView(now, peer.Member{ID: "a"}, peer.DefaultLimits), peer.NewView(now, peer.Member{ID: "b"}, peer.DefaultLimits)
-	known.RaiseEra(1)
-	if news := starts.Incoming(now, known.Outgoing("b", true)); news.Era != 1 {
-		t.Errorf("era %d is heard of, want 1", news.Era)
+	running, starting := peer.NewView(now, peer.Member{ID: "a"}, peer.DefaultLimits), peer.NewView(now, peer.Member{ID: "b"}, peer.DefaultLimits)
+	running.RaiseEra(1)
+	if update := starting.Incoming(now, running.Outgoing("b", true)); update.Era != 1 {
+		t.Errorf("received era %d, want 1", update.Era)
 	}
-	if news := starts.Incoming(now, known.Outgoing("b", false)); news.Era != 0 {
-		t.Error("an era is news twice")
+	if update := starting.Incoming(now, running.Outgoing("b", false)); update.Era != 0 {
+		t.Error("era reported as new twice")
 	}
-	known.RaiseEra(3)
-	known.RaiseEra(2)
-	if news := starts.Incoming(now, known.Outgoing("b", false)); news.Era != 3 {
-		t.Errorf("era %d is heard of, want 3", news.Era)
+	running.RaiseEra(3)
+	running.RaiseEra(2)
+	if update := starting.Incoming(now, running.Outgoing("b", false)); update.Era != 3 {
+		t.Errorf("received era %d, want 3", update.Era)
 	}
 }
 
-// Found by arithmetic: a router of a thousand that exchanges news with anyone, five times a second in both directions,
-// makes a new connection for nearly each, and holds hundreds after a minute. It keeps to a few, over which news still
-// reaches all in as many rounds, in a fleet of several availability zones too; who dies is replaced, the others stay.
-func TestRoutersKeepToTheirNeighbours(t *testing.T) {
-	const routers, zones, most = 300, 6, 16
+// Guards against a growing number of connections: a router in a fleet of a thousand that exchanges
+// digests with random peers, five times a second in both directions, opens a new connection for
+// nearly every exchange and holds hundreds after a minute. It uses a small fixed set of peers
+// instead, over which updates still reach all routers in as many rounds, also in a fleet of several
+// availability zones. A router that dies is replaced; the others remain selected.
+func TestGossipPeersAreStable(t *testing.T) {
+	const routers, zones, limit = 300, 6, 16
 	f := newFleet(t, 0)
 	var list []boxes.Box
 	for i := range routers {
@@ -430,7 +435,7 @@
 	for _, v := range f.views {
 		v.ObserveList(start, list)
 	}
-	picked := func() map[ident.Router]bool {
+	pickedPeers := func() map[ident.Router]bool {
 		out := map[ident.Router]bool{}
 		for range 1000 {
 			for _, m := range f.views[0].Pick(f.rng, 1) {
@@ -441,36 +446,38 @@
 		}
 		return out
 	}
-	before := picked()
-	if len(before) > most {
-		t.Errorf("news is exchanged with %d routers, want %d at most", len(before), most)
+	before := pickedPeers()
+	if len(before) > limit {
+		t.Errorf("digests are exchanged with %d routers, want at most %d", len(before), limit)
 	}
 	var first ident.Router
 	for id := range before {
 		first = max(first, id)
 	}
 	f.views[0].Incoming(f.now, peer.Digest{Members: []peer.Member{{ID: first, Incarnation: 1, State: peer.Dead, Seq: 1}}})
-	after := picked()
-	stayed := 0
+	after := pickedPeers()
+	remaining := 0
 	for id := range after {
 		if before[id] {
-			stayed++
+			remaining++
 		}
 	}
-	if diff := cmp.Diff([]int{len(before), len(before) - 1}, []int{len(after), stayed}); diff != "" {
-		t.Errorf("neighbours, and those that stayed after one died: %s", diff)
+	if diff := cmp.Diff([]int{len(before), len(before) - 1}, []int{len(after), remaining}); diff != "" {
+		t.Errorf("number of peers, and of those that remain after one died: %s", diff)
 	}
 	f.views[1].SetRevision(7)
-	rounds := f.until("all know the head", 10, f.all(func(v *peer.View) bool { return v.Head() == 7 }))
-	t.Logf("a head reaches all after %d rounds", rounds)
+	rounds := f.until("all views have the head", 10, f.all(func(v *peer.View) bool { return v.Head() == 7 }))
+	t.Logf("head received by all after %d rounds", rounds)
 }
 
-// Seen: a router that started among 300 logged each of the others twice, as its row named it and as it named itself,
-// looked at all homes anew for both, and asked others for their whole lists until news had gone round.
+// Guards against redundant updates at start: a router that started among 300 logged each of the
+// others twice, once from its row and once from its own update, recomputed all homes for both, and
+// requested full member lists until the updates had spread.
 //
-// Cause: a row names the start of its router, but was taken for less than what the router says of itself, so that no
-// two routers knew the same until each had heard from each.
-func TestRoutersThatReadTheSameListAgree(t *testing.T) {
+// The cause was that a row, although it contains the incarnation of its router, ranked below the
+// update of the router itself, so that no two views were equal until each had received updates from
+// all routers.
+func TestSameListGivesSameView(t *testing.T) {
 	members := []peer.Member{
 		{ID: "a", Addr: "10.0.0.1:1", Region: "co", Incarnation: 5, Cores: 1}, {ID: "b", Addr: "10.0.0.2:1", Region: "co", Incarnation: 6, Cores: 2},
 	}
@@ -489,18 +496,19 @@
 		b.Incoming(start, a.Outgoing("b", false))
 	}
 	if diff := cmp.Diff(before, a.Version()); diff != "" {
-		t.Errorf("changes of the view that routers make which know the same: %s", diff)
+		t.Errorf("view version changed by digests of a router with the same members: %s", diff)
 	}
 	if d := a.Outgoing("b", false); d.Whole || d.MembersHash != b.Outgoing("a", false).MembersHash {
-		t.Error("two routers that read the same list do not agree")
+		t.Error("views of two routers that read the same list differ")
 	}
 	// What is known of a router otherwise still goes before its row.
 	a.Incoming(start, peer.Digest{Members: []peer.Member{{ID: "b", Incarnation: 6, State: peer.Dead, Seq: 1}}})
+	// Updates from peers still take precedence over the row.
 	a.ObserveRouters(start, list)
 	if m, _ := a.Member("b"); m.State != peer.Dead {
-		t.Errorf("a dead router is %s again by its row", m.State)
+		t.Errorf("dead router became %s by its row", m.State)
 	}
 	if a.Doubtful(start, "b") || !b.Doubtful(start, "a") || b.Doubtful(start.Add(time.Minute), "a") {
-		t.Error("routers that others told of, or that were listed long ago, are doubtful, or one listed just now is not")
+		t.Error("Doubtful: want false for a router reported by a peer or listed a minute ago, true for one listed just now")
 	}
 }
