--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -124,9 +124,8 @@
 func (n *Node) Spread() {
 	select {
 	case n.trigger <- struct{}{}:
-	// An exchange is already requested.
 	default:
-		// It is asked for already.
+		// An exchange is already requested.
 	}
 }
 
--- a/internal/share/peer/view_test.go
+++ b/internal/share/peer/view_test.go
@@ -501,9 +501,8 @@
 	if d := a.Outgoing("b", false); d.Whole || d.MembersHash != b.Outgoing("a", false).MembersHash {
 		t.Error("views of two routers that read the same list differ")
 	}
-	// What is known of a router otherwise still goes before its row.
-	a.Incoming(start, peer.Digest{Members: []peer.Member{{ID: "b", Incarnation: 6, State: peer.Dead, Seq: 1}}})
 	// Updates from peers still take precedence over the row.
+	a.Incoming(start, peer.Digest{Members: []peer.Member{{ID: "b", Incarnation: 6, State: peer.Dead, Seq: 1}}})
 	a.ObserveRouters(start, list)
 	if m, _ := a.Member("b"); m.State != peer.Dead {
 		t.Errorf("dead router became %s by its row", m.State)
