--- a/internal/oper/node/ahead.go
+++ b/internal/oper/node/ahead.go
@@ -15,15 +15,15 @@
 const (
 	// aheadWait is how long a later configuration that another router tells of may take to come the usual way:
 	// it does within half a second, and must be in force within two.
-	aheadWait = time.Second
+	catchUpDelay = time.Second
 	// aheadAsked is how many routers are asked for it then, one after the other.
-	aheadAsked = 4
+	maxCatchUpPeers = 4
 )
 
 // heardRevision follows a router's word of a later configuration than any known.
-func (n *Node) heardRevision(_ ident.Revision, from ident.Router) {
+func (n *Node) laterRevisionReported(_ ident.Revision, from ident.Router) {
 	select {
-	case n.ahead <- from:
+	case n.aheadPeer <- from:
 	default:
 		// Another one is to be asked already.
 	}
@@ -36,17 +36,17 @@
 		select {
 		case <-ctx.Done():
 			return
-		case from := <-n.ahead:
-			pause.For(ctx, aheadWait)
-			n.askAhead(ctx, from)
+		case from := <-n.aheadPeer:
+			pause.For(ctx, catchUpDelay)
+			n.pullFromPeers(ctx, from)
 		}
 	}
 }
 
 // askAhead asks routers in turn until this one is not behind.
-func (n *Node) askAhead(ctx context.Context, from ident.Router) {
-	others := append([]ident.Router{from}, slices.DeleteFunc(peerRows{n}.Others(), func(r ident.Router) bool { return r == from })...)
-	for _, id := range others[:min(len(others), aheadAsked)] {
+func (n *Node) pullFromPeers(ctx context.Context, from ident.Router) {
+	candidates := append([]ident.Router{from}, slices.DeleteFunc(peerRows{n}.Others(), func(r ident.Router) bool { return r == from })...)
+	for _, id := range candidates[:min(len(candidates), maxCatchUpPeers)] {
 		if ctx.Err() != nil || !n.behind() {
 			return
 		}
--- a/internal/oper/node/announce_test.go
+++ b/internal/oper/node/announce_test.go
@@ -8,19 +8,19 @@
 )
 
 // tries are moments at which routers write their rows, in order.
-type tries []try
+type attemptQueue []attempt
 
 // try is one router's.
-type try struct {
+type attempt struct {
 	at     time.Duration
 	router int
 }
 
-func (t tries) Len() int           { return len(t) }
-func (t tries) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t tries) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *tries) Push(x any)        { *t = append(*t, x.(try)) }
-func (t *tries) Pop() any {
+func (t attemptQueue) Len() int           { return len(t) }
+func (t attemptQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t attemptQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *attemptQueue) Push(x any)        { *t = append(*t, x.(attempt)) }
+func (t *attemptQueue) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
@@ -33,30 +33,30 @@
 // theirs at once, and those refused tried again each half second, together.
 //
 // Cause: a fixed pause between tries. Refusals grow with the square of the fleet.
-func TestThousandsOfRoutersAnnounceThemselves(t *testing.T) {
+func TestAnnounceRetriesInALargeFleet(t *testing.T) {
 	const perSecond, queue = 200, 200
 	for _, routers := range []int{60, 986, 2000} {
 		rng := rand.New(rand.NewPCG(uint64(routers), 1))
-		var due tries
+		var due attemptQueue
 		rngs := make([]*rand.Rand, routers)
 		for i := range routers {
 			rngs[i] = rand.New(rand.NewPCG(uint64(i), announceSalt))
-			due = append(due, try{at: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), router: i})
+			due = append(due, attempt{at: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), router: i})
 		}
 		heap.Init(&due)
 		calls, last := 0, time.Duration(0)
 		// free is when the rows have taken all writes that wait.
-		free := time.Duration(0)
+		writerFreeAt := time.Duration(0)
 		for len(due) > 0 {
-			next := heap.Pop(&due).(try)
+			next := heap.Pop(&due).(attempt)
 			calls++
-			if free-next.at > queue*time.Second/perSecond {
-				next.at += announceAgain(rngs[next.router])
+			if writerFreeAt-next.at > queue*time.Second/perSecond {
+				next.at += announceRetryDelay(rngs[next.router])
 				heap.Push(&due, next)
 				continue
 			}
-			free = max(free, next.at) + time.Second/perSecond
-			last = max(last, free)
+			writerFreeAt = max(writerFreeAt, next.at) + time.Second/perSecond
+			last = max(last, writerFreeAt)
 		}
 		perRouter := float64(calls) / float64(routers)
 		t.Logf("%d routers: %.2f calls each, all written after %v", routers, perRouter, last)
--- a/internal/oper/node/budget.go
+++ b/internal/oper/node/budget.go
@@ -9,54 +9,54 @@
 )
 
 // budget keeps this router's part of the fleet's retries, by service.
-type budget struct {
+type retryBudget struct {
 	// fleet is how many routers share the allowance.
-	fleet func() int
+	fleetSize func() int
 
-	mu      sync.Mutex
-	allowed retry.Allowance
-	windows map[ident.Service]*retry.Window
+	mu        sync.Mutex
+	allowance retry.Allowance
+	windows   map[ident.Service]*retry.Window
 	// began is since when this router has used nothing that is not in the windows.
-	began time.Time
+	start time.Time
 }
 
 // newBudget returns the budget of a router that starts now.
-func newBudget(now time.Time, allowed retry.Allowance, fleet func() int) *budget {
-	return &budget{allowed: allowed, fleet: fleet, began: now, windows: map[ident.Service]*retry.Window{}}
+func newRetryBudget(now time.Time, allowance retry.Allowance, fleetSize func() int) *retryBudget {
+	return &retryBudget{allowance: allowance, fleetSize: fleetSize, start: now, windows: map[ident.Service]*retry.Window{}}
 }
 
 // window returns a service's window; the caller holds the lock. It counts from the router's start, not from the service's
 // first request: a router that sees one in some seconds would have no retry for its first ones.
-func (b *budget) window(service ident.Service) *retry.Window {
+func (b *retryBudget) window(service ident.Service) *retry.Window {
 	w, ok := b.windows[service]
 	if !ok {
-		w = retry.NewWindow(b.began, b.allowed)
+		w = retry.NewWindow(b.start, b.allowance)
 		b.windows[service] = w
 	}
 	return w
 }
 
 // Request notes a caller's request to a service.
-func (b *budget) Request(service ident.Service, now time.Time) {
+func (b *retryBudget) Request(service ident.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(service).Request(now)
 }
 
 // Retry uses one of the service's retries if there is one.
-func (b *budget) Retry(service ident.Service, now time.Time) bool {
+func (b *retryBudget) Retry(service ident.Service, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	return b.window(service).Retry(now, b.fleet())
+	return b.window(service).Retry(now, b.fleetSize())
 }
 
 // allow changes the allowance; what was used of the earlier one counts no more.
-func (b *budget) allow(now time.Time, allowed retry.Allowance) {
+func (b *retryBudget) setAllowance(now time.Time, allowance retry.Allowance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
-	if b.allowed == allowed {
+	if b.allowance == allowance {
 		return
 	}
-	b.allowed, b.began = allowed, now
+	b.allowance, b.start = allowance, now
 	clear(b.windows)
 }
--- a/internal/oper/node/budget_test.go
+++ b/internal/oper/node/budget_test.go
@@ -17,11 +17,11 @@
 //
 // Cause: the time for which a router's earlier process may have used its part was counted from the first request,
 // in place of from the start of the process.
-func TestFirstRequestsOfALargeFleetHaveRetries(t *testing.T) {
+func TestRetryBudgetOfFirstRequestsInALargeFleet(t *testing.T) {
 	const routers = 986
 	allowance := retry.Allowance{Ratio: 0.2, Extra: 1040, Span: 10 * time.Second}
 	start := time.Unix(1000, 0)
-	b := newBudget(start, allowance, func() int { return routers })
+	b := newRetryBudget(start, allowance, func() int { return routers })
 	got := map[string]bool{}
 	b.Request("early", start.Add(time.Second))
 	got["in the first second of the process"] = b.Retry("early", start.Add(time.Second))
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -29,11 +29,11 @@
 	permitTimeout = 100 * time.Millisecond
 	// gossipEvery is how often a router exchanges news with another. Homes are right only
 	// once views agree; a digest has some hundred bytes.
-	gossipEvery = 400 * time.Millisecond
+	gossipInterval = 400 * time.Millisecond
 	// startSpread is how far apart routers may start that start together: 0.3 s on the
 	// platform, and what a small box needs to come up. Until then those that are up would
 	// each leave out others and disagree on who is home of what.
-	startSpread = 600 * time.Millisecond
+	maxStartSpread = 600 * time.Millisecond
 )
 
 // build makes the parts and connects them.
@@ -42,7 +42,7 @@
 	n.board = feed.NewBoard(n.Logger, n.Clock)
 	n.board.OnRestored(func(table.Era) {
 		select {
-		case n.restored <- struct{}{}:
+		case n.storeRestored <- struct{}{}:
 		default:
 			// It is asked for already.
 		}
@@ -51,14 +51,14 @@
 	n.roles.Consult(true)
 	n.state = newState(n.Rows, n.Logger, n.Clock)
 	n.buildPeers(s)
-	n.buildTrials(s)
+	n.buildRollouts(s)
 	n.buildGuard()
 	n.buildMesh(s)
 	n.followTables()
 	n.buildEntry(s)
-	n.puller = feed.NewPuller(n.board, peerRows{n}, n.tables(), feed.DefaultPace, n.roles, n.Logger, n.Clock)
+	n.puller = feed.NewPuller(n.board, peerRows{n}, n.followedTables(), feed.DefaultPace, n.roles, n.Logger, n.Clock)
 	// Routers that an earlier process of the fleet knew can be asked at once.
-	n.observe()
+	n.updateRouters()
 }
 
 // buildPeers makes what knows the other routers.
@@ -72,70 +72,70 @@
 	limits := peer.DefaultLimits
 	// The store's rows are whole and in order; one reading without a row is enough.
 	limits.MissingLists = 1
-	limits.ListedGrace = startSpread
+	limits.ListedGrace = maxStartSpread
 	view := peer.NewView(now, n.self, limits)
 	pace := peer.DefaultPace
-	pace.Gossip = gossipEvery
+	pace.Gossip = gossipInterval
 	n.peers = peer.NewNode(view, clients, nil, pace, n.otherSeeds(s.Seeds), n.self.Seed(), n.Clock)
 }
 
 // buildTrials makes what follows orders to move services to other versions.
-func (n *Node) buildTrials(s *Settings) {
-	n.trials = newTrials(s.TrialShare, n.self.Seed(), n.Logger, n.Clock)
-	n.state.nameOf, n.state.onTrial = n.trials.nameOf, n.trials.onTrial
-	n.peers.SetTrials(n.trials)
+func (n *Node) buildRollouts(s *Settings) {
+	n.rollouts = newRollouts(s.TrialShare, n.self.Seed(), n.Logger, n.Clock)
+	n.state.serviceName, n.state.hasCanary = n.rollouts.serviceName, n.rollouts.hasCanary
+	n.peers.SetTrials(n.rollouts)
 }
 
 // buildGuard makes what holds requests back that targets end under.
 func (n *Node) buildGuard() {
 	conns, closeConns := relay.NewConns(relay.DefaultConnLimits)
 	n.conns = conns
-	guarding, closeGuard := guard.New(guard.Parts{
-		Prober: conns, Store: heldRows{n.Store}, Logger: n.Logger, Clock: n.Clock, Reads: n.reads, Spread: n.peers.Spread,
+	g, closeGuard := guard.New(guard.Parts{
+		Prober: conns, Store: quarantineRows{n.Store}, Logger: n.Logger, Clock: n.Clock, Reads: n.isStoreReader, Spread: n.peers.Spread,
 	})
-	n.guard = guarding
+	n.guard = g
 	n.cleanups = append(n.cleanups, closeConns, closeGuard)
-	n.peers.SetCrashes(guarding)
+	n.peers.SetCrashes(g)
 }
 
 // reads reports whether this router reads the store for its availability zone.
-func (n *Node) reads() bool {
+func (n *Node) isStoreReader() bool {
 	reader, _ := n.roles.Reader()
 	return reader
 }
 
 // heldRows are the rows of requests held back in the store.
-type heldRows struct{ Store }
+type quarantineRows struct{ Store }
 
 // Held returns the rows.
-func (h heldRows) Held(ctx context.Context) ([]table.Row, error) {
+func (h quarantineRows) Held(ctx context.Context) ([]table.Row, error) {
 	page, err := h.All(ctx, guard.Table)
 	return page.Rows, err
 }
 
 // buildMesh makes what counts, places and shares requests with the other routers.
 func (n *Node) buildMesh(s *Settings) {
-	n.homes = home.New(s.ID, home.DefaultLimits, n.Clock, noRate)
+	n.homes = home.New(s.ID, home.DefaultLimits, n.Clock, noRateLimit)
 	n.homes.OnBlocked(n.logBlocked)
-	first := mesh.FirstPermit(n.self.Incarnation)
-	remote, closeLinks := home.NewRemote(home.Edge{ID: s.ID, Zone: s.Zone, Base: first}, n.homes, n.peers, permitTimeout)
+	firstPermit := mesh.FirstPermit(n.self.Incarnation)
+	remote, closeLinks := home.NewRemote(home.Edge{ID: s.ID, Zone: s.Zone, Base: firstPermit}, n.homes, n.peers, permitTimeout)
 	n.cleanups = append(n.cleanups, closeLinks)
-	n.router = route.New(route.Self{ID: s.ID, Zone: s.Zone, Region: s.Region, FirstPermit: first}, remote, n.Clock)
+	n.router = route.New(route.Self{ID: s.ID, Zone: s.Zone, Region: s.Region, FirstPermit: firstPermit}, remote, n.Clock)
 	n.mesh = mesh.New(mesh.Parts{
 		Self: n.self, Node: n.peers, Homes: n.homes, Remote: remote, Router: n.router, Logger: n.Logger, Clock: n.Clock,
-		Wanted: n.state.wanted, Capacity: n.state.capacity, Bound: n.bound,
+		Wanted: n.state.poolConfig, Capacity: n.state.capacity, Bound: n.bound,
 	})
-	n.peers.SetHooks(peer.Hooks{Changed: n.membersChanged, Head: n.heardRevision})
+	n.peers.SetHooks(peer.Hooks{Changed: n.membersChanged, Head: n.laterRevisionReported})
 }
 
 // buildEntry makes what serves callers.
 func (n *Node) buildEntry(s *Settings) {
-	n.budget = newBudget(n.Clock(), s.Retries, n.fleet)
-	n.metrics = telem.NewRouted(n.readings())
+	n.retryBudget = newRetryBudget(n.Clock(), s.Retries, n.fleetSize)
+	n.metrics = telem.NewRouted(n.metricReadings())
 	n.gate = entry.NewGate(n.listeners.callers, n.Logger, n.Clock)
 	n.handler = entry.New(entry.Parts{
-		Dialect: n.Dialect, Rules: n, Finder: n.router, Sender: n.conns, Budget: n.budget, Guard: n.guard,
-		Observer: n.metrics, Logger: n.Logger, Clock: n.Clock, Gate: n.gate, Trials: n.trials,
+		Dialect: n.Dialect, Rules: n, Finder: n.router, Sender: n.conns, Budget: n.retryBudget, Guard: n.guard,
+		Observer: n.metrics, Logger: n.Logger, Clock: n.Clock, Gate: n.gate, Trials: n.rollouts,
 	})
 }
 
@@ -151,7 +151,7 @@
 }
 
 // noRate says that workspaces have no rates here.
-func noRate(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false }
+func noRateLimit(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false }
 
 // otherSeeds leaves out this router's own address.
 func (n *Node) otherSeeds(seeds []string) []string {
@@ -167,19 +167,19 @@
 const (
 	// boundShare is the part of the load factor that homes hand out. Requests that have
 	// just ended still count at a home for a moment and make its mean too high.
-	boundShare = 0.95
+	loadFactorRatio = 0.95
 	// steadyShare is the multiple of the mean under which a new subject goes to the first
 	// engine of its own order: high enough that homes which have lost their memory find
 	// most subjects again, low enough to spread load.
-	steadyShare = 1.3
+	steadyLoadRatio = 1.3
 	// boundExtra is added to the bound: with a small mean, whole requests are coarse.
-	boundExtra = 5 * ident.OneRequest / 2
+	boundExtraLoad = 5 * ident.OneRequest / 2
 )
 
 // bound is the load bound of a service's targets.
 func (n *Node) bound(policy.Service) place.Bound {
-	b := place.BoundOf(n.settings.Load().LoadFactor * boundShare)
-	b.Extra = boundExtra
-	b.Steady = steadyShare
+	b := place.BoundOf(n.settings.Load().LoadFactor * loadFactorRatio)
+	b.Extra = boundExtraLoad
+	b.Steady = steadyLoadRatio
 	return b
 }
--- a/internal/oper/node/cold.go
+++ b/internal/oper/node/cold.go
@@ -11,22 +11,22 @@
 // coldTarget is a target that said how much longer it is cold.
 type coldTarget struct {
 	incarnation ident.Incarnation
-	left        time.Duration
+	reported    time.Duration
 	until       time.Time
 }
 
 // noteCold keeps until when a target is cold. A row goes on saying what it said first, so that
 // time counts from when that is new; the caller holds the lock.
-func (s *state) noteCold(id ident.Target, r reading) {
-	if !r.names() || r.target.ColdLeft <= 0 {
+func (s *state) updateCold(id ident.Target, r targetRow) {
+	if !r.valid() || r.target.ColdLeft <= 0 {
 		delete(s.cold, id)
 		return
 	}
 	cold, known := s.cold[id]
-	if known && cold.left == r.target.ColdLeft && cold.incarnation == r.target.Incarnation {
+	if known && cold.reported == r.target.ColdLeft && cold.incarnation == r.target.Incarnation {
 		return
 	}
-	s.cold[id] = coldTarget{incarnation: r.target.Incarnation, left: r.target.ColdLeft, until: s.clock().Add(r.target.ColdLeft)}
+	s.cold[id] = coldTarget{incarnation: r.target.Incarnation, reported: r.target.ColdLeft, until: s.clock().Add(r.target.ColdLeft)}
 }
 
 // coldOf is what a target bears while it is cold, as itself says or because its availability zone
@@ -37,8 +37,8 @@
 			continue
 		}
 		until := s.cold[t.ID].until
-		if again := reopened.Add(service.ColdFor); !reopened.IsZero() && again.After(until) {
-			until = again
+		if reopenedUntil := reopened.Add(service.ColdFor); !reopened.IsZero() && reopenedUntil.After(until) {
+			until = reopenedUntil
 		}
 		return place.Cold{Until: until, Rate: service.ColdRate}
 	}
--- a/internal/oper/node/cold_test.go
+++ b/internal/oper/node/cold_test.go
@@ -38,7 +38,7 @@
 	s.services = []match.Service{{Name: "s", ColdFor: 3 * time.Second, ColdRate: 13}}
 	until := func() time.Time {
 		version++
-		s.setTargets(feed.Change{Rows: []table.Row{{Key: "t", Version: version}}})
+		s.updateTargets(feed.Change{Rows: []table.Row{{Key: "t", Version: version}}})
 		return s.capacity(policy.Service{Name: "s"}, peer.Target{ID: "t", Service: "s", Zone: "a"}).Cold.Until
 	}
 	first := now.Add(3 * time.Second)
--- a/internal/oper/node/figures.go
+++ b/internal/oper/node/figures.go
@@ -3,7 +3,7 @@
 import "valescale/internal/oper/telem"
 
 // readings are the figures that metrics read of this router.
-func (n *Node) readings() []telem.Reading {
+func (n *Node) metricReadings() []telem.Reading {
 	gauge := func(name, help string, read func() float64) telem.Reading {
 		return telem.Reading{Name: name, Help: help, Read: read}
 	}
--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -53,12 +53,12 @@
 	// announceSpread is within how long a try to write this router's row that failed is made again, at some moment of
 	// it: the rows of a table share some hundred writes a second, and a thousand routers that start together write
 	// theirs at once.
-	announceSpread = 4 * time.Second
+	maxAnnounceRetryDelay = 4 * time.Second
 	// listPause is the pause between two readings of the routers' rows while this router
 	// knows no other.
-	listPause = time.Second
+	aloneListInterval = time.Second
 	// listEvery is that pause later on: gossip tells the rest.
-	listEvery = 15 * time.Second
+	listInterval = 15 * time.Second
 	// listTimeout bounds the reading of the routers' rows.
 	listTimeout = time.Second
 )
@@ -66,35 +66,35 @@
 // announce writes this router's row until the store has taken it, then reads the
 // others' now and then.
 func (n *Node) announce(ctx context.Context) {
-	n.writeRow(ctx)
-	n.introduce(ctx)
+	n.writeOwnRow(ctx)
+	n.discoverPeers(ctx)
 	for ctx.Err() == nil {
-		if n.reads() {
-			n.listRouters(ctx)
+		if n.isStoreReader() {
+			n.readRouters(ctx)
 		}
-		wait := listEvery
-		if n.alone() {
-			wait = listPause
+		wait := listInterval
+		if n.hasNoPeers() {
+			wait = aloneListInterval
 		}
-		n.awaitRestored(ctx, wait)
+		n.waitForRestore(ctx, wait)
 	}
 }
 
 // awaitRestored waits until the store was seen to have come back from an older copy, for at most a while, and
 // then has the guard write again what that may lack.
-func (n *Node) awaitRestored(ctx context.Context, wait time.Duration) {
+func (n *Node) waitForRestore(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
 	case <-timer.C:
-	case <-n.restored:
+	case <-n.storeRestored:
 		n.guard.Rewrite()
 	}
 }
 
 // writeRow writes this router's row until the store has taken it.
-func (n *Node) writeRow(ctx context.Context) {
+func (n *Node) writeOwnRow(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(n.self.Seed(), announceSalt))
 	for ctx.Err() == nil {
 		err := n.Store.Commit(ctx, table.Txn{Puts: []table.Put{encodeRouter(n.self)}})
@@ -102,7 +102,7 @@
 			return
 		}
 		_ = level.Warn(n.Logger).Log("msg", "could not announce this router", "err", err)
-		pause.For(ctx, announceAgain(rng))
+		pause.For(ctx, announceRetryDelay(rng))
 	}
 }
 
@@ -110,12 +110,12 @@
 const announceSalt = 0xa4404ce
 
 // announceAgain is how long to wait after a try that failed.
-func announceAgain(rng *rand.Rand) time.Duration {
-	return time.Duration(rng.Int64N(int64(announceSpread)))
+func announceRetryDelay(rng *rand.Rand) time.Duration {
+	return time.Duration(rng.Int64N(int64(maxAnnounceRetryDelay)))
 }
 
 // listRouters reads the routers' rows.
-func (n *Node) listRouters(ctx context.Context) {
+func (n *Node) readRouters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
 	page, err := n.Store.All(ctx, routerTable)
@@ -124,31 +124,31 @@
 		return
 	}
 	n.state.setRouters(page.Rows)
-	n.observe()
+	n.updateRouters()
 	n.peers.Tell(ctx)
-	n.writeMissing(ctx, page.Rows)
-	n.removeGone(ctx, page.Rows)
+	n.rewriteMissing(ctx, page.Rows)
+	n.removeDead(ctx, page.Rows)
 }
 
 // maxRouterPuts bounds the routers' rows of one transaction, which may hold a hundred checks and writes.
-const maxRouterPuts = 50
+const maxRouterPutsPerTxn = 50
 
 // writeMissing writes again the rows of this zone's live routers that the store has lost. One router a zone does
 // so: 300 that hear of it at once would take up most of the writes that the store bears in a second.
-func (n *Node) writeMissing(ctx context.Context, rows []table.Row) {
-	for missing := range slices.Chunk(n.missing(rows), maxRouterPuts) {
+func (n *Node) rewriteMissing(ctx context.Context, rows []table.Row) {
+	for missingRouters := range slices.Chunk(n.missingRouters(rows), maxRouterPutsPerTxn) {
 		var txn table.Txn
-		for _, m := range missing {
+		for _, m := range missingRouters {
 			txn.Checks = append(txn.Checks, table.Check{Table: routerTable, Key: table.Key(m.ID)})
 			txn.Puts = append(txn.Puts, encodeRouter(m))
 		}
 		err := n.Store.Commit(ctx, txn)
-		_ = level.Info(n.Logger).Log("msg", "rows of live routers written again", "routers", len(missing), "err", err)
+		_ = level.Info(n.Logger).Log("msg", "rows of live routers written again", "routers", len(missingRouters), "err", err)
 	}
 }
 
 // missing lists this zone's live routers that have no row.
-func (n *Node) missing(rows []table.Row) []peer.Member {
+func (n *Node) missingRouters(rows []table.Row) []peer.Member {
 	var out []peer.Member
 	n.peers.Read(func(v *peer.View) {
 		for _, m := range v.Members() {
@@ -165,12 +165,12 @@
 // deadLists is how many readings of the routers' rows in a row, 15 s apart, must find a
 // router dead before its row goes. The row also keeps the router's next process from taking
 // a lower incarnation, should the box's clock be set back by less than that.
-const deadLists = 4
+const minDeadReadings = 4
 
 // removeGone removes the rows of routers that have been dead for a while, unless they have
 // been written anew meanwhile: each start would take them for live.
-func (n *Node) removeGone(ctx context.Context, rows []table.Row) {
-	for _, row := range n.lasting(rows) {
+func (n *Node) removeDead(ctx context.Context, rows []table.Row) {
+	for _, row := range n.longDead(rows) {
 		txn := table.Txn{
 			Checks: []table.Check{{Table: row.Table, Key: row.Key, Version: row.Version}},
 			Puts:   []table.Put{{Table: row.Table, Key: row.Key, Delete: true}},
@@ -181,38 +181,38 @@
 }
 
 // lasting returns the rows of this zone's routers that were dead at enough readings in a row.
-func (n *Node) lasting(rows []table.Row) []table.Row {
+func (n *Node) longDead(rows []table.Row) []table.Row {
 	var out []table.Row
-	dead := map[table.Key]int{}
+	deadReadings := map[table.Key]int{}
 	for _, row := range rows {
-		if !n.deadHere(ident.Router(row.Key)) {
+		if !n.deadInZone(ident.Router(row.Key)) {
 			continue
 		}
-		dead[row.Key] = n.dead[row.Key] + 1
-		if dead[row.Key] >= deadLists {
+		deadReadings[row.Key] = n.deadReadings[row.Key] + 1
+		if deadReadings[row.Key] >= minDeadReadings {
 			out = append(out, row)
 		}
 	}
-	n.dead = dead
+	n.deadReadings = deadReadings
 	return out
 }
 
 // deadHere reports whether a router of this router's availability zone is dead.
-func (n *Node) deadHere(id ident.Router) bool {
+func (n *Node) deadInZone(id ident.Router) bool {
 	var member peer.Member
 	n.peers.Read(func(v *peer.View) { member, _ = v.Member(id) })
 	return member.State == peer.Dead && member.Zone == n.self.Zone
 }
 
 // alone reports whether this router knows no other.
-func (n *Node) alone() bool {
-	others := 0
-	n.peers.Read(func(v *peer.View) { others = len(v.Peers()) })
-	return others == 0
+func (n *Node) hasNoPeers() bool {
+	peerCount := 0
+	n.peers.Read(func(v *peer.View) { peerCount = len(v.Peers()) })
+	return peerCount == 0
 }
 
 // withdraw removes this router's row.
-func (n *Node) withdraw(ctx context.Context) {
+func (n *Node) removeOwnRow(ctx context.Context) {
 	put := table.Put{Table: routerTable, Key: table.Key(n.self.ID), Delete: true}
 	if err := n.Store.Commit(ctx, table.Txn{Puts: []table.Put{put}}); err != nil {
 		_ = level.Warn(n.Logger).Log("msg", "could not remove this router's row", "err", err)
--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -31,30 +31,30 @@
 	// puller reads the tables from other routers.
 	puller *feed.Puller
 	// restored asks for rows to be written again that the store may have lost.
-	restored chan struct{}
+	storeRestored chan struct{}
 	// ahead holds a router that told of a later configuration than any known.
-	ahead chan ident.Router
-	self  peer.Member
-	peers *peer.Node
+	aheadPeer chan ident.Router
+	self      peer.Member
+	peers     *peer.Node
 	// membersAt is the count of changes of routers up to which this router's role is found.
-	membersAt atomic.Uint64
-	homes     *home.Homes
-	mesh      *mesh.Mesh
-	router    *route.Router
-	conns     *relay.Conns
-	guard     *guard.Guard
-	budget    *budget
-	trials    *trials
-	handler   *entry.Handler
-	gate      *entry.Gate
-	metrics   *telem.Routed
+	roleMemberVersion atomic.Uint64
+	homes             *home.Homes
+	mesh              *mesh.Mesh
+	router            *route.Router
+	conns             *relay.Conns
+	guard             *guard.Guard
+	retryBudget       *retryBudget
+	rollouts          *rollouts
+	handler           *entry.Handler
+	gate              *entry.Gate
+	metrics           *telem.Routed
 	// meter counts what goes to and from other routers.
 	meter *peer.Meter
 	// dead counts at how many readings of the routers' rows in a row a router was dead; only
 	// the reading of rows uses it.
-	dead map[table.Key]int
+	deadReadings map[table.Key]int
 	// introduced is closed once this router has written its row and read the others'.
-	introduced chan struct{}
+	discovered chan struct{}
 	// ready is set once configuration and targets are known, draining once this router
 	// is to stop.
 	ready    atomic.Bool
@@ -75,8 +75,8 @@
 // New returns a router that listens but serves nobody until it runs, and the function
 // that frees what it holds.
 func New(settings Settings, parts Parts) (*Node, func(), error) {
-	n := &Node{Parts: parts, meter: &peer.Meter{}, introduced: make(chan struct{}), ahead: make(chan ident.Router, 1),
-		restored: make(chan struct{}, 1)}
+	n := &Node{Parts: parts, meter: &peer.Meter{}, discovered: make(chan struct{}), aheadPeer: make(chan ident.Router, 1),
+		storeRestored: make(chan struct{}, 1)}
 	n.settings.Store(&settings)
 	if err := n.listen(); err != nil {
 		n.close()
@@ -97,7 +97,7 @@
 // listening accepts connections without the kernel's keep-alive probes: four system calls
 // less for each connection, of which callers that repeat at once make thousands. Time-outs
 // of the servers and of the routers' own links find connections that have died.
-var listening = net.ListenConfig{KeepAlive: -1}
+var listenConfig = net.ListenConfig{KeepAlive: -1}
 
 // listen opens the addresses.
 func (n *Node) listen() error {
@@ -110,7 +110,7 @@
 		{s.Ready, &n.listeners.ready},
 		{s.Peers, &n.listeners.peers},
 	} {
-		l, err := listening.Listen(context.Background(), "tcp", at.addr)
+		l, err := listenConfig.Listen(context.Background(), "tcp", at.addr)
 		if err != nil {
 			return fault.New("node.New", Listen, err)
 		}
@@ -130,4 +130,4 @@
 func (n *Node) PeerAddr() string { return n.listeners.peers.Addr().String() }
 
 // fleet is how many routers there may be.
-func (n *Node) fleet() int { return len(n.mesh.Set().Known.Routers()) }
+func (n *Node) fleetSize() int { return len(n.mesh.Set().Known.Routers()) }
--- a/internal/oper/node/node_test.go
+++ b/internal/oper/node/node_test.go
@@ -26,7 +26,7 @@
 }
 
 // The routers together leave a target with idle connections for half of what it takes.
-func TestIdleConnectionsFollowTheFleet(t *testing.T) {
+func TestIdleConnsDependOnFleetSize(t *testing.T) {
 	n := &Node{mesh: mesh.New(mesh.Parts{}), state: newState(nil, log.NewNopLogger(), time.Now)}
 	if diff := cmp.Diff(0, n.IdleConns("s")); diff != "" {
 		t.Errorf("without a configuration: %s", diff)
@@ -35,7 +35,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	n.state.rules.Store(table)
+	n.state.inForce.Store(table)
 	n.ready.Store(true)
 	for service, want := range map[ident.Service]int{"s": 55, "unknown": 0} {
 		if diff := cmp.Diff(want, n.IdleConns(service)); diff != "" {
@@ -47,16 +47,16 @@
 // A connection's idle time follows the configuration while the connection is open.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	limit := time.Hour
-	i := newIdle(func() time.Duration { return limit })
+	i := newIdleConns(func() time.Duration { return limit })
 	near, far := net.Pipe()
 	defer far.Close()
-	i.changed(near, http.StateIdle)
-	i.changed(near, http.StateActive)
+	i.stateChanged(near, http.StateIdle)
+	i.stateChanged(near, http.StateActive)
 	if len(i.timers) != 0 {
 		t.Error("a busy connection still has a timer")
 	}
 	limit = time.Millisecond
-	i.changed(near, http.StateIdle)
+	i.stateChanged(near, http.StateIdle)
 	if err := far.SetReadDeadline(time.Now().Add(5 * time.Second)); err != nil {
 		t.Fatal(err)
 	}
@@ -71,9 +71,9 @@
 }
 
 // Services have budgets of their own, and a new allowance starts anew.
-func TestBudgets(t *testing.T) {
+func TestRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
-	b := newBudget(now, retry.Allowance{Ratio: 1, Span: 10 * time.Second}, func() int { return 8 })
+	b := newRetryBudget(now, retry.Allowance{Ratio: 1, Span: 10 * time.Second}, func() int { return 8 })
 	b.Request("a", now)
 	if b.Retry("b", now) {
 		t.Error("a retry is given for another service's request")
@@ -81,7 +81,7 @@
 	if !b.Retry("a", now) || b.Retry("a", now) {
 		t.Error("one request does not give one retry")
 	}
-	b.allow(now, retry.Allowance{Ratio: 0, Extra: 0, Span: 10 * time.Second})
+	b.setAllowance(now, retry.Allowance{Ratio: 0, Extra: 0, Span: 10 * time.Second})
 	b.Request("a", now)
 	if b.Retry(ident.Service("a"), now) {
 		t.Error("a retry is given after the allowance was taken away")
@@ -103,14 +103,14 @@
 	n := &Node{self: self, peers: peer.NewNode(view, nil, nil, peer.DefaultPace, nil, 1, func() time.Time { return now })}
 	rows := []table.Row{{Key: "dead", Version: 7}, {Key: "elsewhere"}, {Key: "live"}, {Key: "unknown"}}
 	var got [][]table.Row
-	for range deadLists {
-		got = append(got, n.lasting(rows))
+	for range minDeadReadings {
+		got = append(got, n.longDead(rows))
 	}
 	if diff := cmp.Diff([][]table.Row{nil, nil, nil, {{Key: "dead", Version: 7}}}, got); diff != "" {
 		t.Error(diff)
 	}
-	n.lasting(nil)
-	if diff := cmp.Diff(0, len(n.lasting(rows))); diff != "" {
+	n.longDead(nil)
+	if diff := cmp.Diff(0, len(n.longDead(rows))); diff != "" {
 		t.Errorf("after a reading without it: %s", diff)
 	}
 }
--- a/internal/oper/node/pack.go
+++ b/internal/oper/node/pack.go
@@ -16,58 +16,58 @@
 
 const (
 	// packFrom is the least number of rows of a whole page that is packed: fewer are no work.
-	packFrom = 100
+	minPackedRows = 100
 	// mostUnpacked bounds what a packed page may hold, in bytes: many times 20,000 rows.
-	mostUnpacked = 64 << 20
+	maxUnpackedBytes = 64 << 20
 )
 
 // packs holds the whole copies of tables as they are sent to other routers. When a fleet starts again, sixteen
 // routers ask each of those that others read from for the same copy at once; to encode and compress one takes a tenth of a
 // second of a box with a fifth of a core.
-type packs struct {
-	mu   sync.Mutex
-	made map[table.Name]pack
+type packCache struct {
+	mu     sync.Mutex
+	packed map[table.Name]packedPage
 }
 
 // pack is one table's copy as it is sent.
-type pack struct {
-	of   packKey
+type packedPage struct {
+	of   pageKey
 	data []byte
 }
 
 // packKey tells copies of a table apart.
-type packKey struct {
-	at   table.Position
-	rows int
-	sum  uint64
+type pageKey struct {
+	position table.Position
+	rows     int
+	rowsHash uint64
 }
 
 // keyOf is the key of a whole page.
-func keyOf(page table.Page) packKey {
-	key := packKey{at: page.At, rows: len(page.Rows)}
+func pageKeyOf(page table.Page) pageKey {
+	key := pageKey{position: page.At, rows: len(page.Rows)}
 	for i := range page.Rows {
 		// The order of rows in a page is any.
-		key.sum += ident.Mix(uint64(page.Rows[i].Version), uint64(page.Rows[i].Era))
+		key.rowsHash += ident.Mix(uint64(page.Rows[i].Version), uint64(page.Rows[i].Era))
 	}
 	return key
 }
 
 // newPacks returns packs of nothing.
-func newPacks() *packs { return &packs{made: map[table.Name]pack{}} }
+func newPackCache() *packCache { return &packCache{packed: map[table.Name]packedPage{}} }
 
 // of returns a whole page's rows, packed. Those who ask while it is being made wait for it.
-func (p *packs) of(name table.Name, page table.Page) ([]byte, error) {
+func (p *packCache) of(name table.Name, page table.Page) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := keyOf(page)
-	if known, made := p.made[name]; made && known.of == key {
-		return known.data, nil
+	key := pageKeyOf(page)
+	if cached, packed := p.packed[name]; packed && cached.of == key {
+		return cached.data, nil
 	}
 	data, err := packRows(page.Rows)
 	if err != nil {
 		return nil, err
 	}
-	p.made[name] = pack{of: key, data: data}
+	p.packed[name] = packedPage{of: key, data: data}
 	return data, nil
 }
 
@@ -99,7 +99,7 @@
 	if err != nil {
 		return nil, fault.New(op, BadRow, err)
 	}
-	data, err := io.ReadAll(io.LimitReader(r, mostUnpacked))
+	data, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
 		return nil, fault.New(op, BadRow, err)
 	}
--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -30,11 +30,11 @@
 		})
 	}
 	board.Take(packedTable, table.Position{}, page)
-	return &peerService{board: board, packs: newPacks()}
+	return &peerService{board: board, packCache: newPackCache()}
 }
 
 // ask returns the page that a router gets which knows nothing.
-func (p *peerService) ask(t testing.TB, packs bool) *peerpb.TablePage {
+func (p *peerService) fetch(t testing.TB, packs bool) *peerpb.TablePage {
 	t.Helper()
 	reply, err := p.Rows(t.Context(), connect.NewRequest(&peerpb.RowsRequest{
 		Tables: []*peerpb.TableState{{Table: string(packedTable)}}, Packs: packs,
@@ -46,7 +46,7 @@
 }
 
 // rowsIn are a page's rows by key.
-func rowsIn(t testing.TB, in *peerpb.TablePage) []table.Row {
+func sortedRows(t testing.TB, in *peerpb.TablePage) []table.Row {
 	t.Helper()
 	page, err := decodePage(in)
 	if err != nil {
@@ -58,36 +58,36 @@
 
 // Routers that ask for a whole copy get it packed if they read that, and the same either way; it is packed once, until
 // it changes.
-func TestWholeCopiesArePackedOnce(t *testing.T) {
+func TestFullPagesArePackedOnce(t *testing.T) {
 	const rows = 1000
 	p := newPeerService(rows)
-	plain, first, second := p.ask(t, false), p.ask(t, true), p.ask(t, true)
+	plain, first, second := p.fetch(t, false), p.fetch(t, true), p.fetch(t, true)
 	if len(plain.GetPacked()) > 0 || len(first.GetRows()) > 0 || &first.GetPacked()[0] != &second.GetPacked()[0] {
 		t.Error("a copy is packed for a router that does not read it, sent twice, or packed twice")
 	}
-	if diff := gocmp.Diff(rowsIn(t, plain), rowsIn(t, first)); diff != "" {
+	if diff := gocmp.Diff(sortedRows(t, plain), sortedRows(t, first)); diff != "" {
 		t.Error(diff)
 	}
 	changed := table.Row{Table: packedTable, Key: "i-00000007", Version: rows + 1, Value: []byte("other")}
 	p.board.Take(packedTable, table.Position{Version: rows}, table.Page{At: table.Position{Version: rows + 1}, Rows: []table.Row{changed}})
-	after := rowsIn(t, p.ask(t, true))
-	if diff := gocmp.Diff(rowsIn(t, p.ask(t, false)), after); diff != "" || string(after[7].Value) != "other" {
+	after := sortedRows(t, p.fetch(t, true))
+	if diff := gocmp.Diff(sortedRows(t, p.fetch(t, false)), after); diff != "" || string(after[7].Value) != "other" {
 		t.Errorf("after a change: %q, %s", after[7].Value, diff)
 	}
-	broken := p.ask(t, true)
-	broken.Packed = broken.GetPacked()[:len(broken.GetPacked())/2]
-	if _, err := decodePage(broken); err == nil {
+	truncated := p.fetch(t, true)
+	truncated.Packed = truncated.GetPacked()[:len(truncated.GetPacked())/2]
+	if _, err := decodePage(truncated); err == nil {
 		t.Error("a broken copy is taken in")
 	}
 }
 
 // BenchmarkWholeCopy is the answer to one of many routers that ask for a whole copy at once.
-func BenchmarkWholeCopy(b *testing.B) {
+func BenchmarkFullPage(b *testing.B) {
 	for _, rows := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(rows), func(b *testing.B) {
 			p := newPeerService(rows)
 			for b.Loop() {
-				p.ask(b, true)
+				p.fetch(b, true)
 			}
 		})
 	}
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -19,9 +19,9 @@
 // peerService answers other routers.
 type peerService struct {
 	*home.Server
-	peers *peer.Node
-	board *feed.Board
-	packs *packs
+	peers     *peer.Node
+	board     *feed.Board
+	packCache *packCache
 }
 
 // Gossip exchanges digests.
@@ -40,7 +40,7 @@
 
 // Rows tells another router what changed in this one's copies.
 func (p *peerService) Rows(ctx context.Context, req *connect.Request[peerpb.RowsRequest]) (*connect.Response[peerpb.RowsReply], error) {
-	p.board.Wait(ctx, positions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
+	p.board.Wait(ctx, waitPositions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
 	reply := &peerpb.RowsReply{}
 	for _, s := range req.Msg.GetTables() {
 		page, known := p.board.Since(decodeState(s))
@@ -57,17 +57,17 @@
 }
 
 // encode is a page as a router gets it, which may read packed rows.
-func (p *peerService) encode(name string, page table.Page, packed bool) (*peerpb.TablePage, error) {
-	if !packed || !page.Whole || len(page.Rows) < packFrom {
+func (p *peerService) encode(name string, page table.Page, acceptsPacked bool) (*peerpb.TablePage, error) {
+	if !acceptsPacked || !page.Whole || len(page.Rows) < minPackedRows {
 		return encodePage(name, page), nil
 	}
-	data, err := p.packs.of(table.Name(name), page)
+	packed, err := p.packCache.of(table.Name(name), page)
 	if err != nil {
 		return nil, err
 	}
 	page.Rows = nil
 	out := encodePage(name, page)
-	out.Packed = data
+	out.Packed = packed
 	return out, nil
 }
 
@@ -87,7 +87,7 @@
 }
 
 // positions are those after which another router waits for a change.
-func positions(have []*peerpb.TableState) map[table.Name]table.Position {
+func waitPositions(have []*peerpb.TableState) map[table.Name]table.Position {
 	out := make(map[table.Name]table.Position, len(have))
 	for _, in := range have {
 		s := decodeState(in)
--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -19,14 +19,14 @@
 // deputies is how many routers of an availability zone, next to its reader, look for a store that
 // does not answer as often as the reader does. With two to six of them a change reaches 50 routers
 // equally soon after an outage; with none 0.8 s later.
-const deputies = 4
+const backupReaders = 4
 
 // membersChanged follows a change of routers or targets. Roles depend on routers alone.
 func (n *Node) membersChanged() {
 	n.mesh.MarkDirty()
 	var latest uint64
 	n.peers.Read(func(v *peer.View) { latest = v.MemberVersion() })
-	if n.membersAt.Swap(latest) != latest {
+	if n.roleMemberVersion.Swap(latest) != latest {
 		n.assignRole()
 	}
 }
@@ -36,7 +36,7 @@
 func (n *Node) assignRole() {
 	zone := n.zoneOrder(n.self.Zone)
 	rank := slices.Index(zone, n.self.ID)
-	n.roles.Deputize(rank > 0 && rank <= deputies)
+	n.roles.Deputize(rank > 0 && rank <= backupReaders)
 	if rank <= 0 {
 		n.setRole(true, "")
 		return
@@ -46,7 +46,7 @@
 
 // setRole takes a role on and logs it if it is another.
 func (n *Node) setRole(reader bool, parent ident.Router) {
-	if was, from := n.roles.Reader(); was != reader || from != parent {
+	if wasReader, oldParent := n.roles.Reader(); wasReader != reader || oldParent != parent {
 		_ = level.Info(n.Logger).Log("msg", "source of the store's rows", "store", reader, "router_asked", parent)
 	}
 	n.roles.Assign(reader, parent)
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -12,44 +12,44 @@
 
 // settingsEvery is how often the settings are read without a signal: they may change
 // silently, and reading a file of some kilobytes costs a fraction of a millisecond.
-const settingsEvery = time.Second
+const settingsInterval = time.Second
 
 // adjustable is what of the settings may change while the router runs. The rest counts
 // from the next start on.
-type adjustable struct {
+type reloadable struct {
 	retries    retry.Allowance
 	loadFactor float64
 	grace      time.Duration
 }
 
-func (s Settings) adjustable() adjustable {
-	return adjustable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.Grace}
+func (s Settings) reloadable() reloadable {
+	return reloadable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.Grace}
 }
 
 // followSettings reads the settings again when told to, and now and then.
-func (n *Node) followSettings(ctx context.Context, told <-chan os.Signal) {
-	ticker := time.NewTicker(settingsEvery)
+func (n *Node) watchSettings(ctx context.Context, hup <-chan os.Signal) {
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
-	failure := ""
+	lastError := ""
 	for {
 		signalled := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-told:
+		case <-hup:
 			signalled = true
 		case <-ticker.C:
 		}
 		err := n.reload(signalled)
 		if err == nil {
-			failure = ""
+			lastError = ""
 			continue
 		}
 		// The same mistake is found each second until it is mended.
-		if signalled || err.Error() != failure {
+		if signalled || err.Error() != lastError {
 			_ = level.Error(n.Logger).Log("msg", "settings cannot be reloaded, the earlier ones stay", "err", err)
 		}
-		failure = err.Error()
+		lastError = err.Error()
 	}
 }
 
@@ -61,14 +61,14 @@
 		return err
 	}
 	old := n.settings.Load()
-	if fresh.adjustable() == old.adjustable() && !signalled {
+	if fresh.reloadable() == old.reloadable() && !signalled {
 		return nil
 	}
 	next := *old
 	next.Retries, next.LoadFactor, next.Grace = fresh.Retries, fresh.LoadFactor, fresh.Grace
 	n.settings.Store(&next)
-	n.budget.allow(n.Clock(), next.Retries)
-	n.state.touch()
+	n.retryBudget.setAllowance(n.Clock(), next.Retries)
+	n.state.invalidatePools()
 	n.mesh.MarkDirty()
 	_ = level.Info(n.Logger).Log("msg", "reload", "signal", signalled, "retry_ratio", next.Retries.Ratio,
 		"retry_extra", next.Retries.Extra, "load_factor", next.LoadFactor, "grace_ms", next.Grace.Milliseconds())
--- a/internal/oper/node/reload_test.go
+++ b/internal/oper/node/reload_test.go
@@ -13,7 +13,7 @@
 )
 
 // reloading returns a router whose settings file holds what next points to.
-func reloading(old Settings, next *Settings, failure *error) (*Node, *int) {
+func newReloadNode(old Settings, next *Settings, failure *error) (*Node, *int) {
 	lines := 0
 	n := &Node{Parts: Parts{
 		Logger: log.LoggerFunc(func(...any) error { lines++; return nil }),
@@ -22,19 +22,19 @@
 	}}
 	n.settings.Store(&old)
 	n.state = newState(nil, n.Logger, time.Now)
-	n.budget = newBudget(time.Now(), old.Retries, func() int { return 1 })
+	n.retryBudget = newRetryBudget(time.Now(), old.Retries, func() int { return 1 })
 	n.mesh = mesh.New(mesh.Parts{})
 	return n, &lines
 }
 
 // A settings file that changes without a signal is in force, and only what may change
 // while a router runs is taken from it.
-func TestSilentChangeOfSettings(t *testing.T) {
+func TestReloadWithoutSignal(t *testing.T) {
 	old := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 2, Grace: 8 * time.Second, Retries: retry.Allowance{Extra: 56}}
 	next, failure := old, error(nil)
-	n, lines := reloading(old, &next, &failure)
-	if err := n.reload(false); err != nil || *lines != 0 || n.state.wanted().Reports != 0 {
-		t.Errorf("unchanged settings: %v, %d lines, %d turns", err, *lines, n.state.wanted().Reports)
+	n, lines := newReloadNode(old, &next, &failure)
+	if err := n.reload(false); err != nil || *lines != 0 || n.state.poolConfig().Reports != 0 {
+		t.Errorf("unchanged settings: %v, %d lines, %d turns", err, *lines, n.state.poolConfig().Reports)
 	}
 	next = Settings{ID: "other", LoadFactor: 3, Grace: 4 * time.Second, Retries: retry.Allowance{Extra: 10}}
 	if err := n.reload(false); err != nil {
@@ -44,10 +44,10 @@
 	if diff := cmp.Diff(want, *n.settings.Load()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(next.Retries, n.budget.allowed); diff != "" {
+	if diff := cmp.Diff(next.Retries, n.retryBudget.allowance); diff != "" {
 		t.Error(diff)
 	}
-	if n.state.wanted().Reports == 0 {
+	if n.state.poolConfig().Reports == 0 {
 		t.Error("pools are not made anew with the new load factor")
 	}
 	failure = errors.New("line 3: no equals sign")
--- a/internal/oper/node/rules.go
+++ b/internal/oper/node/rules.go
@@ -12,22 +12,22 @@
 	if !n.ready.Load() {
 		return nil
 	}
-	return n.state.rules.Load()
+	return n.state.inForce.Load()
 }
 
 // freshFor is how old the store's word may be for a configuration to count as
 // fresh: news over 1.4 s old is not taken from other routers, and comes each 0.4 s.
-const freshFor = 2 * time.Second
+const maxConfigAge = 2 * time.Second
 
 // Fresh reports whether the store confirmed the configuration a moment ago.
 func (n *Node) Fresh() bool {
 	age, known := n.board.Age(n.Rows.ConfigTable())
-	return known && age <= freshFor
+	return known && age <= maxConfigAge
 }
 
 // idleShare is the part of a target's connections that routers may keep idle; the rest is
 // for those in use.
-const idleShare = 0.5
+const idleConnRatio = 0.5
 
 // IdleConns is this router's part of the idle connections that a target of a service may
 // have from the whole fleet, one at least: a target resets connections beyond its most.
@@ -36,9 +36,9 @@
 	if table == nil {
 		return 0
 	}
-	most := table.Service(service).Conns
-	if most <= 0 {
+	maxConns := table.Service(service).Conns
+	if maxConns <= 0 {
 		return 0
 	}
-	return max(int(idleShare*float64(most))/max(n.fleet(), 1), 1)
+	return max(int(idleConnRatio*float64(maxConns))/max(n.fleetSize(), 1), 1)
 }
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -25,16 +25,16 @@
 	// graceMargin is kept of the grace for the last steps of a stop.
 	graceMargin = 400 * time.Millisecond
 	// leaveRounds is how many times a leaving router tells its peers.
-	leaveRounds = 2
+	leaveGossipRounds = 2
 	// sweepEvery is how often rows that lapsed with the store are looked at, a small part
 	// of the seconds for which they count.
-	sweepEvery = 200 * time.Millisecond
+	sweepInterval = 200 * time.Millisecond
 	// connsEvery is how often expired connections to targets are closed, about as long
 	// as they are kept.
-	connsEvery = 5 * time.Second
+	connSweepInterval = 5 * time.Second
 	// guardEvery is how often requests that need not be held back any more are forgotten, a small part of
 	// the minutes for which they are.
-	guardEvery = 10 * time.Second
+	guardSweepInterval = 10 * time.Second
 )
 
 // RunUntilSignal serves until the process is told to stop, reloads when told to, and drains.
@@ -60,8 +60,8 @@
 	n.serve(&wg, ready, n.listeners.ready)
 	n.serve(&wg, peers, n.meter.Listener(n.listeners.peers))
 	n.serve(&wg, callers, n.gate)
-	n.work(background, &wg)
-	wg.Go(func() { n.followSettings(background, reload) })
+	n.startBackground(background, &wg)
+	wg.Go(func() { n.watchSettings(background, reload) })
 	<-ctx.Done()
 	n.drain(callers)
 	stop()
@@ -72,28 +72,28 @@
 }
 
 // work starts what goes on beside the servers until the context ends.
-func (n *Node) work(ctx context.Context, wg *sync.WaitGroup) {
-	for _, name := range n.tables() {
+func (n *Node) startBackground(ctx context.Context, wg *sync.WaitGroup) {
+	for _, name := range n.followedTables() {
 		wg.Go(func() {
-			n.awaitIntroduction(ctx)
+			n.waitForDiscovery(ctx)
 			n.follower(name).Run(ctx)
 		})
 	}
 	wg.Go(func() { n.puller.Run(ctx) })
 	wg.Go(func() { n.catchUp(ctx) })
-	wg.Go(func() { mesh.Every(ctx, sweepEvery, func(context.Context) { n.board.Sweep() }) })
-	wg.Go(func() { mesh.Every(ctx, connsEvery, func(context.Context) { n.conns.Sweep(n.Clock()) }) })
+	wg.Go(func() { mesh.Every(ctx, sweepInterval, func(context.Context) { n.board.Sweep() }) })
+	wg.Go(func() { mesh.Every(ctx, connSweepInterval, func(context.Context) { n.conns.Sweep(n.Clock()) }) })
 	wg.Go(func() {
-		n.awaitIntroduction(ctx)
+		n.waitForDiscovery(ctx)
 		n.guard.Run(ctx)
 	})
-	wg.Go(func() { mesh.Every(ctx, guardEvery, func(context.Context) { n.guard.Sweep() }) })
+	wg.Go(func() { mesh.Every(ctx, guardSweepInterval, func(context.Context) { n.guard.Sweep() }) })
 	wg.Go(func() { n.announce(ctx) })
 	wg.Go(func() { n.peers.Run(ctx) })
 	wg.Go(func() { n.mesh.Run(ctx) })
 	wg.Go(func() { n.becomeReady(ctx) })
-	if n.trials.follows() {
-		wg.Go(func() { mesh.Every(ctx, judgeEvery, n.judge) })
+	if n.rollouts.enabled() {
+		wg.Go(func() { mesh.Every(ctx, judgeInterval, n.writeVerdicts) })
 	}
 }
 
@@ -108,18 +108,18 @@
 
 // drain stops taking requests without cutting any off.
 func (n *Node) drain(callers *http.Server) {
-	began := n.Clock()
+	start := n.Clock()
 	n.draining.Store(true)
 	_ = level.Info(n.Logger).Log("msg", "draining")
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Load().Grace-graceMargin)
 	defer cancel()
 	n.peers.Do(func(v *peer.View) { v.Leave(n.Clock()) })
-	for range leaveRounds {
+	for range leaveGossipRounds {
 		n.peers.Tell(ctx)
 	}
 	n.mesh.Refresh(ctx)
-	n.withdraw(ctx)
-	pause.For(ctx, drainDelay-n.Clock().Sub(began))
+	n.removeOwnRow(ctx)
+	pause.For(ctx, drainDelay-n.Clock().Sub(start))
 	if err := callers.Shutdown(ctx); err != nil {
 		_ = level.Error(n.Logger).Log("msg", "stopped with requests in flight", "err", err)
 	}
--- a/internal/oper/node/servers.go
+++ b/internal/oper/node/servers.go
@@ -16,12 +16,12 @@
 
 const (
 	// headerTime bounds the sending of a request's header; configurations allow seconds.
-	headerTime = 10 * time.Second
+	headerTimeout = 10 * time.Second
 	// maxHeader bounds a request's header, in bytes: four times what configurations allow.
-	maxHeader = 64 << 10
+	maxHeaderBytes = 64 << 10
 	// compressFrom is the least size of an answer to another router that is compressed, in
 	// bytes: whole tables are, changes and permits are not worth the processor time.
-	compressFrom = 16 << 10
+	minCompressBytes = 16 << 10
 )
 
 // readyServer answers the platform's question whether this router wants requests.
@@ -32,12 +32,12 @@
 			w.WriteHeader(http.StatusServiceUnavailable)
 		}
 	})
-	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTime, ErrorLog: telem.NewServerLog(n.Logger)}
+	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ErrorLog: telem.NewServerLog(n.Logger)}
 }
 
 // callerServer serves callers. A draining router asks them to connect elsewhere.
 func (n *Node) callerServer() *http.Server {
-	idle := newIdle(n.idleTime)
+	idle := newIdleConns(n.idleTimeout)
 	return &http.Server{
 		Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 			if n.draining.Load() {
@@ -45,7 +45,7 @@
 			}
 			n.handler.ServeHTTP(w, r)
 		}),
-		ReadHeaderTimeout: headerTime, MaxHeaderBytes: maxHeader, ConnState: idle.changed,
+		ReadHeaderTimeout: headerTimeout, MaxHeaderBytes: maxHeaderBytes, ConnState: idle.stateChanged,
 		ConnContext: entry.WithConn, ErrorLog: telem.NewServerLog(n.Logger),
 	}
 }
@@ -53,12 +53,12 @@
 // peerServer answers other routers and shows the metrics.
 func (n *Node) peerServer() *http.Server {
 	mux := http.NewServeMux()
-	anyone := func(context.Context) ident.Router { return "" }
-	service := &peerService{Server: home.NewServer(n.homes, anyone), peers: n.peers, board: n.board, packs: newPacks()}
-	mux.Handle(peerpb.NewPeerServiceHandler(service, connect.WithCompressMinBytes(compressFrom)))
+	anyRouter := func(context.Context) ident.Router { return "" }
+	service := &peerService{Server: home.NewServer(n.homes, anyRouter), peers: n.peers, board: n.board, packCache: newPackCache()}
+	mux.Handle(peerpb.NewPeerServiceHandler(service, connect.WithCompressMinBytes(minCompressBytes)))
 	mux.Handle("GET /metrics", n.metrics.Handler())
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
-	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTime, Protocols: protocols, ErrorLog: telem.NewServerLog(n.Logger)}
+	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, Protocols: protocols, ErrorLog: telem.NewServerLog(n.Logger)}
 }
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -24,32 +24,32 @@
 	logger log.Logger
 	clock  ident.Clock
 	// rules is the configuration in force; it never goes back to a lower revision.
-	rules atomic.Pointer[match.Table]
+	inForce atomic.Pointer[match.Table]
 
 	mu       sync.Mutex
 	services []match.Service
 	routers  []boxes.Box
 	// readings are the targets' rows as they were decoded, departed those that went lately, in order.
-	readings map[table.Key]reading
-	departed []departure
+	targetRows map[table.Key]targetRow
+	removed    []removal
 	// counts are how many targets of each service take new work.
-	counts map[ident.Service]int
+	liveTargets map[ident.Service]int
 	// cold are the targets that said that they are cold.
 	cold map[ident.Target]coldTarget
 	// nameOf is the service under whose name a target of a version is kept, onTrial whether some are kept apart.
-	nameOf  func(ident.Service, ident.Version) ident.Service
-	onTrial func(ident.Service) bool
+	serviceName func(ident.Service, ident.Version) ident.Service
+	hasCanary   func(ident.Service) bool
 	// turns counts the changes that concern all targets.
-	turns uint64
-	zones *zones
+	generation uint64
+	zones      *zones
 }
 
 // newState returns the state without rows.
 func newState(rows Rows, logger log.Logger, clock ident.Clock) *state {
 	return &state{
 		rows: rows, logger: logger, clock: clock, zones: newZones(logger, clock),
-		nameOf:  func(service ident.Service, _ ident.Version) ident.Service { return service },
-		onTrial: func(ident.Service) bool { return false }, readings: map[table.Key]reading{}, counts: map[ident.Service]int{}, cold: map[ident.Target]coldTarget{},
+		serviceName: func(service ident.Service, _ ident.Version) ident.Service { return service },
+		hasCanary:   func(ident.Service) bool { return false }, targetRows: map[table.Key]targetRow{}, liveTargets: map[ident.Service]int{}, cold: map[ident.Target]coldTarget{},
 	}
 }
 
@@ -64,7 +64,7 @@
 	if !found {
 		return
 	}
-	if old := s.rules.Load(); old != nil && config.Revision <= old.Revision {
+	if old := s.inForce.Load(); old != nil && config.Revision <= old.Revision {
 		return
 	}
 	compiled, err := match.Compile(config)
@@ -75,33 +75,33 @@
 	s.mu.Lock()
 	if !slices.Equal(s.services, config.Services) {
 		s.services = config.Services
-		s.turns++
+		s.generation++
 	}
 	s.mu.Unlock()
-	s.rules.Store(compiled)
-	at := newest(rows)
+	s.inForce.Store(compiled)
+	at := latestPosition(rows)
 	_ = level.Info(s.logger).Log("msg", "configuration in force", "revision", config.Revision,
 		"routes", compiled.Routes(), "era", at.Era, "version", at.Version)
 }
 
 // revision is that of the configuration in force, zero while there is none.
 func (s *state) revision() ident.Revision {
-	rules := s.rules.Load()
-	if rules == nil {
+	inForce := s.inForce.Load()
+	if inForce == nil {
 		return 0
 	}
-	return rules.Revision
+	return inForce.Revision
 }
 
 // setClosed closes the availability zones that operators want closed.
 func (s *state) setClosed(rows []table.Row) {
-	if s.zones.set(s.rows.ClosedZones(rows), newest(rows)) {
-		s.touch()
+	if s.zones.set(s.rows.ClosedZones(rows), latestPosition(rows)) {
+		s.invalidatePools()
 	}
 }
 
 // newest is the position of the latest row.
-func newest(rows []table.Row) table.Position {
+func latestPosition(rows []table.Row) table.Position {
 	var latest table.Position
 	for _, row := range rows {
 		if latest.Before(row.Position()) {
@@ -137,7 +137,7 @@
 }
 
 // known lists the other routers as the store's rows say.
-func (s *state) known() []boxes.Box {
+func (s *state) routerBoxes() []boxes.Box {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.routers
@@ -146,40 +146,40 @@
 // plainSlots is how many requests a plain target may have for each of its slots. A
 // request counts while its permit and its return travel too, 15 to 20 ms beside the 60 of
 // the work itself: with one a slot a third of the slots stood idle while callers waited.
-const plainSlots = 2
+const plainRequestsPerSlot = 2
 
 // touch has pools made anew although no target's row has changed.
-func (s *state) touch() {
+func (s *state) invalidatePools() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.turns++
+	s.generation++
 }
 
 // capacity is what a target says of itself.
 func (s *state) capacity(service policy.Service, t peer.Target) mesh.Capacity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	slots := s.readings[table.Key(t.ID)].target.Slots
+	slots := s.targetRows[table.Key(t.ID)].target.Slots
 	if service.Kind == policy.PlainTargets {
-		slots *= plainSlots
+		slots *= plainRequestsPerSlot
 	}
-	closed, reopened := s.zones.of(t.Zone)
+	closed, reopened := s.zones.stateOf(t.Zone)
 	return mesh.Capacity{Slots: slots, Closed: closed, Reopened: reopened, Cold: s.coldOf(t, reopened)}
 }
 
 // wanted is what the configuration wants of the mesh.
-func (s *state) wanted() mesh.Wanted {
+func (s *state) poolConfig() mesh.Wanted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	w := mesh.Wanted{Reports: s.turns}
+	wanted := mesh.Wanted{Reports: s.generation}
 	for _, service := range s.services {
-		w.Services = append(w.Services, s.service(service))
-		if s.onTrial(service.Name) {
+		wanted.Services = append(wanted.Services, s.service(service))
+		if s.hasCanary(service.Name) {
 			service.Name += canarySuffix
-			w.Services = append(w.Services, s.service(service))
+			wanted.Services = append(wanted.Services, s.service(service))
 		}
 	}
-	return w
+	return wanted
 }
 
 // service is a service in the form that placement uses; the caller holds the lock.
@@ -188,20 +188,20 @@
 	if from.Engine {
 		kind = policy.EngineTargets
 	}
-	return policy.Service{Name: from.Name, Kind: kind, Balance: policy.Exact, Shards: shardsFor(s.counts[from.Name])}
+	return policy.Service{Name: from.Name, Kind: kind, Balance: policy.Exact, Shards: shardsFor(s.liveTargets[from.Name])}
 }
 
 // targetsPerShard is the most targets that one home counts. A subject that moves from
 // shard to shard leaves its cached prompt behind: with two shards of 9 that was the
 // largest part of what was read again. A home's work at 32 targets is a few hundred
 // permits a second, of about 0.1 ms each.
-const targetsPerShard = 32
+const maxTargetsPerShard = 32
 
 // shardsFor is the number of shards of a pool, a power of two, so that it seldom
 // changes as targets come and go.
 func shardsFor(targets int) int {
 	shards := 1
-	for shards*targetsPerShard < targets && shards < place.MaxShards {
+	for shards*maxTargetsPerShard < targets && shards < place.MaxShards {
 		shards *= 2
 	}
 	return shards
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -12,73 +12,73 @@
 // configLostFor is for how long what operators have written counts once a store that has come back from an
 // older copy lacks it: operators write it again, but when nobody can say, and an availability zone that they
 // closed would get work meanwhile.
-const configLostFor = time.Minute
+const lostConfigTTL = time.Minute
 
 // followTables connects the copies of the store's tables with what is made of them.
 func (n *Node) followTables() {
 	n.followRouters()
 	revision := func(row table.Row) uint64 { return uint64(n.Rows.Revision(row)) }
-	n.board.Follow(n.Rows.ConfigTable(), feed.Rules{Rank: revision, LostFor: configLostFor, Anew: true}, func(change feed.Change) {
+	n.board.Follow(n.Rows.ConfigTable(), feed.Rules{Rank: revision, LostFor: lostConfigTTL, Anew: true}, func(change feed.Change) {
 		rows := change.All()
 		n.state.setConfig(rows)
 		n.state.setClosed(rows)
-		if n.trials.setOrders(n.Rows.Orders(rows)) {
-			n.regroup()
+		if n.rollouts.setRollouts(n.Rows.Orders(rows)) {
+			n.reassign()
 		}
 		n.peers.Do(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
 		n.mesh.MarkDirty()
 	})
 	n.board.Follow(n.Rows.TargetTable(), feed.Rules{LostFor: feed.LapseGrace}, func(change feed.Change) {
-		news, restarted := n.state.setTargets(change)
+		update, restarted := n.state.updateTargets(change)
 		for _, addr := range restarted {
 			n.conns.Forget(addr)
 		}
-		n.observeTargets(news)
+		n.publishTargets(update)
 		n.mesh.MarkDirty()
 	})
-	if n.trials.follows() {
+	if n.rollouts.enabled() {
 		n.followStatuses()
 	}
 }
 
 // followStatuses follows what became of orders to move services to other versions.
 func (n *Node) followStatuses() {
-	n.board.Follow(n.Rows.StatusTable(), feed.Rules{LostFor: configLostFor}, func(change feed.Change) {
-		statuses := map[ident.Service]written{}
+	n.board.Follow(n.Rows.StatusTable(), feed.Rules{LostFor: lostConfigTTL}, func(change feed.Change) {
+		statuses := map[ident.Service]statusRow{}
 		for _, row := range change.Rows {
 			if s, found := n.Rows.Status(row); found {
-				statuses[s.Service] = written{Status: s, version: row.Version}
+				statuses[s.Service] = statusRow{Status: s, version: row.Version}
 			}
 		}
-		if n.trials.setStatuses(statuses) {
-			n.regroup()
+		if n.rollouts.setStatuses(statuses) {
+			n.reassign()
 		}
 	})
 }
 
 // observeTargets tells membership what is new of targets.
-func (n *Node) observeTargets(news peer.TargetNews) {
-	n.peers.Do(func(v *peer.View) { v.ObserveTargets(n.Clock(), news) })
+func (n *Node) publishTargets(update peer.TargetNews) {
+	n.peers.Do(func(v *peer.View) { v.ObserveTargets(n.Clock(), update) })
 }
 
 // followRouters has membership learn of routers from their rows as they are written. All that start together know each
 // other so within a moment, from one reading a zone; who lives and who does not they tell each other.
 func (n *Node) followRouters() {
-	n.board.Follow(routerTable, feed.Rules{LostFor: configLostFor}, func(change feed.Change) {
+	n.board.Follow(routerTable, feed.Rules{LostFor: lostConfigTTL}, func(change feed.Change) {
 		list := n.state.decodeRouters(change.Rows)
 		n.peers.Do(func(v *peer.View) { v.ObserveRouters(n.Clock(), list) })
 	})
 }
 
 // observe tells membership which routers the store's rows name.
-func (n *Node) observe() {
-	n.peers.Do(func(v *peer.View) { v.ObserveRouters(n.Clock(), n.state.known()) })
+func (n *Node) updateRouters() {
+	n.peers.Do(func(v *peer.View) { v.ObserveRouters(n.Clock(), n.state.routerBoxes()) })
 }
 
 // tables are the tables that routers follow.
-func (n *Node) tables() []table.Name {
+func (n *Node) followedTables() []table.Name {
 	names := []table.Name{n.Rows.ConfigTable(), n.Rows.TargetTable(), routerTable}
-	if n.trials.follows() {
+	if n.rollouts.enabled() {
 		names = append(names, n.Rows.StatusTable())
 	}
 	return names
--- a/internal/oper/node/targets_test.go
+++ b/internal/oper/node/targets_test.go
@@ -25,8 +25,8 @@
 	if string(row.Value) == "?" {
 		return Target{}, fault.New("node.test", BadRow, nil)
 	}
-	since := ident.Incarnation(row.Value[0])
-	return Target{Box: boxes.Box{ID: string(row.Key), Addr: "at " + string(row.Key), State: boxes.Live, Incarnation: since}}, nil
+	incarnation := ident.Incarnation(row.Value[0])
+	return Target{Box: boxes.Box{ID: string(row.Key), Addr: "at " + string(row.Key), State: boxes.Live, Incarnation: incarnation}}, nil
 }
 
 // rowsOf makes rows of keys, values and versions.
@@ -41,8 +41,8 @@
 // incarnations are those of all targets.
 func incarnations(s *state) map[string]ident.Incarnation {
 	out := map[string]ident.Incarnation{}
-	for key, r := range s.readings {
-		if r.names() {
+	for key, r := range s.targetRows {
+		if r.valid() {
 			out[string(key)] = r.target.Incarnation
 		}
 	}
@@ -50,28 +50,28 @@
 }
 
 // setAll has a state take in rows as all that there are, and returns the addresses at which targets started anew.
-func setAll(s *state, rows []table.Row) []string {
+func setAllTargets(s *state, rows []table.Row) []string {
 	change := feed.Change{Rows: rows}
-	for key, r := range s.readings {
-		there := slices.ContainsFunc(rows, func(row table.Row) bool { return row.Key == key })
-		if r.gone.IsZero() && !there {
+	for key, r := range s.targetRows {
+		present := slices.ContainsFunc(rows, func(row table.Row) bool { return row.Key == key })
+		if r.removedAt.IsZero() && !present {
 			change.Gone = append(change.Gone, key)
 		}
 	}
-	_, restarted := s.setTargets(change)
+	_, restarted := s.updateTargets(change)
 	return restarted
 }
 
 // A target that starts again under its name is a new incarnation, above the one before even if its
 // clock was set back, and its address is returned so that old connections can be closed.
-func TestTargetStartsAnew(t *testing.T) {
+func TestTargetRestarts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newState(plainRows{}, log.NewNopLogger(), func() time.Time { return now })
 	for i, step := range []struct {
-		name string
-		rows []table.Row
-		want map[string]ident.Incarnation
-		anew []string
+		name      string
+		rows      []table.Row
+		want      map[string]ident.Incarnation
+		restarted []string
 	}{
 		{"first", rowsOf(1, "x", "m", "y", "m"), map[string]ident.Incarnation{"x": 'm', "y": 'm'}, nil},
 		{"later", append(rowsOf(1, "y", "m"), rowsOf(2, "x", "p")...), map[string]ident.Incarnation{"x": 'p', "y": 'm'}, []string{"at x"}},
@@ -83,33 +83,33 @@
 		{"spoilt", append(rowsOf(1, "y", "m"), rowsOf(7, "x", "?")...), map[string]ident.Incarnation{"y": 'm'}, nil},
 		{"its own row again", append(rowsOf(1, "y", "m"), rowsOf(8, "x", "b")...), map[string]ident.Incarnation{"x": 'r', "y": 'm'}, nil},
 	} {
-		anew := setAll(s, step.rows)
+		restarted := setAllTargets(s, step.rows)
 		if diff := cmp.Diff(step.want, incarnations(s)); diff != "" {
 			t.Errorf("step %d, %s: %s", i, step.name, diff)
 		}
-		if diff := cmp.Diff(step.anew, anew); diff != "" {
+		if diff := cmp.Diff(step.restarted, restarted); diff != "" {
 			t.Errorf("step %d, %s, started anew: %s", i, step.name, diff)
 		}
 	}
-	setAll(s, nil)
-	now = now.Add(goneKept)
-	setAll(s, nil)
-	if diff := cmp.Diff(0, len(s.readings)); diff != "" {
+	setAllTargets(s, nil)
+	now = now.Add(removedRowTTL)
+	setAllTargets(s, nil)
+	if diff := cmp.Diff(0, len(s.targetRows)); diff != "" {
 		t.Errorf("rows remembered for ever: %s", diff)
 	}
 }
 
 // A row that names no target is told of once, however often the table is read.
-func TestSpoiltRowIsLoggedOnce(t *testing.T) {
+func TestInvalidRowIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	s := newState(plainRows{}, log.NewJSONLogger(&out), time.Now)
 	for range 3 {
-		setAll(s, append(rowsOf(1, "x", "?"), rowsOf(2, "y", "m")...))
+		setAllTargets(s, append(rowsOf(1, "x", "?"), rowsOf(2, "y", "m")...))
 	}
 	if diff := cmp.Diff(1, strings.Count(out.String(), "names no target")); diff != "" {
 		t.Errorf("lines about the row: %s", diff)
 	}
-	setAll(s, rowsOf(3, "x", "?"))
+	setAllTargets(s, rowsOf(3, "x", "?"))
 	if diff := cmp.Diff(2, strings.Count(out.String(), "names no target")); diff != "" {
 		t.Errorf("lines after another writing: %s", diff)
 	}
@@ -117,18 +117,18 @@
 
 // What a router does for one target that changes must not grow with the number of the others: half of 10,000 are
 // replaced within 20 s on some days, before boxes with a fifth of a core.
-func TestOneTargetCostsTheSameInALargeFleet(t *testing.T) {
+func TestTargetUpdateCostIsIndependentOfFleetSize(t *testing.T) {
 	perChange := func(targets int) float64 {
 		s := newState(plainRows{}, log.NewNopLogger(), time.Now)
 		var keysAndValues []string
 		for i := range targets {
 			keysAndValues = append(keysAndValues, strconv.Itoa(i), "m")
 		}
-		s.setTargets(feed.Change{Rows: rowsOf(1, keysAndValues...)})
+		s.updateTargets(feed.Change{Rows: rowsOf(1, keysAndValues...)})
 		version := table.Version(1)
 		return testing.AllocsPerRun(20, func() {
 			version++
-			s.setTargets(feed.Change{Rows: rowsOf(version, "7", "n")})
+			s.updateTargets(feed.Change{Rows: rowsOf(version, "7", "n")})
 		})
 	}
 	if small, large := perChange(100), perChange(10_000); large > small {
--- a/internal/oper/node/zones.go
+++ b/internal/oper/node/zones.go
@@ -52,7 +52,7 @@
 }
 
 // of reports whether a zone is closed, and when it was opened last after it was closed.
-func (z *zones) of(zone ident.Zone) (closed bool, reopened time.Time) {
+func (z *zones) stateOf(zone ident.Zone) (closed bool, reopened time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return slices.Contains(z.closed, zone), z.reopened[zone]
