--- a/internal/oper/node/ahead.go
+++ b/internal/oper/node/ahead.go
@@ -13,24 +13,25 @@
 )
 
 const (
-	// aheadWait is how long a later configuration that another router tells of may take to come the usual way:
-	// it does within half a second, and must be in force within two.
+	// catchUpDelay is how long a later configuration that a peer reports may take to arrive through
+	// the tables. It normally does so within half a second, and has to be in force within two.
 	catchUpDelay = time.Second
-	// aheadAsked is how many routers are asked for it then, one after the other.
+	// maxCatchUpPeers is the maximum number of peers that are then queried for it, one after the
+	// other.
 	maxCatchUpPeers = 4
 )
 
-// heardRevision follows a router's word of a later configuration than any known.
+// laterRevisionReported is called when a peer reports a later configuration than any known one.
 func (n *Node) laterRevisionReported(_ ident.Revision, from ident.Router) {
 	select {
 	case n.aheadPeer <- from:
 	default:
-		// Another one is to be asked already.
+		// Another peer is already due to be queried.
 	}
 }
 
-// catchUp takes a configuration from routers that have a later one in force than the store shows, until the
-// context ends. A router that started while it reached none of them has an older one.
+// catchUp pulls the configuration from peers that have a later one in force than the store shows,
+// until the context ends. A router that reached none of them during its start has an older one.
 func (n *Node) catchUp(ctx context.Context) {
 	for {
 		select {
@@ -43,7 +44,7 @@
 	}
 }
 
-// askAhead asks routers in turn until this one is not behind.
+// pullFromPeers queries peers in turn until this router is no longer behind.
 func (n *Node) pullFromPeers(ctx context.Context, from ident.Router) {
 	candidates := append([]ident.Router{from}, slices.DeleteFunc(peerRows{n}.Others(), func(r ident.Router) bool { return r == from })...)
 	for _, id := range candidates[:min(len(candidates), maxCatchUpPeers)] {
@@ -56,7 +57,8 @@
 	}
 }
 
-// behind reports whether another router has told of a later configuration than the one in force here.
+// behind reports whether a peer has reported a later configuration than the one in force on this
+// router.
 func (n *Node) behind() bool {
 	var head ident.Revision
 	n.peers.Read(func(v *peer.View) { head = v.Head() })
--- a/internal/oper/node/announce_test.go
+++ b/internal/oper/node/announce_test.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// tries are moments at which routers write their rows, in order.
+// attemptQueue is a heap of attempts to write routers' rows, ordered by time.
 type attemptQueue []attempt
 
-// try is one router's.
+// attempt is the next attempt of one router.
 type attempt struct {
 	at     time.Duration
 	router int
@@ -26,13 +26,11 @@
 	return last
 }
 
-// Seen: 986 routers that started together made 8,548 calls to the store in a day, most of them in the first seconds: the
-// largest price of a quiet day. 295 were refused 73 times.
-//
-// How: rows of one table take 200 writes a second, and refuse what would wait longer than a second. All routers wrote
-// theirs at once, and those refused tried again each half second, together.
-//
-// Cause: a fixed pause between tries. Refusals grow with the square of the fleet.
+// Guards against write storms when a large fleet starts. All routers write their rows at once,
+// while the rows of one table accept 200 writes per second and reject a write that would wait
+// longer than a second. With a fixed delay of half a second between attempts, the rejected routers
+// retry together, and rejections grow with the square of the fleet: 295 routers were rejected 73
+// times, and 986 routers made 8,548 store calls in a day, most of them in the first seconds.
 func TestAnnounceRetriesInALargeFleet(t *testing.T) {
 	const perSecond, queue = 200, 200
 	for _, routers := range []int{60, 986, 2000} {
@@ -45,7 +43,7 @@
 		}
 		heap.Init(&due)
 		calls, last := 0, time.Duration(0)
-		// free is when the rows have taken all writes that wait.
+		// writerFreeAt is when all queued writes are done.
 		writerFreeAt := time.Duration(0)
 		for len(due) > 0 {
 			next := heap.Pop(&due).(attempt)
@@ -60,11 +58,11 @@
 		}
 		perRouter := float64(calls) / float64(routers)
 		t.Logf("%d routers: %.2f calls each, all written after %v", routers, perRouter, last)
-		// A start is to cost four calls, one of which reads the others' rows.
+		// A start should cost four calls, one of which reads the other routers' rows.
 		if perRouter > 3 {
 			t.Errorf("%d routers write %.2f times each, want 3 at most", routers, perRouter)
 		}
-		// A third more than the rows take for as many.
+		// The limit is a third more time than the table needs for as many writes.
 		if limit := 2*time.Second + time.Duration(routers)*time.Second/perSecond*4/3; last > limit {
 			t.Errorf("%d routers are announced after %v, want %v at most", routers, last, limit)
 		}
--- a/internal/oper/node/budget.go
+++ b/internal/oper/node/budget.go
@@ -8,25 +8,26 @@
 	"valescale/internal/rule/retry"
 )
 
-// budget keeps this router's part of the fleet's retries, by service.
+// retryBudget holds this router's part of the fleet's retry budget, by service.
 type retryBudget struct {
-	// fleet is how many routers share the allowance.
+	// fleetSize returns the number of routers that share the allowance.
 	fleetSize func() int
 
 	mu        sync.Mutex
 	allowance retry.Allowance
 	windows   map[ident.Service]*retry.Window
-	// began is since when this router has used nothing that is not in the windows.
+	// start is the time from which all retries of this router are recorded in the windows.
 	start time.Time
 }
 
-// newBudget returns the budget of a router that starts now.
+// newRetryBudget returns the budget of a router that starts now.
 func newRetryBudget(now time.Time, allowance retry.Allowance, fleetSize func() int) *retryBudget {
 	return &retryBudget{allowance: allowance, fleetSize: fleetSize, start: now, windows: map[ident.Service]*retry.Window{}}
 }
 
-// window returns a service's window; the caller holds the lock. It counts from the router's start, not from the service's
-// first request: a router that sees one in some seconds would have no retry for its first ones.
+// window returns the window of a service. The caller holds the lock. The window starts with the
+// router, not with the service's first request: otherwise a router that receives one request in
+// several seconds would have no retries for its first ones.
 func (b *retryBudget) window(service ident.Service) *retry.Window {
 	w, ok := b.windows[service]
 	if !ok {
@@ -36,21 +37,21 @@
 	return w
 }
 
-// Request notes a caller's request to a service.
+// Request records a caller's request to a service.
 func (b *retryBudget) Request(service ident.Service, now time.Time) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.window(service).Request(now)
 }
 
-// Retry uses one of the service's retries if there is one.
+// Retry consumes one of the service's retries and reports whether one was available.
 func (b *retryBudget) Retry(service ident.Service, now time.Time) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.window(service).Retry(now, b.fleetSize())
 }
 
-// allow changes the allowance; what was used of the earlier one counts no more.
+// setAllowance changes the allowance. Retries consumed under the earlier one are discarded.
 func (b *retryBudget) setAllowance(now time.Time, allowance retry.Allowance) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/oper/node/budget_test.go
+++ b/internal/oper/node/budget_test.go
@@ -9,14 +9,11 @@
 	"valescale/internal/rule/retry"
 )
 
-// Seen: on a quiet day of 986 routers 130 of 1,728 requests that may be repeated ended with a target's failure, seven
-// times as many as two targets in a row fail, while the fleet had used a tenth of its retries.
-//
-// How: each router sees such a request in ten seconds or so. Its part of the fleet's extra retries grew from nothing
-// over ten seconds that began with the service's first request, so that the first ones had none.
-//
-// Cause: the time for which a router's earlier process may have used its part was counted from the first request,
-// in place of from the start of the process.
+// Guards against a router without retries for the first requests of a service. If the window starts
+// with the first request instead of the process, the router's part of the fleet's extra retries
+// grows from zero over the following ten seconds. In a fleet of 986 routers, each of which receives
+// a repeatable request about every ten seconds, 130 of 1,728 such requests failed, seven times as
+// many as two failing targets in a row explain, while a tenth of the retry budget was used.
 func TestRetryBudgetOfFirstRequestsInALargeFleet(t *testing.T) {
 	const routers = 986
 	allowance := retry.Allowance{Ratio: 0.2, Extra: 1040, Span: 10 * time.Second}
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -22,21 +22,21 @@
 )
 
 const (
-	// permitTimeout is how long a call to a home may take before the next in line is
-	// asked: many round trips between availability zones, since a home that has just
-	// started on a small box is slow, and still a part of the objectives, which begin at
+	// permitTimeout is the timeout of a call to a home, after which the next router in line is
+	// called. It covers many round trips between availability zones, since a home that has just
+	// started on a small box is slow, and is still a part of the latency objectives, which begin at
 	// some hundred milliseconds. At 60 ms permits were lost at each start of the fleet.
 	permitTimeout = 100 * time.Millisecond
-	// gossipEvery is how often a router exchanges news with another. Homes are right only
-	// once views agree; a digest has some hundred bytes.
+	// gossipInterval is the interval between two exchanges of gossip digests. Homes are right only
+	// once membership views agree. A digest has a few hundred bytes.
 	gossipInterval = 400 * time.Millisecond
-	// startSpread is how far apart routers may start that start together: 0.3 s on the
-	// platform, and what a small box needs to come up. Until then those that are up would
-	// each leave out others and disagree on who is home of what.
+	// maxStartSpread is the maximum time between the starts of routers that start together: 0.3 s
+	// on the platform, plus the time that a small box needs to come up. Until then routers that are
+	// up would each omit different peers and disagree on the homes of shards.
 	maxStartSpread = 600 * time.Millisecond
 )
 
-// build makes the parts and connects them.
+// build creates the parts and connects them.
 func (n *Node) build() {
 	s := n.settings.Load()
 	n.board = feed.NewBoard(n.Logger, n.Clock)
@@ -44,7 +44,7 @@
 		select {
 		case n.storeRestored <- struct{}{}:
 		default:
-			// It is asked for already.
+			// A rewrite is already requested.
 		}
 	})
 	n.roles = feed.NewRoles()
@@ -57,11 +57,11 @@
 	n.followTables()
 	n.buildEntry(s)
 	n.puller = feed.NewPuller(n.board, peerRows{n}, n.followedTables(), feed.DefaultPace, n.roles, n.Logger, n.Clock)
-	// Routers that an earlier process of the fleet knew can be asked at once.
+	// Routers that are listed in the store can be contacted at once.
 	n.updateRouters()
 }
 
-// buildPeers makes what knows the other routers.
+// buildPeers creates the membership view and its gossip.
 func (n *Node) buildPeers(s *Settings) {
 	now := n.Clock()
 	n.self = peer.Member{
@@ -70,7 +70,7 @@
 	clients, closeClients := peer.NewClients(nil, n.meter)
 	n.cleanups = append(n.cleanups, closeClients)
 	limits := peer.DefaultLimits
-	// The store's rows are whole and in order; one reading without a row is enough.
+	// The store's list of rows is complete and ordered, so one list without a row is enough.
 	limits.MissingLists = 1
 	limits.ListedGrace = maxStartSpread
 	view := peer.NewView(now, n.self, limits)
@@ -79,14 +79,14 @@
 	n.peers = peer.NewNode(view, clients, nil, pace, n.otherSeeds(s.Seeds), n.self.Seed(), n.Clock)
 }
 
-// buildTrials makes what follows orders to move services to other versions.
+// buildRollouts creates the part that follows rollouts of service versions.
 func (n *Node) buildRollouts(s *Settings) {
 	n.rollouts = newRollouts(s.TrialShare, n.self.Seed(), n.Logger, n.Clock)
 	n.state.serviceName, n.state.hasCanary = n.rollouts.serviceName, n.rollouts.hasCanary
 	n.peers.SetTrials(n.rollouts)
 }
 
-// buildGuard makes what holds requests back that targets end under.
+// buildGuard creates the part that quarantines requests under which targets crash.
 func (n *Node) buildGuard() {
 	conns, closeConns := relay.NewConns(relay.DefaultConnLimits)
 	n.conns = conns
@@ -98,22 +98,22 @@
 	n.peers.SetCrashes(g)
 }
 
-// reads reports whether this router reads the store for its availability zone.
+// isStoreReader reports whether this router reads the store for its availability zone.
 func (n *Node) isStoreReader() bool {
 	reader, _ := n.roles.Reader()
 	return reader
 }
 
-// heldRows are the rows of requests held back in the store.
+// quarantineRows provides the rows of quarantined requests in the store.
 type quarantineRows struct{ Store }
 
-// Held returns the rows.
+// Held returns the rows of quarantined requests.
 func (h quarantineRows) Held(ctx context.Context) ([]table.Row, error) {
 	page, err := h.All(ctx, guard.Table)
 	return page.Rows, err
 }
 
-// buildMesh makes what counts, places and shares requests with the other routers.
+// buildMesh creates the parts that count, place and share requests with other routers.
 func (n *Node) buildMesh(s *Settings) {
 	n.homes = home.New(s.ID, home.DefaultLimits, n.Clock, noRateLimit)
 	n.homes.OnBlocked(n.logBlocked)
@@ -128,7 +128,7 @@
 	n.peers.SetHooks(peer.Hooks{Changed: n.membersChanged, Head: n.laterRevisionReported})
 }
 
-// buildEntry makes what serves callers.
+// buildEntry creates the part that serves callers.
 func (n *Node) buildEntry(s *Settings) {
 	n.retryBudget = newRetryBudget(n.Clock(), s.Retries, n.fleetSize)
 	n.metrics = telem.NewRouted(n.metricReadings())
@@ -139,7 +139,7 @@
 	})
 }
 
-// logBlocked tells the log of a target that this router's home keeps new work off.
+// logBlocked logs a target that this router, as home, excludes from new work.
 func (n *Node) logBlocked(b home.Blocked) {
 	target, _ := n.mesh.TargetAt(b.Shard.Pool, b.Engine)
 	message := "target fails many requests"
@@ -150,10 +150,10 @@
 		"shard", b.Shard.Shard, "reported_by", b.Edge, "reported_zone", b.Zone, "backoff_ms", b.Backoff.Milliseconds())
 }
 
-// noRate says that workspaces have no rates here.
+// noRateLimit reports that a workspace has no rate limit: this router has none.
 func noRateLimit(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false }
 
-// otherSeeds leaves out this router's own address.
+// otherSeeds returns the seeds except for this router's own address.
 func (n *Node) otherSeeds(seeds []string) []string {
 	var out []string
 	for _, addr := range seeds {
@@ -165,18 +165,19 @@
 }
 
 const (
-	// boundShare is the part of the load factor that homes hand out. Requests that have
-	// just ended still count at a home for a moment and make its mean too high.
+	// loadFactorRatio is the part of the load factor that homes hand out. Requests that have just
+	// finished still count at a home for a moment and raise its mean.
 	loadFactorRatio = 0.95
-	// steadyShare is the multiple of the mean under which a new subject goes to the first
-	// engine of its own order: high enough that homes which have lost their memory find
-	// most subjects again, low enough to spread load.
+	// steadyLoadRatio is the multiple of the mean load below which a new prompt prefix is placed on
+	// the first engine of its own order. It is high enough that homes which have lost their state
+	// find most cache holders again, and low enough to spread load.
 	steadyLoadRatio = 1.3
-	// boundExtra is added to the bound: with a small mean, whole requests are coarse.
+	// boundExtraLoad is added to the load bound. With a small mean, steps of whole requests are
+	// coarse.
 	boundExtraLoad = 5 * ident.OneRequest / 2
 )
 
-// bound is the load bound of a service's targets.
+// bound returns the load bound of a service's targets.
 func (n *Node) bound(policy.Service) place.Bound {
 	b := place.BoundOf(n.settings.Load().LoadFactor * loadFactorRatio)
 	b.Extra = boundExtraLoad
--- a/internal/oper/node/cold.go
+++ b/internal/oper/node/cold.go
@@ -8,15 +8,15 @@
 	"valescale/internal/share/peer"
 )
 
-// coldTarget is a target that said how much longer it is cold.
+// coldTarget is a target that reported how much longer it is cold.
 type coldTarget struct {
 	incarnation ident.Incarnation
 	reported    time.Duration
 	until       time.Time
 }
 
-// noteCold keeps until when a target is cold. A row goes on saying what it said first, so that
-// time counts from when that is new; the caller holds the lock.
+// updateCold updates the time until which a target is cold. A row keeps its first reported value,
+// so the time counts from when the value is new. The caller holds the lock.
 func (s *state) updateCold(id ident.Target, r targetRow) {
 	if !r.valid() || r.target.ColdLeft <= 0 {
 		delete(s.cold, id)
@@ -29,8 +29,8 @@
 	s.cold[id] = coldTarget{incarnation: r.target.Incarnation, reported: r.target.ColdLeft, until: s.clock().Add(r.target.ColdLeft)}
 }
 
-// coldOf is what a target bears while it is cold, as itself says or because its availability zone
-// was opened again a moment ago; the caller holds the lock.
+// coldOf returns the limits of a target while it is cold, either as reported by the target or
+// because its availability zone was reopened recently. The caller holds the lock.
 func (s *state) coldOf(t peer.Target, reopened time.Time) place.Cold {
 	for _, service := range s.services {
 		if service.Name != t.Service || service.ColdRate <= 0 {
--- a/internal/oper/node/cold_test.go
+++ b/internal/oper/node/cold_test.go
@@ -17,7 +17,7 @@
 	"valescale/internal/share/peer"
 )
 
-// coldRows decodes nothing: what it says is set by the test.
+// coldRows is a fake decoder that returns values set by the test.
 type coldRows struct {
 	Rows
 	left        time.Duration
@@ -28,8 +28,9 @@
 	return Target{Box: boxes.Box{ID: "t", Service: "s", Zone: "a", Incarnation: r.incarnation}, Slots: 12, ColdLeft: r.left}, nil
 }
 
-// A target is cold for as long as its row said first, however often the row is read, and again
-// when the row says another time, the target started anew, or its availability zone was opened again.
+// A target is cold for the time that its row reported first, however often the row is read. It is
+// cold again when the row reports another time, the target restarts, or its availability zone is
+// reopened.
 func TestColdTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rows := &coldRows{left: 3 * time.Second, incarnation: 1}
--- a/internal/oper/node/doc.go
+++ b/internal/oper/node/doc.go
@@ -1,4 +1,4 @@
-// Package node puts together a router that serves by routes and lives off the
-// platform's store: it follows configuration and targets there, finds the other
-// routers, and shares counts, places and retries with them.
+// Package node assembles a router that serves requests by routes and works with the platform's
+// store. It follows configuration and targets in the store, discovers its peers, and shares request
+// counts, placements and retries with them.
 package node
--- a/internal/oper/node/figures.go
+++ b/internal/oper/node/figures.go
@@ -2,7 +2,7 @@
 
 import "valescale/internal/oper/telem"
 
-// readings are the figures that metrics read of this router.
+// metricReadings returns the values that the metrics read from this router.
 func (n *Node) metricReadings() []telem.Reading {
 	gauge := func(name, help string, read func() float64) telem.Reading {
 		return telem.Reading{Name: name, Help: help, Read: read}
@@ -38,7 +38,7 @@
 	}
 }
 
-// revision is the configuration revision in force, or zero without one.
+// revision returns the configuration revision in force, or zero if there is none.
 func (n *Node) revision() float64 {
 	if t := n.Table(); t != nil {
 		return float64(t.Revision)
--- a/internal/oper/node/idle.go
+++ b/internal/oper/node/idle.go
@@ -7,23 +7,24 @@
 	"time"
 )
 
-// idle closes callers' connections that have had no request for a time that the
-// configuration may change while they are open, which the server's own limit cannot.
+// idleConns closes callers' connections that have been idle for longer than a timeout that the
+// configuration may change while they are open, which http.Server's own idle timeout does not
+// support.
 type idleConns struct {
-	// limit is asked as a connection becomes idle.
+	// timeout is called when a connection becomes idle.
 	timeout func() time.Duration
 
 	mu sync.Mutex
-	// timers are those of the connections that are idle now.
+	// timers contains the timers of the connections that are currently idle.
 	timers map[net.Conn]*time.Timer
 }
 
-// newIdle returns one without connections.
+// newIdleConns returns an idleConns without connections.
 func newIdleConns(timeout func() time.Duration) *idleConns {
 	return &idleConns{timeout: timeout, timers: map[net.Conn]*time.Timer{}}
 }
 
-// changed follows a connection's state.
+// stateChanged handles a change of a connection's state. It is a http.Server.ConnState callback.
 func (i *idleConns) stateChanged(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
@@ -32,16 +33,16 @@
 		delete(i.timers, c)
 	}
 	if state == http.StateIdle {
-		// A connection that cannot be closed is closed already.
+		// Close fails only for a connection that is already closed.
 		i.timers[c] = time.AfterFunc(i.timeout(), func() { _ = c.Close() })
 	}
 }
 
-// defaultIdle counts while no configuration is known: longer than callers of the platform
-// leave connections idle, so that none is closed under a request.
+// defaultIdleTimeout applies while no configuration is known. It is longer than callers of the
+// platform leave connections idle, so that none is closed while a request is sent on it.
 const defaultIdleTimeout = time.Minute
 
-// idleTime is how long a caller's connection may stay without a request.
+// idleTimeout returns how long a caller's connection may stay idle.
 func (n *Node) idleTimeout() time.Duration {
 	if t := n.Table(); t != nil && t.Limits.IdleTime > 0 {
 		return t.Limits.IdleTime
--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -16,10 +16,9 @@
 	"valescale/internal/share/peer"
 )
 
-// routerTable holds a row for each router.
+// routerTable contains a row for each router.
 const routerTable table.Name = "routers"
 
-// routerRow is the value of a router's row.
 type routerRow struct {
 	Addr        string            `json:"addr"`
 	Zone        ident.Zone        `json:"zone"`
@@ -28,17 +27,17 @@
 	Cores       ident.Cores       `json:"cores"`
 }
 
-// encodeRouter is the writing of a router's row.
+// encodeRouter returns the write of a router's row.
 func encodeRouter(m peer.Member) table.Put {
 	value, err := json.Marshal(routerRow{Addr: m.Addr, Zone: m.Zone, Region: m.Region, Incarnation: m.Incarnation, Cores: m.Cores})
 	if err != nil {
-		// Strings and a number can always be encoded.
+		// Strings and numbers can always be encoded.
 		panic(err)
 	}
 	return table.Put{Table: routerTable, Key: table.Key(m.ID), Value: value}
 }
 
-// decodeRouter reads a router's row.
+// decodeRouter decodes a router's row.
 func decodeRouter(row table.Row) (peer.Member, error) {
 	var r routerRow
 	if err := json.Unmarshal(row.Value, &r); err != nil {
@@ -50,21 +49,21 @@
 }
 
 const (
-	// announceSpread is within how long a try to write this router's row that failed is made again, at some moment of
-	// it: the rows of a table share some hundred writes a second, and a thousand routers that start together write
-	// theirs at once.
+	// maxAnnounceRetryDelay is the maximum delay before a failed write of this router's row is
+	// retried. The delay is random: the rows of a table share a few hundred writes per second, and
+	// a thousand routers that start together write theirs at once.
 	maxAnnounceRetryDelay = 4 * time.Second
-	// listPause is the pause between two readings of the routers' rows while this router
-	// knows no other.
+	// aloneListInterval is the interval between two reads of the routers' rows while this router
+	// has no peers.
 	aloneListInterval = time.Second
-	// listEvery is that pause later on: gossip tells the rest.
+	// listInterval is that interval once peers are known. Gossip reports other changes.
 	listInterval = 15 * time.Second
-	// listTimeout bounds the reading of the routers' rows.
+	// listTimeout is the timeout of a read of the routers' rows.
 	listTimeout = time.Second
 )
 
-// announce writes this router's row until the store has taken it, then reads the
-// others' now and then.
+// announce writes this router's row until the store accepts it, then reads the rows of all routers
+// periodically.
 func (n *Node) announce(ctx context.Context) {
 	n.writeOwnRow(ctx)
 	n.discoverPeers(ctx)
@@ -80,8 +79,8 @@
 	}
 }
 
-// awaitRestored waits until the store was seen to have come back from an older copy, for at most a while, and
-// then has the guard write again what that may lack.
+// waitForRestore waits until a store rollback is detected, for the given time at most, and then has
+// the guard rewrite rows that the store may lack.
 func (n *Node) waitForRestore(ctx context.Context, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
@@ -93,7 +92,7 @@
 	}
 }
 
-// writeRow writes this router's row until the store has taken it.
+// writeOwnRow writes this router's row until the store accepts it.
 func (n *Node) writeOwnRow(ctx context.Context) {
 	rng := rand.New(rand.NewPCG(n.self.Seed(), announceSalt))
 	for ctx.Err() == nil {
@@ -106,15 +105,15 @@
 	}
 }
 
-// announceSalt keeps the moments of writing apart from other random choices.
+// announceSalt separates the random delays of writes from other random choices.
 const announceSalt = 0xa4404ce
 
-// announceAgain is how long to wait after a try that failed.
+// announceRetryDelay returns the delay after a failed write.
 func announceRetryDelay(rng *rand.Rand) time.Duration {
 	return time.Duration(rng.Int64N(int64(maxAnnounceRetryDelay)))
 }
 
-// listRouters reads the routers' rows.
+// readRouters reads the routers' rows and updates the membership view.
 func (n *Node) readRouters(ctx context.Context) {
 	ctx, cancel := context.WithTimeout(ctx, listTimeout)
 	defer cancel()
@@ -130,11 +129,13 @@
 	n.removeDead(ctx, page.Rows)
 }
 
-// maxRouterPuts bounds the routers' rows of one transaction, which may hold a hundred checks and writes.
+// maxRouterPutsPerTxn limits the rows of one transaction, which may contain a hundred checks and
+// writes.
 const maxRouterPutsPerTxn = 50
 
-// writeMissing writes again the rows of this zone's live routers that the store has lost. One router a zone does
-// so: 300 that hear of it at once would take up most of the writes that the store bears in a second.
+// rewriteMissing writes the rows of this zone's live routers that the store has lost. Only one
+// router per zone does so: 300 routers that detect the loss at once would use most of the writes
+// per second that the store supports.
 func (n *Node) rewriteMissing(ctx context.Context, rows []table.Row) {
 	for missingRouters := range slices.Chunk(n.missingRouters(rows), maxRouterPutsPerTxn) {
 		var txn table.Txn
@@ -147,7 +148,7 @@
 	}
 }
 
-// missing lists this zone's live routers that have no row.
+// missingRouters returns this zone's live routers that have no row.
 func (n *Node) missingRouters(rows []table.Row) []peer.Member {
 	var out []peer.Member
 	n.peers.Read(func(v *peer.View) {
@@ -162,13 +163,14 @@
 	})
 }
 
-// deadLists is how many readings of the routers' rows in a row, 15 s apart, must find a
-// router dead before its row goes. The row also keeps the router's next process from taking
-// a lower incarnation, should the box's clock be set back by less than that.
+// minDeadReadings is the number of consecutive reads of the routers' rows, 15 s apart, that must
+// find a router dead before its row is removed. The row also prevents the router's next process
+// from using a lower incarnation if the box's clock is set back by less than that.
 const minDeadReadings = 4
 
-// removeGone removes the rows of routers that have been dead for a while, unless they have
-// been written anew meanwhile: each start would take them for live.
+// removeDead removes the rows of routers that have been dead for minDeadReadings reads, unless they
+// have been rewritten since. Otherwise each starting router would assume that those routers are
+// live.
 func (n *Node) removeDead(ctx context.Context, rows []table.Row) {
 	for _, row := range n.longDead(rows) {
 		txn := table.Txn{
@@ -180,7 +182,8 @@
 	}
 }
 
-// lasting returns the rows of this zone's routers that were dead at enough readings in a row.
+// longDead returns the rows of this zone's routers that were dead at minDeadReadings consecutive
+// reads.
 func (n *Node) longDead(rows []table.Row) []table.Row {
 	var out []table.Row
 	deadReadings := map[table.Key]int{}
@@ -197,21 +200,21 @@
 	return out
 }
 
-// deadHere reports whether a router of this router's availability zone is dead.
+// deadInZone reports whether a router is in this router's availability zone and dead.
 func (n *Node) deadInZone(id ident.Router) bool {
 	var member peer.Member
 	n.peers.Read(func(v *peer.View) { member, _ = v.Member(id) })
 	return member.State == peer.Dead && member.Zone == n.self.Zone
 }
 
-// alone reports whether this router knows no other.
+// hasNoPeers reports whether this router has no peers in its membership view.
 func (n *Node) hasNoPeers() bool {
 	peerCount := 0
 	n.peers.Read(func(v *peer.View) { peerCount = len(v.Peers()) })
 	return peerCount == 0
 }
 
-// withdraw removes this router's row.
+// removeOwnRow removes this router's row.
 func (n *Node) removeOwnRow(ctx context.Context) {
 	put := table.Put{Table: routerTable, Key: table.Key(n.self.ID), Delete: true}
 	if err := n.Store.Commit(ctx, table.Txn{Puts: []table.Put{put}}); err != nil {
--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -23,20 +23,22 @@
 type Node struct {
 	Parts
 	settings atomic.Pointer[Settings]
-	// board holds copies of the store's tables, state what they say, roles from where
-	// they are read.
+	// board holds replicas of the store's tables, state their decoded contents, and roles the
+	// source that they are read from.
 	board *feed.Board
 	state *state
 	roles *feed.Roles
-	// puller reads the tables from other routers.
+	// puller reads the tables from peers.
 	puller *feed.Puller
-	// restored asks for rows to be written again that the store may have lost.
+	// storeRestored signals a store rollback, after which rows that the store may have lost are
+	// rewritten.
 	storeRestored chan struct{}
-	// ahead holds a router that told of a later configuration than any known.
+	// aheadPeer receives a peer that reported a later configuration than any known one.
 	aheadPeer chan ident.Router
 	self      peer.Member
 	peers     *peer.Node
-	// membersAt is the count of changes of routers up to which this router's role is found.
+	// roleMemberVersion is the version of the member list for which this router's role was
+	// assigned.
 	roleMemberVersion atomic.Uint64
 	homes             *home.Homes
 	mesh              *mesh.Mesh
@@ -48,32 +50,31 @@
 	handler           *entry.Handler
 	gate              *entry.Gate
 	metrics           *telem.Routed
-	// meter counts what goes to and from other routers.
+	// meter counts the bytes exchanged with peers.
 	meter *peer.Meter
-	// dead counts at how many readings of the routers' rows in a row a router was dead; only
-	// the reading of rows uses it.
+	// deadReadings counts for each router at how many consecutive reads of the routers' rows it was
+	// dead. Only the reader of the rows uses it.
 	deadReadings map[table.Key]int
-	// introduced is closed once this router has written its row and read the others'.
+	// discovered is closed once this router has written its row and read those of its peers.
 	discovered chan struct{}
-	// ready is set once configuration and targets are known, draining once this router
-	// is to stop.
+	// ready is set once configuration and targets are known, draining once this router is to stop.
 	ready    atomic.Bool
 	draining atomic.Bool
 
 	listeners listeners
-	// cleanups free what New made, the latest first.
+	// cleanups release what New created, in reverse order.
 	cleanups []func()
 }
 
-// listeners are the open addresses of Settings.
+// listeners contains the open listeners for the addresses of Settings.
 type listeners struct {
 	callers net.Listener
 	ready   net.Listener
 	peers   net.Listener
 }
 
-// New returns a router that listens but serves nobody until it runs, and the function
-// that frees what it holds.
+// New returns a router that listens but does not serve until Run is called, and a function that
+// releases its resources.
 func New(settings Settings, parts Parts) (*Node, func(), error) {
 	n := &Node{Parts: parts, meter: &peer.Meter{}, discovered: make(chan struct{}), aheadPeer: make(chan ident.Router, 1),
 		storeRestored: make(chan struct{}, 1)}
@@ -86,7 +87,7 @@
 	return n, n.close, nil
 }
 
-// close frees what New made.
+// close releases what New created.
 func (n *Node) close() {
 	for i := len(n.cleanups) - 1; i >= 0; i-- {
 		n.cleanups[i]()
@@ -94,12 +95,12 @@
 	n.cleanups = nil
 }
 
-// listening accepts connections without the kernel's keep-alive probes: four system calls
-// less for each connection, of which callers that repeat at once make thousands. Time-outs
-// of the servers and of the routers' own links find connections that have died.
+// listenConfig disables the kernel's keep-alive probes. This saves four system calls per
+// connection, of which callers that retry immediately open thousands. Timeouts of the servers and
+// of the links between routers detect dead connections.
 var listenConfig = net.ListenConfig{KeepAlive: -1}
 
-// listen opens the addresses.
+// listen opens the listeners.
 func (n *Node) listen() error {
 	s := n.settings.Load()
 	for _, at := range []struct {
@@ -120,14 +121,14 @@
 	return nil
 }
 
-// CallerAddr is where callers connect.
+// CallerAddr returns the address for callers.
 func (n *Node) CallerAddr() string { return n.listeners.callers.Addr().String() }
 
-// ReadyAddr is where the platform asks whether this router wants requests.
+// ReadyAddr returns the address of the platform's readiness check.
 func (n *Node) ReadyAddr() string { return n.listeners.ready.Addr().String() }
 
-// PeerAddr is where other routers connect and metrics are read.
+// PeerAddr returns the address for peers and metrics.
 func (n *Node) PeerAddr() string { return n.listeners.peers.Addr().String() }
 
-// fleet is how many routers there may be.
+// fleetSize returns the maximum number of routers in the fleet.
 func (n *Node) fleetSize() int { return len(n.mesh.Set().Known.Routers()) }
--- a/internal/oper/node/node_test.go
+++ b/internal/oper/node/node_test.go
@@ -25,7 +25,7 @@
 	}
 }
 
-// The routers together leave a target with idle connections for half of what it takes.
+// All routers together keep idle connections for at most half of a target's connection limit.
 func TestIdleConnsDependOnFleetSize(t *testing.T) {
 	n := &Node{mesh: mesh.New(mesh.Parts{}), state: newState(nil, log.NewNopLogger(), time.Now)}
 	if diff := cmp.Diff(0, n.IdleConns("s")); diff != "" {
@@ -44,7 +44,7 @@
 	}
 }
 
-// A connection's idle time follows the configuration while the connection is open.
+// The idle timeout of a connection follows the configuration while the connection is open.
 func TestIdleConnectionsAreClosed(t *testing.T) {
 	limit := time.Hour
 	i := newIdleConns(func() time.Duration { return limit })
@@ -70,7 +70,7 @@
 	return ok && timeout.Timeout()
 }
 
-// Services have budgets of their own, and a new allowance starts anew.
+// Services have separate budgets, and a changed allowance starts with empty windows.
 func TestRetryBudget(t *testing.T) {
 	now := time.Unix(1000, 0)
 	b := newRetryBudget(now, retry.Allowance{Ratio: 1, Span: 10 * time.Second}, func() int { return 8 })
@@ -88,7 +88,7 @@
 	}
 }
 
-// A router's row is removed only after it has been found dead for a while.
+// A router's row is removed only after the router was dead at several consecutive reads.
 func TestRowsOfDeadRouters(t *testing.T) {
 	now := time.Unix(1000, 0)
 	self := peer.Member{ID: "self", Zone: "a", Incarnation: 1}
--- a/internal/oper/node/pack.go
+++ b/internal/oper/node/pack.go
@@ -15,47 +15,49 @@
 )
 
 const (
-	// packFrom is the least number of rows of a whole page that is packed: fewer are no work.
+	// minPackedRows is the minimum number of rows of a full page that is packed. Packing fewer
+	// saves nothing.
 	minPackedRows = 100
-	// mostUnpacked bounds what a packed page may hold, in bytes: many times 20,000 rows.
+	// maxUnpackedBytes limits the size of an unpacked page. It is many times the size of 20,000
+	// rows.
 	maxUnpackedBytes = 64 << 20
 )
 
-// packs holds the whole copies of tables as they are sent to other routers. When a fleet starts again, sixteen
-// routers ask each of those that others read from for the same copy at once; to encode and compress one takes a tenth of a
-// second of a box with a fifth of a core.
+// packCache caches the packed full pages of tables that are sent to peers. When a fleet restarts,
+// sixteen routers request the same page from each reader at once. Encoding and compressing it takes
+// a tenth of a second on a box with a fifth of a core.
 type packCache struct {
 	mu     sync.Mutex
 	packed map[table.Name]packedPage
 }
 
-// pack is one table's copy as it is sent.
+// packedPage is a packed full page of one table.
 type packedPage struct {
 	of   pageKey
 	data []byte
 }
 
-// packKey tells copies of a table apart.
+// pageKey identifies the contents of a full page.
 type pageKey struct {
 	position table.Position
 	rows     int
 	rowsHash uint64
 }
 
-// keyOf is the key of a whole page.
+// pageKeyOf returns the key of a full page.
 func pageKeyOf(page table.Page) pageKey {
 	key := pageKey{position: page.At, rows: len(page.Rows)}
 	for i := range page.Rows {
-		// The order of rows in a page is any.
+		// The rows of a page are in no particular order, hence the sum.
 		key.rowsHash += ident.Mix(uint64(page.Rows[i].Version), uint64(page.Rows[i].Era))
 	}
 	return key
 }
 
-// newPacks returns packs of nothing.
+// newPackCache returns an empty cache.
 func newPackCache() *packCache { return &packCache{packed: map[table.Name]packedPage{}} }
 
-// of returns a whole page's rows, packed. Those who ask while it is being made wait for it.
+// of returns the packed rows of a full page. Concurrent callers wait while they are packed.
 func (p *packCache) of(name table.Name, page table.Page) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -92,7 +94,7 @@
 	return out.Bytes(), nil
 }
 
-// unpackRows is the reverse of packRows.
+// unpackRows is the inverse of packRows.
 func unpackRows(name string, packed []byte) ([]table.Row, error) {
 	const op = "node.unpackRows"
 	r, err := gzip.NewReader(bytes.NewReader(packed))
--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -18,7 +18,7 @@
 
 const packedTable table.Name = "targets"
 
-// newPeerService answers for a table of some rows.
+// newPeerService returns a service with a table of the given number of rows.
 func newPeerService(rows int) *peerService {
 	board := feed.NewBoard(log.NewNopLogger(), time.Now)
 	board.Follow(packedTable, feed.Rules{}, nil)
@@ -33,7 +33,7 @@
 	return &peerService{board: board, packCache: newPackCache()}
 }
 
-// ask returns the page that a router gets which knows nothing.
+// fetch returns the page that a router without a copy receives.
 func (p *peerService) fetch(t testing.TB, packs bool) *peerpb.TablePage {
 	t.Helper()
 	reply, err := p.Rows(t.Context(), connect.NewRequest(&peerpb.RowsRequest{
@@ -45,7 +45,7 @@
 	return reply.Msg.GetPages()[0]
 }
 
-// rowsIn are a page's rows by key.
+// sortedRows returns the rows of a page, sorted by key.
 func sortedRows(t testing.TB, in *peerpb.TablePage) []table.Row {
 	t.Helper()
 	page, err := decodePage(in)
@@ -56,8 +56,8 @@
 	return page.Rows
 }
 
-// Routers that ask for a whole copy get it packed if they read that, and the same either way; it is packed once, until
-// it changes.
+// Routers that request a full page receive it packed if they accept that, with the same rows either
+// way. The page is packed once until it changes.
 func TestFullPagesArePackedOnce(t *testing.T) {
 	const rows = 1000
 	p := newPeerService(rows)
@@ -81,7 +81,7 @@
 	}
 }
 
-// BenchmarkWholeCopy is the answer to one of many routers that ask for a whole copy at once.
+// BenchmarkFullPage measures the response to one of many routers that request a full page at once.
 func BenchmarkFullPage(b *testing.B) {
 	for _, rows := range []int{1000, 10_000, 20_000} {
 		b.Run(fmt.Sprint(rows), func(b *testing.B) {
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -16,7 +16,7 @@
 	"valescale/internal/share/peerpb"
 )
 
-// peerService answers other routers.
+// peerService serves requests of peers.
 type peerService struct {
 	*home.Server
 	peers     *peer.Node
@@ -24,21 +24,21 @@
 	packCache *packCache
 }
 
-// Gossip exchanges digests.
+// Gossip exchanges gossip digests.
 func (p *peerService) Gossip(_ context.Context, req *connect.Request[peerpb.Digest]) (*connect.Response[peerpb.Digest], error) {
 	return connect.NewResponse(p.peers.Gossip(req.Msg)), nil
 }
 
-// Fetch is not offered: the configuration comes from the store.
+// Fetch is not supported, since the configuration is read from the store.
 func (p *peerService) Fetch(context.Context, *connect.Request[peerpb.FetchRequest]) (*connect.Response[peerpb.FetchReply], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, nil)
 }
 
-// maxRowsWait bounds how long another router's call is held, whatever it asks for; its
-// own waits are a fraction of a second.
+// maxRowsWait limits how long a peer's call waits for changes, whatever the peer requests. Routers
+// of this version request a fraction of a second.
 const maxRowsWait = 2 * time.Second
 
-// Rows tells another router what changed in this one's copies.
+// Rows returns the row changes of this router's replicas.
 func (p *peerService) Rows(ctx context.Context, req *connect.Request[peerpb.RowsRequest]) (*connect.Response[peerpb.RowsReply], error) {
 	p.board.Wait(ctx, waitPositions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
 	reply := &peerpb.RowsReply{}
@@ -56,7 +56,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-// encode is a page as a router gets it, which may read packed rows.
+// encode encodes a page for a router that may accept packed rows.
 func (p *peerService) encode(name string, page table.Page, acceptsPacked bool) (*peerpb.TablePage, error) {
 	if !acceptsPacked || !page.Whole || len(page.Rows) < minPackedRows {
 		return encodePage(name, page), nil
@@ -71,14 +71,14 @@
 	return out, nil
 }
 
-// encodeState is how far this router's copy of a table goes, as routers tell each other.
+// encodeState encodes the position of this router's replica of a table.
 func encodeState(s feed.State) *peerpb.TableState {
 	return &peerpb.TableState{
 		Table: string(s.Table), Known: s.Known, Era: uint64(s.At.Era), Version: int64(s.At.Version), Rank: s.Rank,
 	}
 }
 
-// decodeState is how far another router's copy of a table goes.
+// decodeState decodes the position of a peer's replica of a table.
 func decodeState(s *peerpb.TableState) feed.State {
 	return feed.State{
 		Table: table.Name(s.GetTable()), Known: s.GetKnown(), Rank: s.GetRank(),
@@ -86,13 +86,13 @@
 	}
 }
 
-// positions are those after which another router waits for a change.
+// waitPositions returns the positions after which a peer waits for a change.
 func waitPositions(have []*peerpb.TableState) map[table.Name]table.Position {
 	out := make(map[table.Name]table.Position, len(have))
 	for _, in := range have {
 		s := decodeState(in)
 		if !s.Known {
-			// Whoever has no copy need not wait for a change.
+			// A router without a copy does not have to wait for a change.
 			s.At = table.Position{}
 		}
 		out[s.Table] = s.At
@@ -100,12 +100,12 @@
 	return out
 }
 
-// peerRows reads tables from other routers.
+// peerRows reads tables from peers.
 type peerRows struct{ node *Node }
 
-// Others lists the other routers that may answer: first one of each zone, its reader or
-// the next after this one, then the other live ones, then those that are leaving. When a
-// fleet is rolled, only the latter may know anything.
+// Others returns the peers that may answer: first one of each zone, which is its reader or the next
+// after this router, then the other live ones, then those that are leaving. While a fleet is
+// replaced, only the latter may have any data.
 func (p peerRows) Others() []ident.Router {
 	n := p.node
 	zones := map[ident.Zone]bool{}
@@ -131,7 +131,7 @@
 	return slices.Concat(readers, rest, leaving)
 }
 
-// Rows returns what changed after the given states, after at most wait.
+// Rows returns the changes after the given states. It waits for the given time at most.
 func (p peerRows) Rows(ctx context.Context, from ident.Router, have []feed.State, wait time.Duration) ([]feed.Reply, error) {
 	const op = "node.Rows"
 	client, err := p.node.peers.Client(from)
@@ -157,7 +157,7 @@
 	return out, nil
 }
 
-// encodePage is a page as routers send it to each other.
+// encodePage encodes a page for a peer.
 func encodePage(name string, page table.Page) *peerpb.TablePage {
 	out := &peerpb.TablePage{
 		Table: name, Era: uint64(page.At.Era), Version: int64(page.At.Version), Whole: page.Whole, AgeMs: page.Age.Milliseconds(),
@@ -166,7 +166,7 @@
 	return out
 }
 
-// encodeRows are rows as routers send them to each other.
+// encodeRows encodes rows for a peer.
 func encodeRows(rows []table.Row) []*peerpb.TableRow {
 	var out []*peerpb.TableRow
 	for _, row := range rows {
@@ -177,7 +177,7 @@
 	return out
 }
 
-// decodePage is a page from another router.
+// decodePage decodes a page from a peer.
 func decodePage(in *peerpb.TablePage) (table.Page, error) {
 	out := table.Page{
 		At:    table.Position{Era: table.Era(in.GetEra()), Version: table.Version(in.GetVersion())},
@@ -192,7 +192,7 @@
 	return out, err
 }
 
-// decodeRows are a table's rows from another router.
+// decodeRows decodes a table's rows from a peer.
 func decodeRows(name string, in []*peerpb.TableRow) []table.Row {
 	var out []table.Row
 	for _, row := range in {
--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -12,16 +12,16 @@
 	"valescale/internal/share/peer"
 )
 
-// childrenPerReader is how many routers read from one other. Each asks two or three
-// times a second, so a router answers some fifty calls a second at most.
+// childrenPerReader is the maximum number of routers that read from the same router. Each sends two
+// or three calls per second, so a router serves about fifty at most.
 const childrenPerReader = 16
 
-// deputies is how many routers of an availability zone, next to its reader, look for a store that
-// does not answer as often as the reader does. With two to six of them a change reaches 50 routers
-// equally soon after an outage; with none 0.8 s later.
+// backupReaders is the number of routers of an availability zone, next to its reader, that poll an
+// unavailable store as often as the reader does. With two to six of them a change reaches 50
+// routers equally soon after an outage, with none 0.8 s later.
 const backupReaders = 4
 
-// membersChanged follows a change of routers or targets. Roles depend on routers alone.
+// membersChanged is called when routers or targets change. Roles depend only on routers.
 func (n *Node) membersChanged() {
 	n.mesh.MarkDirty()
 	var latest uint64
@@ -31,8 +31,8 @@
 	}
 }
 
-// assignRole finds this router's place in the tree of its availability zone: the first
-// in an order that all agree on reads the store, the others read from the one above.
+// assignRole sets this router's position in the tree of its availability zone. The first router in
+// an order that all routers agree on reads the store, the others read from their parent.
 func (n *Node) assignRole() {
 	zone := n.zoneOrder(n.self.Zone)
 	rank := slices.Index(zone, n.self.ID)
@@ -44,7 +44,7 @@
 	n.setRole(false, zone[(rank-1)/childrenPerReader])
 }
 
-// setRole takes a role on and logs it if it is another.
+// setRole sets the role and logs it if it has changed.
 func (n *Node) setRole(reader bool, parent ident.Router) {
 	if wasReader, oldParent := n.roles.Reader(); wasReader != reader || oldParent != parent {
 		_ = level.Info(n.Logger).Log("msg", "source of the store's rows", "store", reader, "router_asked", parent)
@@ -52,8 +52,8 @@
 	n.roles.Assign(reader, parent)
 }
 
-// zoneOrder lists the live routers of a zone in an order of its own, in which large boxes
-// tend to come first.
+// zoneOrder returns the live routers of a zone in an order specific to that zone, in which large
+// boxes tend to come first.
 func (n *Node) zoneOrder(zone ident.Zone) []ident.Router {
 	var out []ident.Router
 	scores := map[ident.Router]float64{}
@@ -69,5 +69,5 @@
 	return out
 }
 
-// readerSalt keeps the order of readers apart from that of homes.
+// readerSalt separates the order of readers from that of homes.
 const readerSalt = 0x4ead
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -10,12 +10,12 @@
 	"valescale/internal/rule/retry"
 )
 
-// settingsEvery is how often the settings are read without a signal: they may change
-// silently, and reading a file of some kilobytes costs a fraction of a millisecond.
+// settingsInterval is the interval at which the settings are read without a signal. They may change
+// without one, and reading a file of a few kilobytes takes a fraction of a millisecond.
 const settingsInterval = time.Second
 
-// adjustable is what of the settings may change while the router runs. The rest counts
-// from the next start on.
+// reloadable contains the settings that may change while the router runs. The others apply from the
+// next start.
 type reloadable struct {
 	retries    retry.Allowance
 	loadFactor float64
@@ -26,7 +26,7 @@
 	return reloadable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.Grace}
 }
 
-// followSettings reads the settings again when told to, and now and then.
+// watchSettings reloads the settings on a signal and periodically.
 func (n *Node) watchSettings(ctx context.Context, hup <-chan os.Signal) {
 	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
@@ -45,7 +45,7 @@
 			lastError = ""
 			continue
 		}
-		// The same mistake is found each second until it is mended.
+		// The same error occurs every second until it is corrected.
 		if signalled || err.Error() != lastError {
 			_ = level.Error(n.Logger).Log("msg", "settings cannot be reloaded, the earlier ones stay", "err", err)
 		}
@@ -53,8 +53,8 @@
 	}
 }
 
-// reload takes in what has changed of the settings. It is logged if something has, or if
-// a signal asked for it.
+// reload applies the settings that have changed. It logs the reload if any has, or if a signal
+// requested it.
 func (n *Node) reload(signalled bool) error {
 	fresh, err := n.Reload()
 	if err != nil {
--- a/internal/oper/node/reload_test.go
+++ b/internal/oper/node/reload_test.go
@@ -12,7 +12,7 @@
 	"valescale/internal/rule/retry"
 )
 
-// reloading returns a router whose settings file holds what next points to.
+// newReloadNode returns a router whose settings file contains the settings that next points to.
 func newReloadNode(old Settings, next *Settings, failure *error) (*Node, *int) {
 	lines := 0
 	n := &Node{Parts: Parts{
@@ -27,8 +27,8 @@
 	return n, &lines
 }
 
-// A settings file that changes without a signal is in force, and only what may change
-// while a router runs is taken from it.
+// Settings that change without a signal are applied, and only those that may change while a router
+// runs.
 func TestReloadWithoutSignal(t *testing.T) {
 	old := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 2, Grace: 8 * time.Second, Retries: retry.Allowance{Extra: 56}}
 	next, failure := old, error(nil)
--- a/internal/oper/node/rules.go
+++ b/internal/oper/node/rules.go
@@ -15,22 +15,23 @@
 	return n.state.inForce.Load()
 }
 
-// freshFor is how old the store's word may be for a configuration to count as
-// fresh: news over 1.4 s old is not taken from other routers, and comes each 0.4 s.
+// maxConfigAge is the maximum time since the store's last confirmation for a configuration to count
+// as fresh. Updates older than 1.4 s are not accepted from other routers, and updates arrive every
+// 0.4 s.
 const maxConfigAge = 2 * time.Second
 
-// Fresh reports whether the store confirmed the configuration a moment ago.
+// Fresh reports whether the store confirmed the configuration recently.
 func (n *Node) Fresh() bool {
 	age, known := n.board.Age(n.Rows.ConfigTable())
 	return known && age <= maxConfigAge
 }
 
-// idleShare is the part of a target's connections that routers may keep idle; the rest is
-// for those in use.
+// idleConnRatio is the part of a target's connection limit that routers may keep idle. The rest is
+// for connections in use.
 const idleConnRatio = 0.5
 
-// IdleConns is this router's part of the idle connections that a target of a service may
-// have from the whole fleet, one at least: a target resets connections beyond its most.
+// IdleConns returns this router's part of the idle connections that the whole fleet may keep to a
+// target of a service, at least one. A target resets connections beyond its limit.
 func (n *Node) IdleConns(service ident.Service) int {
 	table := n.Table()
 	if table == nil {
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -19,25 +19,25 @@
 )
 
 const (
-	// drainDelay is how long a stopping router still takes new connections: the
-	// platform asks each second whether it is ready and stops sending after two noes.
+	// drainDelay is how long a stopping router still accepts new connections. The platform checks
+	// readiness every second and stops sending after two failed checks.
 	drainDelay = 2500 * time.Millisecond
-	// graceMargin is kept of the grace for the last steps of a stop.
+	// graceMargin is the part of the grace period reserved for the last steps of a stop.
 	graceMargin = 400 * time.Millisecond
-	// leaveRounds is how many times a leaving router tells its peers.
+	// leaveGossipRounds is how many times a leaving router gossips its state to peers.
 	leaveGossipRounds = 2
-	// sweepEvery is how often rows that lapsed with the store are looked at, a small part
-	// of the seconds for which they count.
+	// sweepInterval is the interval at which rows that expire with the store are checked. It is a
+	// small part of the seconds for which they are valid.
 	sweepInterval = 200 * time.Millisecond
-	// connsEvery is how often expired connections to targets are closed, about as long
-	// as they are kept.
+	// connSweepInterval is the interval at which expired connections to targets are closed, about
+	// as long as they are kept.
 	connSweepInterval = 5 * time.Second
-	// guardEvery is how often requests that need not be held back any more are forgotten, a small part of
-	// the minutes for which they are.
+	// guardSweepInterval is the interval at which expired quarantined requests are evicted. It is a
+	// small part of the minutes for which they are quarantined.
 	guardSweepInterval = 10 * time.Second
 )
 
-// RunUntilSignal serves until the process is told to stop, reloads when told to, and drains.
+// RunUntilSignal serves until SIGTERM or an interrupt and then drains. SIGHUP reloads the settings.
 func (n *Node) RunUntilSignal() {
 	ctx, cancel := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer cancel()
@@ -47,8 +47,8 @@
 	n.Run(ctx, hup)
 }
 
-// Run serves until the context ends and then drains: the router says that it is
-// leaving, takes new requests for a while longer, and waits for those in flight.
+// Run serves until the context ends and then drains: the router announces that it is leaving,
+// accepts new requests for a while longer, and waits for those in flight.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal) {
 	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -65,13 +65,13 @@
 	<-ctx.Done()
 	n.drain(callers)
 	stop()
-	// The process ends: a listener that cannot be closed goes with it.
+	// The process exits, so a listener that cannot be closed is closed by the kernel.
 	_ = peers.Close()
 	_ = ready.Close()
 	_ = level.Info(n.Logger).Log("msg", "stop")
 }
 
-// work starts what goes on beside the servers until the context ends.
+// startBackground starts the background work, which runs until the context ends.
 func (n *Node) startBackground(ctx context.Context, wg *sync.WaitGroup) {
 	for _, name := range n.followedTables() {
 		wg.Go(func() {
@@ -106,7 +106,7 @@
 	})
 }
 
-// drain stops taking requests without cutting any off.
+// drain stops accepting requests without interrupting those in flight.
 func (n *Node) drain(callers *http.Server) {
 	start := n.Clock()
 	n.draining.Store(true)
--- a/internal/oper/node/servers.go
+++ b/internal/oper/node/servers.go
@@ -15,16 +15,17 @@
 )
 
 const (
-	// headerTime bounds the sending of a request's header; configurations allow seconds.
+	// headerTimeout limits the time to receive a request's header. Configurations allow seconds.
 	headerTimeout = 10 * time.Second
-	// maxHeader bounds a request's header, in bytes: four times what configurations allow.
+	// maxHeaderBytes limits the size of a request's header. It is four times what configurations
+	// allow.
 	maxHeaderBytes = 64 << 10
-	// compressFrom is the least size of an answer to another router that is compressed, in
-	// bytes: whole tables are, changes and permits are not worth the processor time.
+	// minCompressBytes is the minimum size of a response to a peer that is compressed. Whole tables
+	// are compressed; changes and permits are not worth the processor time.
 	minCompressBytes = 16 << 10
 )
 
-// readyServer answers the platform's question whether this router wants requests.
+// readyServer returns the server of the platform's readiness check.
 func (n *Node) readyServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET "+n.settings.Load().ReadyPath, func(w http.ResponseWriter, _ *http.Request) {
@@ -35,7 +36,8 @@
 	return &http.Server{Handler: mux, ReadHeaderTimeout: headerTimeout, ErrorLog: telem.NewServerLog(n.Logger)}
 }
 
-// callerServer serves callers. A draining router asks them to connect elsewhere.
+// callerServer returns the server for callers. A draining router closes connections after the
+// response, so that callers connect to another router.
 func (n *Node) callerServer() *http.Server {
 	idle := newIdleConns(n.idleTimeout)
 	return &http.Server{
@@ -50,7 +52,7 @@
 	}
 }
 
-// peerServer answers other routers and shows the metrics.
+// peerServer returns the server for peers and metrics.
 func (n *Node) peerServer() *http.Server {
 	mux := http.NewServeMux()
 	anyRouter := func(context.Context) ident.Router { return "" }
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -17,94 +17,98 @@
 	"valescale/internal/share/feed"
 )
 
-// Kind tells this package's errors apart.
+// Kind identifies the kind of this package's errors.
 type Kind string
 
 const (
-	// Listen means that an address cannot be listened on.
+	// Listen is the kind of error when an address cannot be listened on.
 	Listen Kind = "listen"
-	// BadRow means that a router's row of the store does not hold what it should.
+	// BadRow is the kind of error when a router's row in the store, or rows from a peer, cannot be
+	// decoded.
 	BadRow Kind = "bad_row"
 )
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// Settings are a router's settings.
+// Settings contains a router's settings.
 type Settings struct {
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
-	// Callers, Ready and Peers are the addresses for callers, for the question whether
-	// this router wants requests, and for other routers and metrics.
+	// Callers, Ready and Peers are the listen addresses for callers, for the readiness check, and
+	// for peers and metrics.
 	Callers string
 	Ready   string
 	Peers   string
-	// ReadyPath is the path of that question.
+	// ReadyPath is the path of the readiness check.
 	ReadyPath string
-	// Seeds are addresses of other routers to try while none is known.
+	// Seeds contains addresses of other routers to contact while no peer is known.
 	Seeds []string
-	// Retries is what the whole fleet may send again for each service.
+	// Retries is the retry allowance of the whole fleet for each service.
 	Retries retry.Allowance
-	// Cores is how much processor time this box may use.
+	// Cores is the processor time that this box may use.
 	Cores ident.Cores
-	// First says that the whole fleet starts for the first time.
+	// First is set if the whole fleet starts for the first time.
 	First bool
-	// Grace is the time from the signal to stop until the process is ended.
+	// Grace is the time from the stop signal until the process is killed.
 	Grace time.Duration
-	// LoadFactor is the multiple of the mean load that no target may exceed.
+	// LoadFactor is the maximum load of a target as a multiple of the mean.
 	LoadFactor float64
-	// TrialShare is the part of a service's requests that a version on trial may get; zero follows no orders to
-	// move services to other versions.
+	// TrialShare is the maximum ratio of a service's requests that a canary version may receive. If
+	// it is zero, rollouts are not followed.
 	TrialShare float64
 }
 
-// Target is one target as it announces itself.
+// Target is a target as it announces itself.
 type Target struct {
 	boxes.Box
-	// Slots is how many requests it runs at once.
+	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// ColdLeft is how much longer it was cold when it said so first.
+	// ColdLeft is the remaining cold time when the target first reported it.
 	ColdLeft time.Duration
-	// Version is that of its software.
+	// Version is the version of the target's software.
 	Version ident.Version
 }
 
-// Store is what a router needs of the platform's store.
+// Store is the part of the platform's store that a router uses.
 type Store interface {
 	feed.Source
 	// Commit applies a transaction.
 	Commit(ctx context.Context, txn table.Txn) error
-	// Calls is the number of calls made so far and how many of them failed.
+	// Calls returns the number of calls made so far and how many of them failed.
 	Calls() (made, failed uint64)
 }
 
-// Rows decodes what the platform writes into its store.
+// Rows decodes the rows that the platform writes to its store.
 type Rows interface {
-	// ConfigTable is the table that holds the configuration.
+	// ConfigTable returns the table that contains the configuration.
 	ConfigTable() table.Name
-	// TargetTable is the table in which targets announce themselves.
+	// TargetTable returns the table in which targets announce themselves.
 	TargetTable() table.Name
-	// Config decodes the configuration; found is false while there is none.
+	// Config decodes the configuration. The result found is false if there is none.
 	Config(rows []table.Row) (c match.Config, found bool, err error)
-	// Revision is the revision of the configuration that a row holds, zero for a row that holds none.
+	// Revision returns the revision of the configuration that a row contains, or zero for a row
+	// that contains none.
 	Revision(row table.Row) ident.Revision
-	// ClosedZones are the availability zones whose targets are to get no new work, from the
-	// rows of the configuration's table.
+	// ClosedZones returns the availability zones whose targets receive no new work, from the rows
+	// of the configuration's table.
 	ClosedZones(rows []table.Row) []ident.Zone
-	// Orders are the operators' orders to move services to other versions, from the rows of the configuration's table.
+	// Orders returns the operators' rollouts of services to other versions, from the rows of the
+	// configuration's table.
 	Orders(rows []table.Row) []canary.Order
-	// StatusTable is the table in which the fleet says what became of them.
+	// StatusTable returns the table in which the fleet records the status of rollouts.
 	StatusTable() table.Name
-	// Status decodes what became of an order; found is false for a row that says nothing of any.
+	// Status decodes the status of a rollout. The result found is false for a row that contains
+	// none.
 	Status(row table.Row) (s canary.Status, found bool)
-	// PutStatus is the writing of what became of an order.
+	// PutStatus returns the write of a rollout's status.
 	PutStatus(s canary.Status) table.Put
-	// Target decodes a target's row; one with an error names no target.
+	// Target decodes a target's row. A row with an error is no valid target.
 	Target(row table.Row) (Target, error)
 }
 
-// Parts are what a router works with.
+// Parts contains the dependencies of a router.
 type Parts struct {
 	Dialect entry.Dialect
 	Store   Store
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -11,12 +11,12 @@
 	"valescale/internal/share/peer"
 )
 
-// incarnationWait bounds the reading of this router's own row at the start.
+// incarnationTimeout is the timeout of the read of this router's own row at the start.
 const incarnationTimeout = 400 * time.Millisecond
 
-// incarnation reads the routers' rows and returns a number above that of this router's
-// earlier processes: the time, or one more than the row says, should the clock have been
-// set back.
+// incarnation reads the routers' rows and returns a number above those of this router's earlier
+// processes: the current time, or one more than the number in the row if the clock has been set
+// back.
 func (n *Node) incarnation(now time.Time) ident.Incarnation {
 	ctx, cancel := context.WithTimeout(context.Background(), incarnationTimeout)
 	defer cancel()
@@ -28,7 +28,7 @@
 	}
 	n.state.setRouters(page.Rows)
 	for _, row := range page.Rows {
-		// A row that cannot be read tells of no earlier process.
+		// A row that cannot be decoded is no evidence of an earlier process.
 		if previous, err := decodeRouter(row); err == nil && previous.ID == n.settings.Load().ID {
 			return max(fromClock, previous.Incarnation+1)
 		}
@@ -37,16 +37,16 @@
 }
 
 const (
-	// settleWait is how long the first router of a new fleet gives the others to write their
-	// rows too; they all start within 0.3 s.
+	// firstStartDelay is how long the first router of a new fleet waits for the others to write
+	// their rows. They all start within 0.3 s.
 	firstStartDelay = 500 * time.Millisecond
-	// introductionWait is how long a router of a new fleet at most holds back from reading
-	// the store for itself.
+	// discoveryTimeout is the maximum time that a router of a new fleet waits for the discovery of
+	// its peers before it reads the store's tables.
 	discoveryTimeout = 2 * time.Second
 )
 
-// introduce has a router of a new fleet learn who the others are before it reads the
-// store's tables: they would otherwise all read them whole, each for itself.
+// discoverPeers makes a router of a new fleet discover its peers before it reads the store's
+// tables. Otherwise every router would read them in full.
 func (n *Node) discoverPeers(ctx context.Context) {
 	defer close(n.discovered)
 	if !n.settings.Load().First || !n.hasNoPeers() {
@@ -56,7 +56,8 @@
 	n.readRouters(ctx)
 }
 
-// awaitIntroduction waits until a router of a new fleet knows the others, for a while.
+// waitForDiscovery waits until a router of a new fleet has discovered its peers, for at most
+// discoveryTimeout.
 func (n *Node) waitForDiscovery(ctx context.Context) {
 	if !n.settings.Load().First {
 		return
@@ -70,26 +71,28 @@
 	}
 }
 
-// headStartEach is how long, for each router that is known, the readers of a fleet that has
-// just started may take until the others read the store too: 80 ms at 62 routers, where
-// reading the store whole is cheap, 0.4 s at 300, where all of them would read 300 MB.
+// headStartPerRouter is how long, multiplied by the number of known routers, the readers of a fleet
+// that has just started may take until the other routers read the store too. This is 80 ms at 62
+// routers, where a full read of the store is cheap, and 0.4 s at 300, where all of them would read
+// 300 MB.
 const headStartPerRouter = 1300 * time.Microsecond
 
-// readyPause is the pause between two looks whether this router can serve, next to
-// nothing beside the round trips that it takes.
+// readyPollInterval is the interval between two checks whether this router can serve. It is
+// negligible next to the round trips that a start takes.
 const readyPollInterval = 20 * time.Millisecond
 
-// storeTime is how long a router that starts leaves the store to answer before it asks the
-// other routers too: several times what the store takes. A store that is silent would
-// otherwise be waited for until the call times out, while those that know everything stop.
+// peerFallbackDelay is how long a starting router waits for the store before it also queries peers.
+// It is several times the store's usual response time. Otherwise the router would wait for the
+// timeout of a call to an unresponsive store while the peers that have all data stop.
 const peerFallbackDelay = 100 * time.Millisecond
 
-// consultTime is how long a router that knows all that it needs waits for another to tell what it has in force:
-// many round trips. While the store shows an older configuration, back from an older copy, only they know.
+// peerConfirmTimeout is how long a router that has all tables waits for a peer to report the
+// configuration in force. It covers many round trips. After a store rollback the store shows an
+// older configuration, and only peers have the current one.
 const peerConfirmTimeout = 300 * time.Millisecond
 
-// becomeReady waits until configuration and targets are known. It reads the store too once
-// the readers have had their head start, and from others once the store has had its time.
+// becomeReady waits until configuration and targets are known. It also reads the store once the
+// readers' head start is over, and queries peers once peerFallbackDelay is over.
 func (n *Node) becomeReady(ctx context.Context) {
 	defer n.roles.Press(false)
 	defer n.roles.Starve(false)
@@ -117,19 +120,19 @@
 	}
 }
 
-// informed reports whether configuration and targets are known.
+// tablesKnown reports whether configuration and targets are known.
 func (n *Node) tablesKnown() bool {
 	_, targets := n.board.Position(n.Rows.TargetTable())
 	return n.state.inForce.Load() != nil && targets
 }
 
-// consulted reports whether others have told what they have in force, there are none, or they have had their
-// time since a moment.
+// peersConsulted reports whether peers have reported the configuration in force, there are no
+// peers, or peerConfirmTimeout has passed since the given time.
 func (n *Node) peersConsulted(since time.Time) bool {
 	return n.roles.Consulted() || n.hasNoPeers() || n.Clock().Sub(since) > peerConfirmTimeout
 }
 
-// headStart is how long this router leaves the reading of the store to the readers.
+// headStart returns how long this router leaves reading the store to the readers.
 func (n *Node) headStart() time.Duration {
 	routers := 0
 	n.peers.Read(func(v *peer.View) { routers = len(v.Members()) })
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -18,33 +18,35 @@
 	"valescale/internal/share/peer"
 )
 
-// state is what the store's rows say, decoded.
+// state is the decoded contents of the store's rows.
 type state struct {
 	rows   Rows
 	logger log.Logger
 	clock  ident.Clock
-	// rules is the configuration in force; it never goes back to a lower revision.
+	// inForce is the configuration in force. It never returns to a lower revision.
 	inForce atomic.Pointer[match.Table]
 
 	mu       sync.Mutex
 	services []match.Service
 	routers  []boxes.Box
-	// readings are the targets' rows as they were decoded, departed those that went lately, in order.
+	// targetRows contains the targets' decoded rows, and removed those removed recently, in order
+	// of removal.
 	targetRows map[table.Key]targetRow
 	removed    []removal
-	// counts are how many targets of each service take new work.
+	// liveTargets is the number of targets of each service that accept new work.
 	liveTargets map[ident.Service]int
-	// cold are the targets that said that they are cold.
+	// cold contains the targets that reported to be cold.
 	cold map[ident.Target]coldTarget
-	// nameOf is the service under whose name a target of a version is kept, onTrial whether some are kept apart.
+	// serviceName returns the service name under which a target of a version is kept, and hasCanary
+	// whether a service has a canary version, whose targets are kept separately.
 	serviceName func(ident.Service, ident.Version) ident.Service
 	hasCanary   func(ident.Service) bool
-	// turns counts the changes that concern all targets.
+	// generation counts the changes that affect all targets.
 	generation uint64
 	zones      *zones
 }
 
-// newState returns the state without rows.
+// newState returns a state without rows.
 func newState(rows Rows, logger log.Logger, clock ident.Clock) *state {
 	return &state{
 		rows: rows, logger: logger, clock: clock, zones: newZones(logger, clock),
@@ -53,8 +55,8 @@
 	}
 }
 
-// setConfig puts a configuration in force. One that cannot be read, contradicts itself
-// or is no later than the one in force changes nothing.
+// setConfig puts a configuration in force. One that cannot be decoded, is inconsistent, or is not
+// later than the one in force is ignored.
 func (s *state) setConfig(rows []table.Row) {
 	config, found, err := s.rows.Config(rows)
 	if err != nil {
@@ -84,7 +86,7 @@
 		"routes", compiled.Routes(), "era", at.Era, "version", at.Version)
 }
 
-// revision is that of the configuration in force, zero while there is none.
+// revision returns the revision of the configuration in force, or zero if there is none.
 func (s *state) revision() ident.Revision {
 	inForce := s.inForce.Load()
 	if inForce == nil {
@@ -93,14 +95,14 @@
 	return inForce.Revision
 }
 
-// setClosed closes the availability zones that operators want closed.
+// setClosed closes the availability zones that operators have closed, and reopens the others.
 func (s *state) setClosed(rows []table.Row) {
 	if s.zones.set(s.rows.ClosedZones(rows), latestPosition(rows)) {
 		s.invalidatePools()
 	}
 }
 
-// newest is the position of the latest row.
+// latestPosition returns the position of the latest row.
 func latestPosition(rows []table.Row) table.Position {
 	var latest table.Position
 	for _, row := range rows {
@@ -111,7 +113,7 @@
 	return latest
 }
 
-// setRouters takes in the other routers.
+// setRouters sets the routers' rows.
 func (s *state) setRouters(rows []table.Row) {
 	routers := s.decodeRouters(rows)
 	s.mu.Lock()
@@ -119,7 +121,7 @@
 	s.routers = routers
 }
 
-// decodeRouters reads the rows of routers.
+// decodeRouters decodes the routers' rows.
 func (s *state) decodeRouters(rows []table.Row) []boxes.Box {
 	var routers []boxes.Box
 	for _, row := range rows {
@@ -136,26 +138,27 @@
 	return routers
 }
 
-// known lists the other routers as the store's rows say.
+// routerBoxes returns the routers listed in the store.
 func (s *state) routerBoxes() []boxes.Box {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.routers
 }
 
-// plainSlots is how many requests a plain target may have for each of its slots. A
-// request counts while its permit and its return travel too, 15 to 20 ms beside the 60 of
-// the work itself: with one a slot a third of the slots stood idle while callers waited.
+// plainRequestsPerSlot is the number of permits that a plain target may have for each of its slots.
+// A permit also covers the time in which it and its release are in transit, 15 to 20 ms in addition
+// to the 60 ms of the work itself. With one permit per slot a third of the slots were idle while
+// callers waited.
 const plainRequestsPerSlot = 2
 
-// touch has pools made anew although no target's row has changed.
+// invalidatePools causes a rebuild of the pools although no target's row has changed.
 func (s *state) invalidatePools() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.generation++
 }
 
-// capacity is what a target says of itself.
+// capacity returns a target's capacity as the target reports it.
 func (s *state) capacity(service policy.Service, t peer.Target) mesh.Capacity {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -167,7 +170,7 @@
 	return mesh.Capacity{Slots: slots, Closed: closed, Reopened: reopened, Cold: s.coldOf(t, reopened)}
 }
 
-// wanted is what the configuration wants of the mesh.
+// poolConfig returns the services for which the mesh has to maintain pools.
 func (s *state) poolConfig() mesh.Wanted {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -182,7 +185,7 @@
 	return wanted
 }
 
-// service is a service in the form that placement uses; the caller holds the lock.
+// service converts a service to the form that placement uses. The caller holds the lock.
 func (s *state) service(from match.Service) policy.Service {
 	kind := policy.PlainTargets
 	if from.Engine {
@@ -191,14 +194,14 @@
 	return policy.Service{Name: from.Name, Kind: kind, Balance: policy.Exact, Shards: shardsFor(s.liveTargets[from.Name])}
 }
 
-// targetsPerShard is the most targets that one home counts. A subject that moves from
-// shard to shard leaves its cached prompt behind: with two shards of 9 that was the
-// largest part of what was read again. A home's work at 32 targets is a few hundred
-// permits a second, of about 0.1 ms each.
+// maxTargetsPerShard is the maximum number of targets that one home manages. A prompt prefix that
+// moves to another shard loses its cached state: with two shards of 9 targets this was the largest
+// part of the tokens that were read again. At 32 targets a home handles a few hundred permits per
+// second, at about 0.1 ms each.
 const maxTargetsPerShard = 32
 
-// shardsFor is the number of shards of a pool, a power of two, so that it seldom
-// changes as targets come and go.
+// shardsFor returns the number of shards of a pool. It is a power of two, so that it rarely changes
+// as targets are added and removed.
 func shardsFor(targets int) int {
 	shards := 1
 	for shards*maxTargetsPerShard < targets && shards < place.MaxShards {
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -9,12 +9,12 @@
 	"valescale/internal/share/peer"
 )
 
-// configLostFor is for how long what operators have written counts once a store that has come back from an
-// older copy lacks it: operators write it again, but when nobody can say, and an availability zone that they
-// closed would get work meanwhile.
+// lostConfigTTL is how long rows written by operators stay valid after a store rollback has lost
+// them. Operators write them again at an unknown time, and until then an availability zone that
+// they closed would receive work.
 const lostConfigTTL = time.Minute
 
-// followTables connects the copies of the store's tables with what is made of them.
+// followTables connects the replicas of the store's tables with the state derived from them.
 func (n *Node) followTables() {
 	n.followRouters()
 	revision := func(row table.Row) uint64 { return uint64(n.Rows.Revision(row)) }
@@ -41,7 +41,7 @@
 	}
 }
 
-// followStatuses follows what became of orders to move services to other versions.
+// followStatuses follows the statuses of rollouts.
 func (n *Node) followStatuses() {
 	n.board.Follow(n.Rows.StatusTable(), feed.Rules{LostFor: lostConfigTTL}, func(change feed.Change) {
 		statuses := map[ident.Service]statusRow{}
@@ -56,13 +56,14 @@
 	})
 }
 
-// observeTargets tells membership what is new of targets.
+// publishTargets applies changes of targets to the membership view.
 func (n *Node) publishTargets(update peer.TargetNews) {
 	n.peers.Do(func(v *peer.View) { v.ObserveTargets(n.Clock(), update) })
 }
 
-// followRouters has membership learn of routers from their rows as they are written. All that start together know each
-// other so within a moment, from one reading a zone; who lives and who does not they tell each other.
+// followRouters applies routers' rows to the membership view as they are written. Routers that
+// start together therefore discover each other at once, with one read of the table per zone. Gossip
+// reports which of them are live.
 func (n *Node) followRouters() {
 	n.board.Follow(routerTable, feed.Rules{LostFor: lostConfigTTL}, func(change feed.Change) {
 		list := n.state.decodeRouters(change.Rows)
@@ -70,12 +71,12 @@
 	})
 }
 
-// observe tells membership which routers the store's rows name.
+// updateRouters applies the routers listed in the store to the membership view.
 func (n *Node) updateRouters() {
 	n.peers.Do(func(v *peer.View) { v.ObserveRouters(n.Clock(), n.state.routerBoxes()) })
 }
 
-// tables are the tables that routers follow.
+// followedTables returns the tables that routers follow.
 func (n *Node) followedTables() []table.Name {
 	names := []table.Name{n.Rows.ConfigTable(), n.Rows.TargetTable(), routerTable}
 	if n.rollouts.enabled() {
--- a/internal/oper/node/targets.go
+++ b/internal/oper/node/targets.go
@@ -13,42 +13,45 @@
 	"valescale/internal/share/peer"
 )
 
-// reading is what one writing of a target's row says; a row with an error names no target. A version alone
-// does not tell a writing: a store that comes back from an older copy gives versions out again.
+// targetRow is the decoded contents of one write of a target's row. A row with an error is no valid
+// target. A version alone does not identify a write, since a store that is restored from an older
+// snapshot assigns versions again.
 type targetRow struct {
 	version table.Version
 	value   []byte
 	target  Target
 	err     error
-	// service is the target's own; its box names the one under which it is kept while versions are on trial.
+	// service is the target's own service. The service of target.Box is the one under which the
+	// target is kept during a rollout.
 	service ident.Service
-	// since is the incarnation as the target says it itself.
+	// reportedIncarnation is the incarnation as reported by the target.
 	reportedIncarnation ident.Incarnation
-	// gone is when the row went, zero while it is there.
+	// removedAt is when the row was removed, or zero if it exists.
 	removedAt time.Time
 }
 
-// names reports whether there is a row and it names a target.
+// valid reports whether the row exists and contains a valid target.
 func (r targetRow) valid() bool { return r.err == nil && r.removedAt.IsZero() && r.target.ID != "" }
 
-// same reports whether a row is the writing that was read.
+// matches reports whether the row is the write that was decoded.
 func (r targetRow) matches(row table.Row) bool {
 	return r.version == row.Version && bytes.Equal(r.value, row.Value)
 }
 
-// goneKept is for how long what a row said is remembered after it has gone: a target that starts
-// again is back within seconds, and is to be known for another incarnation.
+// removedRowTTL is how long the contents of a removed row are kept. A target that restarts is back
+// within seconds and has to get a different incarnation.
 const removedRowTTL = time.Minute
 
-// departure is a row that went.
+// removal is the removal of a row.
 type removal struct {
 	key table.Key
 	at  time.Time
 }
 
-// setTargets takes in the targets' rows that changed. It returns what is new of the targets, and the addresses of
-// those that have started anew under their names. It costs by what changed: with 10,000 targets of which some
-// come every moment, a look at all of them each time was most of what a router did.
+// updateTargets applies the targets' rows that changed. It returns the changes of targets, and the
+// addresses of those that have restarted under the same names. Its cost depends only on the number
+// of changes: with 10,000 targets, some of which change at any moment, a pass over all of them for
+// each change was most of a router's work.
 func (s *state) updateTargets(change feed.Change) (update peer.TargetNews, restarted []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -84,8 +87,8 @@
 	return update, restarted
 }
 
-// replaceReading puts what a row says in place of what it said, counts its target and logs what changed of it;
-// the caller holds the lock.
+// replaceRow replaces the decoded contents of a row, counts its target and logs the change. The
+// caller holds the lock.
 func (s *state) replaceRow(key table.Key, before, after targetRow, at table.Position) {
 	s.targetRows[key] = after
 	s.countTarget(before, -1)
@@ -101,14 +104,15 @@
 	}
 }
 
-// count adds a target that takes new work to those of its service, or takes it off.
+// countTarget adds by to the count of the target's service if the target accepts new work.
 func (s *state) countTarget(r targetRow, by int) {
 	if r.valid() && r.target.State == boxes.Live {
 		s.liveTargets[r.target.Service] += by
 	}
 }
 
-// forgetDeparted forgets the rows that went long ago; the caller holds the lock.
+// evictRemoved evicts rows that were removed more than removedRowTTL ago. The caller holds the
+// lock.
 func (s *state) evictRemoved(now time.Time) {
 	for len(s.removed) > 0 && now.Sub(s.removed[0].at) >= removedRowTTL {
 		first := s.removed[0]
@@ -119,8 +123,9 @@
 	}
 }
 
-// readTarget decodes a row that was read otherwise before. A target that starts again tells a later
-// time, unless its clock was set back meanwhile: an incarnation is above the one before in any case.
+// decodeTarget decodes a row whose contents have changed. A target that restarts reports a later
+// time, unless its clock was set back. The resulting incarnation is above the previous one in
+// either case.
 func (s *state) decodeTarget(row table.Row, before targetRow) targetRow {
 	target, err := s.rows.Target(row)
 	r := targetRow{version: row.Version, value: row.Value, target: target, err: err, service: target.Service, reportedIncarnation: target.Incarnation}
@@ -128,7 +133,7 @@
 	switch {
 	case err != nil:
 		_ = level.Error(s.logger).Log("msg", "a target's row names no target", "target", row.Key, "era", row.Era, "version", row.Version, "err", err)
-		// Should its own row come back, it goes on from here.
+		// If the target's own row returns, it continues from this incarnation.
 		r.reportedIncarnation, r.target.Incarnation = before.reportedIncarnation, before.target.Incarnation
 	case before.reportedIncarnation == r.reportedIncarnation:
 		r.target.Incarnation = before.target.Incarnation
@@ -138,7 +143,7 @@
 	return r
 }
 
-// restarted is the address at which a known target has started anew, or nothing.
+// restarted returns the address of a known target that has restarted, or nothing.
 func (s *state) restarted(before, after targetRow) []string {
 	if !before.valid() || before.target.Incarnation == after.target.Incarnation {
 		return nil
@@ -148,8 +153,8 @@
 	return []string{before.target.Addr}
 }
 
-// regroup keeps targets under the services that trials of versions want them under now, and returns those that
-// changed.
+// reassign moves targets to the services to which rollouts now assign them, and returns the targets
+// that changed.
 func (s *state) reassign() (update peer.TargetNews) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/oper/node/targets_test.go
+++ b/internal/oper/node/targets_test.go
@@ -18,7 +18,8 @@
 	"valescale/internal/share/feed"
 )
 
-// plainRows decodes rows whose value is a target's time of start in one letter; "?" is none.
+// plainRows is a fake decoder of rows whose value is a target's start time as one letter, or "?"
+// for an invalid row.
 type plainRows struct{ Rows }
 
 func (plainRows) Target(row table.Row) (Target, error) {
@@ -29,7 +30,7 @@
 	return Target{Box: boxes.Box{ID: string(row.Key), Addr: "at " + string(row.Key), State: boxes.Live, Incarnation: incarnation}}, nil
 }
 
-// rowsOf makes rows of keys, values and versions.
+// rowsOf returns rows from pairs of keys and values, with the given version.
 func rowsOf(version table.Version, keysAndValues ...string) []table.Row {
 	var out []table.Row
 	for i := 0; i < len(keysAndValues); i += 2 {
@@ -38,7 +39,7 @@
 	return out
 }
 
-// incarnations are those of all targets.
+// incarnations returns the incarnations of all targets.
 func incarnations(s *state) map[string]ident.Incarnation {
 	out := map[string]ident.Incarnation{}
 	for key, r := range s.targetRows {
@@ -49,7 +50,8 @@
 	return out
 }
 
-// setAll has a state take in rows as all that there are, and returns the addresses at which targets started anew.
+// setAllTargets updates the state with a full list of rows, and returns the addresses of restarted
+// targets.
 func setAllTargets(s *state, rows []table.Row) []string {
 	change := feed.Change{Rows: rows}
 	for key, r := range s.targetRows {
@@ -62,8 +64,8 @@
 	return restarted
 }
 
-// A target that starts again under its name is a new incarnation, above the one before even if its
-// clock was set back, and its address is returned so that old connections can be closed.
+// A target that restarts under the same name gets a new incarnation, above the previous one even if
+// its clock was set back. Its address is returned so that old connections can be closed.
 func TestTargetRestarts(t *testing.T) {
 	now := time.Unix(1000, 0)
 	s := newState(plainRows{}, log.NewNopLogger(), func() time.Time { return now })
@@ -99,7 +101,7 @@
 	}
 }
 
-// A row that names no target is told of once, however often the table is read.
+// An invalid row is logged once, however often the table is read.
 func TestInvalidRowIsLoggedOnce(t *testing.T) {
 	var out bytes.Buffer
 	s := newState(plainRows{}, log.NewJSONLogger(&out), time.Now)
@@ -115,8 +117,8 @@
 	}
 }
 
-// What a router does for one target that changes must not grow with the number of the others: half of 10,000 are
-// replaced within 20 s on some days, before boxes with a fifth of a core.
+// The cost of a change of one target must not grow with the number of targets. Half of 10,000
+// targets may be replaced within 20 s, on routers with a fifth of a core.
 func TestTargetUpdateCostIsIndependentOfFleetSize(t *testing.T) {
 	perChange := func(targets int) float64 {
 		s := newState(plainRows{}, log.NewNopLogger(), time.Now)
--- a/internal/oper/node/trials.go
+++ b/internal/oper/node/trials.go
@@ -16,64 +16,72 @@
 	"valescale/internal/rule/match"
 )
 
-// trials follow operators' orders to move services to other versions. Each router lets a share of its requests try
-// the version and tells the others what came of them; a reader of the store writes what all of it together says.
+// rollouts follows operators' rollouts of services to other versions. Each router sends a part of
+// its requests to the canary version and reports the results to its peers. A reader of the store
+// writes the verdict that follows from all of them.
 type rollouts struct {
-	// share is the part of a service's requests that may try a version; zero follows no orders.
+	// canaryRatio is the part of a service's requests that may be sent to the canary. If it is
+	// zero, rollouts are not followed.
 	canaryRatio float64
-	// source tells this process's evidence from that of others.
+	// source identifies the evidence of this process.
 	source uint64
 	logger log.Logger
 	clock  ident.Clock
 
 	mu sync.Mutex
-	// open are the latest orders by service, statuses what the store says became of them.
+	// current contains the latest rollout of each service, and statuses the rollouts' statuses in
+	// the store.
 	current  map[ident.Service]*rollout
 	statuses map[ident.Service]statusRow
-	// abandoned are versions whose trial another order ended, by service: nobody knows whether they are sound.
+	// superseded contains, by service, the versions whose rollout was replaced by another one
+	// before a verdict. It is unknown whether they are sound.
 	superseded map[ident.Service]map[ident.Version]bool
 	baselines  map[match.RouteName]*canary.Norm
-	// next is whose evidence is told next.
+	// nextReport is the index of the peer evidence that is reported next.
 	nextReport int
 }
 
-// trial is one order as this router follows it.
+// rollout is the state of one rollout on this router.
 type rollout struct {
 	order canary.Order
-	// seen is when this router learnt of the order.
+	// receivedAt is when this router received the rollout.
 	receivedAt time.Time
 	gate       canary.Gate
 	own        canary.Evidence
-	// heard is the evidence of other routers, by source.
+	// peerEvidence is the evidence of other routers, by source.
 	peerEvidence map[uint64]canary.Evidence
-	// stopped is set once the evidence has shown the version to be bad, and logged.
+	// stopped is set, and the fact logged, once the evidence has shown the version to be bad.
 	stopped bool
-	// judged is when this router gave its last verdict to be written.
+	// verdictAt is when this router last returned a verdict to be written.
 	verdictAt time.Time
 }
 
-// written is a status with the version of its row.
+// statusRow is a status with the version of its row.
 type statusRow struct {
 	canary.Status
 	version table.Version
 }
 
 const (
-	// trialMargin is what of the allowed share routers use: tries that are made again reach targets too.
+	// canaryRatioMargin is the part of the allowed ratio that routers use, since retries reach
+	// targets too.
 	canaryRatioMargin = 0.6
-	// canarySuffix and retiredSuffix make names of services of their own of the targets of a version on trial, and of
-	// those that get no work.
+	// canarySuffix and retiredSuffix form the names of separate services for the targets of a
+	// canary version and for those that receive no work.
 	canarySuffix  = "+canary"
 	retiredSuffix = "+retired"
-	// mostReports is how many routers' evidence one digest carries.
+	// maxReportsPerDigest is the maximum number of routers whose evidence is included in one
+	// digest.
 	maxReportsPerDigest = 16
-	// judgeAgain is how long a verdict has to reach the store and come back before it is written again.
+	// verdictRetryDelay is how long a verdict may take to be written to the store and read back
+	// before it is written again.
 	verdictRetryDelay = time.Second
-	// judgeEvery is how often evidence is looked at, a small part of the seconds in which a bad version must be given up.
+	// judgeInterval is the interval at which the evidence is evaluated. It is a small part of the
+	// seconds within which a bad version must be reverted.
 	judgeInterval = 200 * time.Millisecond
 )
 
-// newTrials returns trials without orders.
+// newRollouts returns rollouts without a current one.
 func newRollouts(canaryRatio float64, source uint64, logger log.Logger, clock ident.Clock) *rollouts {
 	return &rollouts{
 		canaryRatio: canaryRatio * canaryRatioMargin, source: source, logger: logger, clock: clock, current: map[ident.Service]*rollout{},
@@ -82,10 +90,10 @@
 	}
 }
 
-// follows reports whether orders are followed at all.
+// enabled reports whether rollouts are followed at all.
 func (t *rollouts) enabled() bool { return t.canaryRatio > 0 }
 
-// setOrders takes in all orders, and reports whether they are others than before.
+// setRollouts sets the current rollouts and reports whether they changed.
 func (t *rollouts) setRollouts(orders []canary.Order) (changed bool) {
 	if !t.enabled() {
 		return false
@@ -112,7 +120,7 @@
 	return changed
 }
 
-// abandon notes that an order takes the place of one whose version is still on trial; the caller holds the lock.
+// supersede records that a rollout replaces one without a verdict. The caller holds the lock.
 func (t *rollouts) supersede(known *rollout, next canary.Order) {
 	versions := t.superseded[next.Service]
 	if known != nil && t.state(known) == canary.Active && known.order.Version != next.Version {
@@ -125,7 +133,7 @@
 	delete(versions, next.Version)
 }
 
-// setStatuses takes in what the store says became of orders, and reports whether that is news.
+// setStatuses applies statuses from the store and reports whether any changed.
 func (t *rollouts) setStatuses(statuses map[ident.Service]statusRow) (changed bool) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -140,7 +148,7 @@
 	return changed
 }
 
-// state is what became of a trial's order; the caller holds the lock.
+// state returns the state of a rollout. The caller holds the lock.
 func (t *rollouts) state(ro *rollout) canary.State {
 	if s := t.statuses[ro.order.Service]; s.Number == ro.order.Number {
 		return s.State
@@ -148,7 +156,7 @@
 	return canary.Active
 }
 
-// nameOf is the service under whose name a target of a version is kept.
+// serviceName returns the service name under which a target of a version is kept.
 func (t *rollouts) serviceName(service ident.Service, version ident.Version) ident.Service {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -169,7 +177,7 @@
 	return service
 }
 
-// onTrial reports whether a version of a service is on trial.
+// hasCanary reports whether a service has a canary version.
 func (t *rollouts) hasCanary(service ident.Service) bool {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -228,7 +236,7 @@
 	}
 }
 
-// total is all evidence that this router knows.
+// totalEvidence returns the sum of all evidence that this router has.
 func (ro *rollout) totalEvidence() canary.Evidence {
 	sum := ro.own
 	for _, e := range ro.peerEvidence {
@@ -237,8 +245,9 @@
 	return sum
 }
 
-// bad reports whether the evidence shows a version to be bad, and logs when it does first; once it does the version gets
-// no more requests here, whatever the store says; the caller holds the lock.
+// isBad reports whether the evidence shows a version to be bad, and logs the first such result.
+// From then on this router sends it no more requests, whatever the status in the store. The caller
+// holds the lock.
 func (t *rollouts) isBad(ro *rollout) bool {
 	if ro.stopped {
 		return true
@@ -253,7 +262,7 @@
 	return true
 }
 
-// Reports implements peer.Trials: this router's evidence, and that of others in turn.
+// Reports implements peer.Trials. It returns this router's evidence, and that of peers in rotation.
 func (t *rollouts) Reports() []canary.Report {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -277,7 +286,8 @@
 	return own
 }
 
-// Heard implements peer.Trials. Evidence only grows.
+// Heard implements peer.Trials. Evidence only grows, so the report with more answers is the later
+// one.
 func (t *rollouts) Heard(reports []canary.Report) {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -290,7 +300,8 @@
 	}
 }
 
-// verdicts are the statuses that the evidence asks for and the store does not have, with the versions of their rows.
+// verdicts returns the statuses that follow from the evidence and are not in the store, with the
+// versions of their rows.
 func (t *rollouts) verdicts() []statusRow {
 	t.mu.Lock()
 	defer t.mu.Unlock()
@@ -320,7 +331,8 @@
 	return out
 }
 
-// judge writes what the evidence says of orders. Any reader of the store may: the row's version lets one of them.
+// writeVerdicts writes the verdicts on rollouts to the store. Every reader of the store may do so:
+// the check of the row's version accepts only one of them.
 func (n *Node) writeVerdicts(ctx context.Context) {
 	if _, known := n.board.Position(n.Rows.StatusTable()); !known || !n.isStoreReader() {
 		return
@@ -335,7 +347,7 @@
 	}
 }
 
-// regroup has pools follow what became of orders.
+// reassign updates the pools after a change of the rollouts or their statuses.
 func (n *Node) reassign() {
 	update := n.state.reassign()
 	n.publishTargets(update)
--- a/internal/oper/node/trials_test.go
+++ b/internal/oper/node/trials_test.go
@@ -12,7 +12,7 @@
 	"valescale/internal/rule/canary"
 )
 
-// fleetOnTrial is a fleet's trials of one order, with what has been sent.
+// canaryFleet simulates a fleet during one rollout and counts the requests sent.
 type canaryFleet struct {
 	now                      time.Time
 	rng                      *rand.Rand
@@ -23,7 +23,7 @@
 
 const (
 	testService ident.Service = "s"
-	// allowedShare is the part of the requests that a version on trial may get.
+	// maxCanaryRatio is the part of the requests that a canary version may receive.
 	maxCanaryRatio = 0.1
 )
 
@@ -35,7 +35,7 @@
 	return f
 }
 
-// router returns a router's trials that have heard of the order a moment ago.
+// router returns the rollouts of a router that has just received the rollout.
 func (f *canaryFleet) router() *rollouts {
 	f.source++
 	t := newRollouts(maxCanaryRatio, uint64(f.source), log.NewNopLogger(), func() time.Time { return f.now })
@@ -43,7 +43,7 @@
 	return t
 }
 
-// send has a router send a request, which the version on trial fails in some of ten cases.
+// send sends a request by a router. The canary version fails the given number of ten requests.
 func (f *canaryFleet) send(t *rollouts, fails int) {
 	as := t.Choose(testService)
 	t.Sent(testService, as)
@@ -59,8 +59,8 @@
 	t.Answered(testService, as, "route", ok, 50*time.Millisecond)
 }
 
-// second lets a second pass in which a router sends so many requests on average and exchanges news as often as routers
-// do, and one in a hundred is killed and starts anew.
+// second simulates one second, in which each router sends perRouter requests on average and
+// exchanges gossip as often as routers do. One in a hundred routers crashes and restarts.
 func (f *canaryFleet) second(perRouter float64, fails int) {
 	for range 10 {
 		f.now = f.now.Add(100 * time.Millisecond)
@@ -80,7 +80,7 @@
 	}
 }
 
-// verdicts counts the routers that would write a state.
+// verdicts returns the number of routers that would write a state.
 func (f *canaryFleet) verdicts(state canary.State) int {
 	n := 0
 	for _, t := range f.rollouts {
@@ -93,14 +93,15 @@
 	return n
 }
 
-// A version never gets more than its share of what a fleet sends, while routers are killed and start anew. A bad one is
-// given up by all within two seconds after its fiftieth poor answer, before its order's time is over; a sound
-// one is done in time.
+// A canary version never receives more than its part of a fleet's requests while routers crash and
+// restart. All routers revert a bad version within two seconds after its fiftieth poor answer and
+// before the end of the rollout. The rollout of a sound version completes in time.
 func TestFleetJudgesCanaries(t *testing.T) {
 	for _, routers := range []int{8, 62, 986} {
 		for _, fails := range []int{0, 4} {
 			f := newCanaryFleet(routers)
-			// As many requests a router as make four hundred a second in a fleet of 62, and one a second in one of 986.
+			// This results in 400 requests per second in a fleet of 62 routers, and one per router
+			// and second in a fleet of 986.
 			perRouter := max(400/float64(routers), 1)
 			fiftieth, known := -1, -1
 			for second := range 12 {
@@ -128,7 +129,8 @@
 	}
 }
 
-// What became of an order holds for it alone, and a version whose trial another order ended is kept out.
+// A status applies only to its own rollout, and a version whose rollout was superseded receives no
+// work.
 func TestConsecutiveRollouts(t *testing.T) {
 	r := newRollouts(maxCanaryRatio, 1, log.NewNopLogger(), time.Now)
 	order := func(version ident.Version, number uint64) canary.Order {
--- a/internal/oper/node/zones.go
+++ b/internal/oper/node/zones.go
@@ -12,15 +12,15 @@
 	"valescale/internal/plat/table"
 )
 
-// zones are the availability zones that operators have closed: their targets finish what
-// they have and get no new work.
+// zones contains the availability zones that operators have closed. Their targets finish running
+// requests and receive no new work.
 type zones struct {
 	logger log.Logger
 	clock  ident.Clock
 
 	mu     sync.Mutex
 	closed []ident.Zone
-	// reopened is when each zone that was closed was opened again.
+	// reopened contains the time at which each closed zone was reopened.
 	reopened map[ident.Zone]time.Time
 }
 
@@ -29,7 +29,7 @@
 	return &zones{logger: logger, clock: clock, reopened: map[ident.Zone]time.Time{}}
 }
 
-// set closes exactly the given zones, opens the others and reports whether anything changed.
+// set closes the given zones, reopens all others and reports whether anything changed.
 func (z *zones) set(closed []ident.Zone, at table.Position) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -51,7 +51,7 @@
 	return changed
 }
 
-// of reports whether a zone is closed, and when it was opened last after it was closed.
+// stateOf reports whether a zone is closed, and when it was last reopened.
 func (z *zones) stateOf(zone ident.Zone) (closed bool, reopened time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
