--- a/internal/oper/node/ahead.go
+++ b/internal/oper/node/ahead.go
@@ -52,7 +52,7 @@
 			return
 		}
 		err := n.puller.Step(ctx, id)
-		_ = level.Warn(n.Logger).Log("msg", "another router has a later configuration", "router_asked", id,
+		_ = level.Warn(n.Logger).Log("msg", "peer has a later configuration", "router_asked", id,
 			"revision", n.state.revision(), "behind", n.behind(), "err", err)
 	}
 }
--- a/internal/oper/node/announce_test.go
+++ b/internal/oper/node/announce_test.go
@@ -57,14 +57,14 @@
 			last = max(last, writerFreeAt)
 		}
 		perRouter := float64(calls) / float64(routers)
-		t.Logf("%d routers: %.2f calls each, all written after %v", routers, perRouter, last)
+		t.Logf("%d routers: %.2f calls each, all rows written after %v", routers, perRouter, last)
 		// A start should cost four calls, one of which reads the other routers' rows.
 		if perRouter > 3 {
-			t.Errorf("%d routers write %.2f times each, want 3 at most", routers, perRouter)
+			t.Errorf("%d routers: %.2f writes each, want at most 3", routers, perRouter)
 		}
 		// The limit is a third more time than the table needs for as many writes.
 		if limit := 2*time.Second + time.Duration(routers)*time.Second/perSecond*4/3; last > limit {
-			t.Errorf("%d routers are announced after %v, want %v at most", routers, last, limit)
+			t.Errorf("%d routers: all rows written after %v, want at most %v", routers, last, limit)
 		}
 	}
 }
--- a/internal/oper/node/budget_test.go
+++ b/internal/oper/node/budget_test.go
@@ -23,9 +23,9 @@
 	b.Request("early", start.Add(time.Second))
 	got["in the first second of the process"] = b.Retry("early", start.Add(time.Second))
 	b.Request("s", start.Add(time.Minute))
-	got["after a minute"] = b.Retry("s", start.Add(time.Minute))
-	got["the second in a moment"] = b.Retry("s", start.Add(time.Minute))
-	want := map[string]bool{"in the first second of the process": false, "after a minute": true, "the second in a moment": false}
+	got["after one minute"] = b.Retry("s", start.Add(time.Minute))
+	got["second retry at the same time"] = b.Retry("s", start.Add(time.Minute))
+	want := map[string]bool{"in the first second of the process": false, "after one minute": true, "second retry at the same time": false}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -142,9 +142,9 @@
 // logBlocked logs a target that this router, as home, excludes from new work.
 func (n *Node) logBlocked(b home.Blocked) {
 	target, _ := n.mesh.TargetAt(b.Shard.Pool, b.Engine)
-	message := "target fails many requests"
+	message := "target excluded for its failure rate"
 	if b.Backoff > 0 {
-		message = "target wants no requests"
+		message = "target excluded for its backoff"
 	}
 	_ = level.Info(n.Logger).Log("msg", message, "target", target.ID, "pool", b.Shard.Pool,
 		"shard", b.Shard.Shard, "reported_by", b.Edge, "reported_zone", b.Zone, "backoff_ms", b.Backoff.Milliseconds())
--- a/internal/oper/node/cold_test.go
+++ b/internal/oper/node/cold_test.go
@@ -48,26 +48,26 @@
 	}
 	now = now.Add(time.Second)
 	if got := until(); !got.Equal(first) {
-		t.Errorf("the same row again: cold until %v, want %v", got, first)
+		t.Errorf("same row read again: cold until %v, want %v", got, first)
 	}
 	rows.left = 2 * time.Second
 	if got := until(); !got.Equal(now.Add(rows.left)) {
-		t.Errorf("cold again: until %v, want %v", got, now.Add(rows.left))
+		t.Errorf("row with a new cold time: cold until %v, want %v", got, now.Add(rows.left))
 	}
 	now = now.Add(time.Second)
 	rows.incarnation++
 	if got := until(); !got.Equal(now.Add(rows.left)) {
-		t.Errorf("another start that is cold for as long: until %v, want %v", got, now.Add(rows.left))
+		t.Errorf("restart with the same cold time: cold until %v, want %v", got, now.Add(rows.left))
 	}
 	rows.left = 0
 	s.zones.set([]ident.Zone{"a"}, table.Position{Version: 1})
 	now = now.Add(time.Minute)
 	s.zones.set(nil, table.Position{Version: 2})
 	if got := until(); !got.Equal(now.Add(3 * time.Second)) {
-		t.Errorf("open again: cold until %v, want %v", got, now.Add(3*time.Second))
+		t.Errorf("zone reopened: cold until %v, want %v", got, now.Add(3*time.Second))
 	}
 	got := s.capacity(policy.Service{Name: "s"}, peer.Target{ID: "t", Service: "other", Zone: "a"}).Cold
 	if diff := cmp.Diff(place.Cold{}, got); diff != "" {
-		t.Errorf("a service without a bound: %s", diff)
+		t.Errorf("service without a cold rate: %s", diff)
 	}
 }
--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -100,7 +100,7 @@
 		if err == nil {
 			return
 		}
-		_ = level.Warn(n.Logger).Log("msg", "could not announce this router", "err", err)
+		_ = level.Warn(n.Logger).Log("msg", "failed to write this router's row", "err", err)
 		pause.For(ctx, announceRetryDelay(rng))
 	}
 }
@@ -119,7 +119,7 @@
 	defer cancel()
 	page, err := n.Store.All(ctx, routerTable)
 	if err != nil {
-		_ = level.Warn(n.Logger).Log("msg", "routers cannot be read", "err", err)
+		_ = level.Warn(n.Logger).Log("msg", "failed to read the routers' rows", "err", err)
 		return
 	}
 	n.state.setRouters(page.Rows)
@@ -144,7 +144,7 @@
 			txn.Puts = append(txn.Puts, encodeRouter(m))
 		}
 		err := n.Store.Commit(ctx, txn)
-		_ = level.Info(n.Logger).Log("msg", "rows of live routers written again", "routers", len(missingRouters), "err", err)
+		_ = level.Info(n.Logger).Log("msg", "rewriting missing rows of live routers", "routers", len(missingRouters), "err", err)
 	}
 }
 
@@ -178,7 +178,7 @@
 			Puts:   []table.Put{{Table: row.Table, Key: row.Key, Delete: true}},
 		}
 		err := n.Store.Commit(ctx, txn)
-		_ = level.Info(n.Logger).Log("msg", "row of a dead router removed", "router_gone", row.Key, "era", row.Era, "version", row.Version, "err", err)
+		_ = level.Info(n.Logger).Log("msg", "removing row of a dead router", "router_gone", row.Key, "era", row.Era, "version", row.Version, "err", err)
 	}
 }
 
@@ -218,6 +218,6 @@
 func (n *Node) removeOwnRow(ctx context.Context) {
 	put := table.Put{Table: routerTable, Key: table.Key(n.self.ID), Delete: true}
 	if err := n.Store.Commit(ctx, table.Txn{Puts: []table.Put{put}}); err != nil {
-		_ = level.Warn(n.Logger).Log("msg", "could not remove this router's row", "err", err)
+		_ = level.Warn(n.Logger).Log("msg", "failed to remove this router's row", "err", err)
 	}
 }
--- a/internal/oper/node/node_test.go
+++ b/internal/oper/node/node_test.go
@@ -53,7 +53,7 @@
 	i.stateChanged(near, http.StateIdle)
 	i.stateChanged(near, http.StateActive)
 	if len(i.timers) != 0 {
-		t.Error("a busy connection still has a timer")
+		t.Error("an active connection still has a timer")
 	}
 	limit = time.Millisecond
 	i.stateChanged(near, http.StateIdle)
@@ -76,15 +76,15 @@
 	b := newRetryBudget(now, retry.Allowance{Ratio: 1, Span: 10 * time.Second}, func() int { return 8 })
 	b.Request("a", now)
 	if b.Retry("b", now) {
-		t.Error("a retry is given for another service's request")
+		t.Error("a request to one service gave a retry to another")
 	}
 	if !b.Retry("a", now) || b.Retry("a", now) {
-		t.Error("one request does not give one retry")
+		t.Error("one request did not give exactly one retry")
 	}
 	b.setAllowance(now, retry.Allowance{Ratio: 0, Extra: 0, Span: 10 * time.Second})
 	b.Request("a", now)
 	if b.Retry(ident.Service("a"), now) {
-		t.Error("a retry is given after the allowance was taken away")
+		t.Error("a retry is available after the allowance was set to zero")
 	}
 }
 
@@ -111,6 +111,6 @@
 	}
 	n.longDead(nil)
 	if diff := cmp.Diff(0, len(n.longDead(rows))); diff != "" {
-		t.Errorf("after a reading without it: %s", diff)
+		t.Errorf("after a read without the row: %s", diff)
 	}
 }
--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -63,7 +63,7 @@
 	p := newPeerService(rows)
 	plain, first, second := p.fetch(t, false), p.fetch(t, true), p.fetch(t, true)
 	if len(plain.GetPacked()) > 0 || len(first.GetRows()) > 0 || &first.GetPacked()[0] != &second.GetPacked()[0] {
-		t.Error("a copy is packed for a router that does not read it, sent twice, or packed twice")
+		t.Error("page packed for a router that does not accept it, sent packed and unpacked, or packed twice")
 	}
 	if diff := gocmp.Diff(sortedRows(t, plain), sortedRows(t, first)); diff != "" {
 		t.Error(diff)
@@ -77,7 +77,7 @@
 	truncated := p.fetch(t, true)
 	truncated.Packed = truncated.GetPacked()[:len(truncated.GetPacked())/2]
 	if _, err := decodePage(truncated); err == nil {
-		t.Error("a broken copy is taken in")
+		t.Error("a truncated page was decoded without an error")
 	}
 }
 
--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -47,7 +47,7 @@
 // setRole sets the role and logs it if it has changed.
 func (n *Node) setRole(reader bool, parent ident.Router) {
 	if wasReader, oldParent := n.roles.Reader(); wasReader != reader || oldParent != parent {
-		_ = level.Info(n.Logger).Log("msg", "source of the store's rows", "store", reader, "router_asked", parent)
+		_ = level.Info(n.Logger).Log("msg", "source of the store's tables", "store", reader, "router_asked", parent)
 	}
 	n.roles.Assign(reader, parent)
 }
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -47,7 +47,7 @@
 		}
 		// The same error occurs every second until it is corrected.
 		if signalled || err.Error() != lastError {
-			_ = level.Error(n.Logger).Log("msg", "settings cannot be reloaded, the earlier ones stay", "err", err)
+			_ = level.Error(n.Logger).Log("msg", "settings reload failed, keeping the previous settings", "err", err)
 		}
 		lastError = err.Error()
 	}
--- a/internal/oper/node/reload_test.go
+++ b/internal/oper/node/reload_test.go
@@ -34,7 +34,7 @@
 	next, failure := old, error(nil)
 	n, lines := newReloadNode(old, &next, &failure)
 	if err := n.reload(false); err != nil || *lines != 0 || n.state.poolConfig().Reports != 0 {
-		t.Errorf("unchanged settings: %v, %d lines, %d turns", err, *lines, n.state.poolConfig().Reports)
+		t.Errorf("unchanged settings: error %v, %d log lines, generation %d", err, *lines, n.state.poolConfig().Reports)
 	}
 	next = Settings{ID: "other", LoadFactor: 3, Grace: 4 * time.Second, Retries: retry.Allowance{Extra: 10}}
 	if err := n.reload(false); err != nil {
@@ -48,13 +48,13 @@
 		t.Error(diff)
 	}
 	if n.state.poolConfig().Reports == 0 {
-		t.Error("pools are not made anew with the new load factor")
+		t.Error("pools are not rebuilt with the new load factor")
 	}
 	failure = errors.New("line 3: no equals sign")
 	if err := n.reload(true); err == nil {
-		t.Error("a mistake in the settings is not reported")
+		t.Error("an error in the settings is not reported")
 	}
 	if diff := cmp.Diff(want, *n.settings.Load()); diff != "" {
-		t.Errorf("after a mistake: %s", diff)
+		t.Errorf("after an error: %s", diff)
 	}
 }
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -101,7 +101,7 @@
 func (n *Node) serve(wg *sync.WaitGroup, s *http.Server, l net.Listener) {
 	wg.Go(func() {
 		if err := s.Serve(l); !errors.Is(err, http.ErrServerClosed) {
-			_ = level.Error(n.Logger).Log("msg", "a listener has failed", "addr", l.Addr(), "err", err)
+			_ = level.Error(n.Logger).Log("msg", "listener failed", "addr", l.Addr(), "err", err)
 		}
 	})
 }
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -23,7 +23,7 @@
 	fromClock := ident.Incarnation(now.UnixMilli())
 	page, err := n.Store.All(ctx, routerTable)
 	if err != nil {
-		_ = level.Warn(n.Logger).Log("msg", "routers cannot be read at the start", "err", err)
+		_ = level.Warn(n.Logger).Log("msg", "failed to read the routers' rows at start", "err", err)
 		return fromClock
 	}
 	n.state.setRouters(page.Rows)
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -60,7 +60,7 @@
 func (s *state) setConfig(rows []table.Row) {
 	config, found, err := s.rows.Config(rows)
 	if err != nil {
-		_ = level.Error(s.logger).Log("msg", "the configuration cannot be read", "err", err)
+		_ = level.Error(s.logger).Log("msg", "failed to decode the configuration", "err", err)
 		return
 	}
 	if !found {
@@ -71,7 +71,7 @@
 	}
 	compiled, err := match.Compile(config)
 	if err != nil {
-		_ = level.Error(s.logger).Log("msg", "the configuration cannot be put in force", "revision", config.Revision, "err", err)
+		_ = level.Error(s.logger).Log("msg", "failed to compile the configuration", "revision", config.Revision, "err", err)
 		return
 	}
 	s.mu.Lock()
@@ -127,7 +127,7 @@
 	for _, row := range rows {
 		member, err := decodeRouter(row)
 		if err != nil {
-			_ = level.Error(s.logger).Log("msg", "a router's row cannot be read", "key", row.Key, "err", err)
+			_ = level.Error(s.logger).Log("msg", "failed to decode a router's row", "key", row.Key, "err", err)
 			continue
 		}
 		routers = append(routers, boxes.Box{
--- a/internal/oper/node/targets.go
+++ b/internal/oper/node/targets.go
@@ -132,7 +132,7 @@
 	r.target.Service = s.serviceName(target.Service, target.Version)
 	switch {
 	case err != nil:
-		_ = level.Error(s.logger).Log("msg", "a target's row names no target", "target", row.Key, "era", row.Era, "version", row.Version, "err", err)
+		_ = level.Error(s.logger).Log("msg", "invalid target row", "target", row.Key, "era", row.Era, "version", row.Version, "err", err)
 		// If the target's own row returns, it continues from this incarnation.
 		r.reportedIncarnation, r.target.Incarnation = before.reportedIncarnation, before.target.Incarnation
 	case before.reportedIncarnation == r.reportedIncarnation:
@@ -148,7 +148,7 @@
 	if !before.valid() || before.target.Incarnation == after.target.Incarnation {
 		return nil
 	}
-	_ = level.Info(s.logger).Log("msg", "target started anew", "target", after.target.ID,
+	_ = level.Info(s.logger).Log("msg", "target restarted", "target", after.target.ID,
 		"incarnation", after.target.Incarnation, "was", before.target.Incarnation)
 	return []string{before.target.Addr}
 }
--- a/internal/oper/node/targets_test.go
+++ b/internal/oper/node/targets_test.go
@@ -76,28 +76,28 @@
 		restarted []string
 	}{
 		{"first", rowsOf(1, "x", "m", "y", "m"), map[string]ident.Incarnation{"x": 'm', "y": 'm'}, nil},
-		{"later", append(rowsOf(1, "y", "m"), rowsOf(2, "x", "p")...), map[string]ident.Incarnation{"x": 'p', "y": 'm'}, []string{"at x"}},
-		{"said again", append(rowsOf(1, "y", "m"), rowsOf(3, "x", "p")...), map[string]ident.Incarnation{"x": 'p', "y": 'm'}, nil},
+		{"restarted", append(rowsOf(1, "y", "m"), rowsOf(2, "x", "p")...), map[string]ident.Incarnation{"x": 'p', "y": 'm'}, []string{"at x"}},
+		{"same row rewritten", append(rowsOf(1, "y", "m"), rowsOf(3, "x", "p")...), map[string]ident.Incarnation{"x": 'p', "y": 'm'}, nil},
 		{"clock set back", append(rowsOf(1, "y", "m"), rowsOf(4, "x", "a")...), map[string]ident.Incarnation{"x": 'q', "y": 'm'}, []string{"at x"}},
-		{"said again", append(rowsOf(1, "y", "m"), rowsOf(5, "x", "a")...), map[string]ident.Incarnation{"x": 'q', "y": 'm'}, nil},
-		{"gone", rowsOf(1, "y", "m"), map[string]ident.Incarnation{"y": 'm'}, nil},
-		{"back with an earlier time", append(rowsOf(1, "y", "m"), rowsOf(6, "x", "b")...), map[string]ident.Incarnation{"x": 'r', "y": 'm'}, nil},
-		{"spoilt", append(rowsOf(1, "y", "m"), rowsOf(7, "x", "?")...), map[string]ident.Incarnation{"y": 'm'}, nil},
-		{"its own row again", append(rowsOf(1, "y", "m"), rowsOf(8, "x", "b")...), map[string]ident.Incarnation{"x": 'r', "y": 'm'}, nil},
+		{"same row rewritten", append(rowsOf(1, "y", "m"), rowsOf(5, "x", "a")...), map[string]ident.Incarnation{"x": 'q', "y": 'm'}, nil},
+		{"removed", rowsOf(1, "y", "m"), map[string]ident.Incarnation{"y": 'm'}, nil},
+		{"added again with an earlier time", append(rowsOf(1, "y", "m"), rowsOf(6, "x", "b")...), map[string]ident.Incarnation{"x": 'r', "y": 'm'}, nil},
+		{"invalid row", append(rowsOf(1, "y", "m"), rowsOf(7, "x", "?")...), map[string]ident.Incarnation{"y": 'm'}, nil},
+		{"valid row again", append(rowsOf(1, "y", "m"), rowsOf(8, "x", "b")...), map[string]ident.Incarnation{"x": 'r', "y": 'm'}, nil},
 	} {
 		restarted := setAllTargets(s, step.rows)
 		if diff := cmp.Diff(step.want, incarnations(s)); diff != "" {
 			t.Errorf("step %d, %s: %s", i, step.name, diff)
 		}
 		if diff := cmp.Diff(step.restarted, restarted); diff != "" {
-			t.Errorf("step %d, %s, started anew: %s", i, step.name, diff)
+			t.Errorf("step %d, %s, restarted targets: %s", i, step.name, diff)
 		}
 	}
 	setAllTargets(s, nil)
 	now = now.Add(removedRowTTL)
 	setAllTargets(s, nil)
 	if diff := cmp.Diff(0, len(s.targetRows)); diff != "" {
-		t.Errorf("rows remembered for ever: %s", diff)
+		t.Errorf("removed rows are not evicted: %s", diff)
 	}
 }
 
@@ -108,12 +108,12 @@
 	for range 3 {
 		setAllTargets(s, append(rowsOf(1, "x", "?"), rowsOf(2, "y", "m")...))
 	}
-	if diff := cmp.Diff(1, strings.Count(out.String(), "names no target")); diff != "" {
-		t.Errorf("lines about the row: %s", diff)
+	if diff := cmp.Diff(1, strings.Count(out.String(), "invalid target row")); diff != "" {
+		t.Errorf("log lines about the row: %s", diff)
 	}
 	setAllTargets(s, rowsOf(3, "x", "?"))
-	if diff := cmp.Diff(2, strings.Count(out.String(), "names no target")); diff != "" {
-		t.Errorf("lines after another writing: %s", diff)
+	if diff := cmp.Diff(2, strings.Count(out.String(), "invalid target row")); diff != "" {
+		t.Errorf("log lines after another write: %s", diff)
 	}
 }
 
@@ -134,6 +134,6 @@
 		})
 	}
 	if small, large := perChange(100), perChange(10_000); large > small {
-		t.Errorf("%v allocations for one target of 10,000, want the %v of one of 100", large, small)
+		t.Errorf("%v allocations per change with 10,000 targets, want at most the %v with 100", large, small)
 	}
 }
--- a/internal/oper/node/trials.go
+++ b/internal/oper/node/trials.go
@@ -114,7 +114,7 @@
 		t.supersede(known, o)
 		t.current[o.Service] = &rollout{order: o, receivedAt: t.clock(), gate: canary.NewGate(t.canaryRatio), peerEvidence: map[uint64]canary.Evidence{}}
 		changed = true
-		_ = level.Info(t.logger).Log("msg", "service is to move to a version", "service", o.Service, "version", o.Version,
+		_ = level.Info(t.logger).Log("msg", "rollout received", "service", o.Service, "version", o.Version,
 			"over_ms", o.Over.Milliseconds(), "order", o.Number)
 	}
 	return changed
@@ -142,7 +142,7 @@
 		t.statuses[service] = s
 		if before.Status != s.Status {
 			changed = true
-			_ = level.Info(t.logger).Log("msg", "move of a service", "service", service, "version", s.Version, "state", s.State, "order", s.Number)
+			_ = level.Info(t.logger).Log("msg", "rollout status", "service", service, "version", s.Version, "state", s.State, "order", s.Number)
 		}
 	}
 	return changed
@@ -257,7 +257,7 @@
 		return false
 	}
 	ro.stopped = true
-	_ = level.Warn(t.logger).Log("msg", "a version on trial is bad", "service", ro.order.Service, "version", ro.order.Version,
+	_ = level.Warn(t.logger).Log("msg", "canary version is bad", "service", ro.order.Service, "version", ro.order.Version,
 		"answers", e.Answers, "poor", e.Poor, "expected", e.Expected)
 	return true
 }
@@ -342,7 +342,7 @@
 		err := n.Store.Commit(ctx, table.Txn{
 			Checks: []table.Check{{Table: put.Table, Key: put.Key, Version: v.version}}, Puts: []table.Put{put},
 		})
-		_ = level.Info(n.Logger).Log("msg", "verdict on a version", "service", v.Service, "version", v.Version, "state", v.State,
+		_ = level.Info(n.Logger).Log("msg", "writing rollout verdict", "service", v.Service, "version", v.Version, "state", v.State,
 			"order", v.Number, "row", v.version, "err", err)
 	}
 }
--- a/internal/oper/node/trials_test.go
+++ b/internal/oper/node/trials_test.go
@@ -113,17 +113,17 @@
 					known = second
 				}
 				if share := float64(f.canaryRequests) / float64(f.requests); share > maxCanaryRatio && second < 10 {
-					t.Errorf("%d routers, second %d: a share of %.3f tries the version", routers, second, share)
+					t.Errorf("%d routers, second %d: canary receives a ratio of %.3f", routers, second, share)
 				}
 			}
 			done := f.verdicts(canary.Done)
-			t.Logf("%d routers, %d of ten fail: %d of %d tried, %d poor, fiftieth in second %d, known in second %d, done at %d",
+			t.Logf("%d routers, %d of ten fail: %d of %d sent to the canary, %d poor, fiftieth in second %d, reverted in second %d, done at %d",
 				routers, fails, f.canaryRequests, f.requests, f.poor, fiftieth, known, done)
 			if fails > 0 && (known < 0 || fiftieth >= 0 && known > fiftieth+2) {
-				t.Errorf("%d routers: fiftieth poor answer in second %d, known in second %d", routers, fiftieth, known)
+				t.Errorf("%d routers: fiftieth poor answer in second %d, reverted in second %d", routers, fiftieth, known)
 			}
 			if fails == 0 && done == 0 {
-				t.Errorf("%d routers: a sound version is not done", routers)
+				t.Errorf("%d routers: rollout of a sound version is not done", routers)
 			}
 		}
 	}
@@ -147,13 +147,13 @@
 		do   func()
 		want []ident.Service
 	}{
-		{"no order", func() {}, []ident.Service{"s", "s", "s"}},
-		{"on trial", func() { r.setRollouts([]canary.Order{order("v2", 1)}) }, []ident.Service{"s", "s+canary", "s"}},
-		{"given up", func() { setStatus("v2", 1, canary.Reverted) }, []ident.Service{"s", "s+retired", "s"}},
-		{"ordered again", func() { r.setRollouts([]canary.Order{order("v2", 2)}) }, []ident.Service{"s", "s+canary", "s"}},
-		{"another in the middle", func() { r.setRollouts([]canary.Order{order("v3", 3)}) }, []ident.Service{"s", "s+retired", "s+canary"}},
+		{"no rollout", func() {}, []ident.Service{"s", "s", "s"}},
+		{"canary", func() { r.setRollouts([]canary.Order{order("v2", 1)}) }, []ident.Service{"s", "s+canary", "s"}},
+		{"reverted", func() { setStatus("v2", 1, canary.Reverted) }, []ident.Service{"s", "s+retired", "s"}},
+		{"repeated", func() { r.setRollouts([]canary.Order{order("v2", 2)}) }, []ident.Service{"s", "s+canary", "s"}},
+		{"superseded by another", func() { r.setRollouts([]canary.Order{order("v3", 3)}) }, []ident.Service{"s", "s+retired", "s+canary"}},
 		{"done", func() { setStatus("v3", 3, canary.Done) }, []ident.Service{"s+retired", "s+retired", "s"}},
-		{"order gone", func() { r.setRollouts(nil) }, []ident.Service{"s", "s+retired", "s"}},
+		{"rollout removed", func() { r.setRollouts(nil) }, []ident.Service{"s", "s+retired", "s"}},
 	} {
 		step.do()
 		if diff := cmp.Diff(step.want, names()); diff != "" {
--- a/internal/oper/node/zones.go
+++ b/internal/oper/node/zones.go
@@ -42,7 +42,7 @@
 	}
 	for _, zone := range z.closed {
 		if !slices.Contains(closed, zone) {
-			_ = level.Info(z.logger).Log("msg", "availability zone open again", "zone", zone, "era", at.Era, "version", at.Version)
+			_ = level.Info(z.logger).Log("msg", "availability zone reopened", "zone", zone, "era", at.Era, "version", at.Version)
 			z.reopened[zone] = z.clock()
 			changed = true
 		}
