--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -108,8 +108,8 @@
 type quarantineRows struct{ Store }
 
 // Held returns the rows of quarantined requests.
-func (h quarantineRows) Held(ctx context.Context) ([]table.Row, error) {
-	page, err := h.All(ctx, guard.Table)
+func (q quarantineRows) Held(ctx context.Context) ([]table.Row, error) {
+	page, err := q.All(ctx, guard.Table)
 	return page.Rows, err
 }
 
@@ -150,7 +150,7 @@
 		"shard", b.Shard.Shard, "reported_by", b.Edge, "reported_zone", b.Zone, "backoff_ms", b.Backoff.Milliseconds())
 }
 
-// noRateLimit reports that a workspace has no rate limit: this router has none.
+// noRateLimit returns no rate limit for any workspace. This router enforces none.
 func noRateLimit(ident.Workspace) (policy.Workspace, bool) { return policy.Workspace{}, false }
 
 // otherSeeds returns the seeds except for this router's own address.
--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -91,42 +91,42 @@
 }
 
 // enabled reports whether rollouts are followed at all.
-func (t *rollouts) enabled() bool { return t.canaryRatio > 0 }
+func (r *rollouts) enabled() bool { return r.canaryRatio > 0 }
 
 // setRollouts sets the current rollouts and reports whether they changed.
-func (t *rollouts) setRollouts(orders []canary.Order) (changed bool) {
-	if !t.enabled() {
+func (r *rollouts) setRollouts(orders []canary.Order) (changed bool) {
+	if !r.enabled() {
 		return false
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for service := range t.current {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for service := range r.current {
 		if !slices.ContainsFunc(orders, func(o canary.Order) bool { return o.Service == service }) {
-			delete(t.current, service)
+			delete(r.current, service)
 			changed = true
 		}
 	}
 	for _, o := range orders {
-		known := t.current[o.Service]
+		known := r.current[o.Service]
 		if known != nil && known.order.Number == o.Number {
 			continue
 		}
-		t.supersede(known, o)
-		t.current[o.Service] = &rollout{order: o, receivedAt: t.clock(), gate: canary.NewGate(t.canaryRatio), peerEvidence: map[uint64]canary.Evidence{}}
+		r.supersede(known, o)
+		r.current[o.Service] = &rollout{order: o, receivedAt: r.clock(), gate: canary.NewGate(r.canaryRatio), peerEvidence: map[uint64]canary.Evidence{}}
 		changed = true
-		_ = level.Info(t.logger).Log("msg", "rollout received", "service", o.Service, "version", o.Version,
+		_ = level.Info(r.logger).Log("msg", "rollout received", "service", o.Service, "version", o.Version,
 			"over_ms", o.Over.Milliseconds(), "order", o.Number)
 	}
 	return changed
 }
 
 // supersede records that a rollout replaces one without a verdict. The caller holds the lock.
-func (t *rollouts) supersede(known *rollout, next canary.Order) {
-	versions := t.superseded[next.Service]
-	if known != nil && t.state(known) == canary.Active && known.order.Version != next.Version {
+func (r *rollouts) supersede(known *rollout, next canary.Order) {
+	versions := r.superseded[next.Service]
+	if known != nil && r.state(known) == canary.Active && known.order.Version != next.Version {
 		if versions == nil {
 			versions = map[ident.Version]bool{}
-			t.superseded[next.Service] = versions
+			r.superseded[next.Service] = versions
 		}
 		versions[known.order.Version] = true
 	}
@@ -134,69 +134,69 @@
 }
 
 // setStatuses applies statuses from the store and reports whether any changed.
-func (t *rollouts) setStatuses(statuses map[ident.Service]statusRow) (changed bool) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *rollouts) setStatuses(statuses map[ident.Service]statusRow) (changed bool) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	for service, s := range statuses {
-		before := t.statuses[service]
-		t.statuses[service] = s
+		before := r.statuses[service]
+		r.statuses[service] = s
 		if before.Status != s.Status {
 			changed = true
-			_ = level.Info(t.logger).Log("msg", "rollout status", "service", service, "version", s.Version, "state", s.State, "order", s.Number)
+			_ = level.Info(r.logger).Log("msg", "rollout status", "service", service, "version", s.Version, "state", s.State, "order", s.Number)
 		}
 	}
 	return changed
 }
 
 // state returns the state of a rollout. The caller holds the lock.
-func (t *rollouts) state(ro *rollout) canary.State {
-	if s := t.statuses[ro.order.Service]; s.Number == ro.order.Number {
+func (r *rollouts) state(ro *rollout) canary.State {
+	if s := r.statuses[ro.order.Service]; s.Number == ro.order.Number {
 		return s.State
 	}
 	return canary.Active
 }
 
 // serviceName returns the service name under which a target of a version is kept.
-func (t *rollouts) serviceName(service ident.Service, version ident.Version) ident.Service {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	ro := t.current[service]
-	ordered := ro != nil && ro.order.Version == version
+func (r *rollouts) serviceName(service ident.Service, version ident.Version) ident.Service {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ro := r.current[service]
+	isRolloutVersion := ro != nil && ro.order.Version == version
 	switch {
-	case t.superseded[service][version]:
+	case r.superseded[service][version]:
 		return service + retiredSuffix
 	case ro == nil:
 		return service
 	}
-	switch state := t.state(ro); {
-	case state == canary.Active && ordered:
+	switch state := r.state(ro); {
+	case state == canary.Active && isRolloutVersion:
 		return service + canarySuffix
-	case state == canary.Done && !ordered, state == canary.Reverted && ordered:
+	case state == canary.Done && !isRolloutVersion, state == canary.Reverted && isRolloutVersion:
 		return service + retiredSuffix
 	}
 	return service
 }
 
 // hasCanary reports whether a service has a canary version.
-func (t *rollouts) hasCanary(service ident.Service) bool {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	ro := t.current[service]
-	return ro != nil && t.state(ro) == canary.Active
+func (r *rollouts) hasCanary(service ident.Service) bool {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ro := r.current[service]
+	return ro != nil && r.state(ro) == canary.Active
 }
 
 // Choose implements entry.Trials.
-func (t *rollouts) Choose(service ident.Service) ident.Service {
-	if !t.enabled() {
+func (r *rollouts) Choose(service ident.Service) ident.Service {
+	if !r.enabled() {
 		return service
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	ro := t.current[service]
-	if ro == nil || t.state(ro) != canary.Active || t.isBad(ro) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	ro := r.current[service]
+	if ro == nil || r.state(ro) != canary.Active || r.isBad(ro) {
 		return service
 	}
-	promoted := !t.clock().Before(ro.order.PromotedAt(ro.receivedAt)) && ro.totalEvidence().Sound()
+	promoted := !r.clock().Before(ro.order.PromotedAt(ro.receivedAt)) && ro.totalEvidence().Sound()
 	if promoted || ro.gate.Admits() {
 		return service + canarySuffix
 	}
@@ -204,34 +204,34 @@
 }
 
 // Sent implements entry.Trials.
-func (t *rollouts) Sent(service, as ident.Service) {
-	if !t.enabled() {
+func (r *rollouts) Sent(service, as ident.Service) {
+	if !r.enabled() {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	if ro := t.current[service]; ro != nil {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	if ro := r.current[service]; ro != nil {
 		ro.gate.Sent(as != service)
 	}
 }
 
 // Answered implements entry.Trials.
-func (t *rollouts) Answered(service, as ident.Service, route match.RouteName, ok bool, took time.Duration) {
-	if !t.enabled() {
+func (r *rollouts) Answered(service, as ident.Service, route match.RouteName, ok bool, took time.Duration) {
+	if !r.enabled() {
 		return
 	}
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	baseline := t.baselines[route]
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	baseline := r.baselines[route]
 	if baseline == nil {
 		baseline = &canary.Norm{}
-		t.baselines[route] = baseline
+		r.baselines[route] = baseline
 	}
 	if as == service {
 		baseline.Note(ok, took)
 		return
 	}
-	if ro := t.current[service]; ro != nil {
+	if ro := r.current[service]; ro != nil {
 		ro.own.Add(baseline, ok, took)
 	}
 }
@@ -248,7 +248,7 @@
 // isBad reports whether the evidence shows a version to be bad, and logs the first such result.
 // From then on this router sends it no more requests, whatever the status in the store. The caller
 // holds the lock.
-func (t *rollouts) isBad(ro *rollout) bool {
+func (r *rollouts) isBad(ro *rollout) bool {
 	if ro.stopped {
 		return true
 	}
@@ -257,44 +257,44 @@
 		return false
 	}
 	ro.stopped = true
-	_ = level.Warn(t.logger).Log("msg", "canary version is bad", "service", ro.order.Service, "version", ro.order.Version,
+	_ = level.Warn(r.logger).Log("msg", "canary version is bad", "service", ro.order.Service, "version", ro.order.Version,
 		"answers", e.Answers, "poor", e.Poor, "expected", e.Expected)
 	return true
 }
 
 // Reports implements peer.Trials. It returns this router's evidence, and that of peers in rotation.
-func (t *rollouts) Reports() []canary.Report {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	var own, others []canary.Report
-	for _, ro := range t.current {
-		if t.state(ro) != canary.Active {
+func (r *rollouts) Reports() []canary.Report {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	var own, peerReports []canary.Report
+	for _, ro := range r.current {
+		if r.state(ro) != canary.Active {
 			continue
 		}
-		own = append(own, canary.Report{Number: ro.order.Number, Source: t.source, Evidence: ro.own})
+		own = append(own, canary.Report{Number: ro.order.Number, Source: r.source, Evidence: ro.own})
 		for source, e := range ro.peerEvidence {
-			others = append(others, canary.Report{Number: ro.order.Number, Source: source, Evidence: e})
+			peerReports = append(peerReports, canary.Report{Number: ro.order.Number, Source: source, Evidence: e})
 		}
 	}
-	slices.SortFunc(others, func(a, b canary.Report) int {
+	slices.SortFunc(peerReports, func(a, b canary.Report) int {
 		return cmp.Or(cmp.Compare(a.Number, b.Number), cmp.Compare(a.Source, b.Source))
 	})
-	for range min(len(others), max(maxReportsPerDigest-len(own), 0)) {
-		t.nextReport++
-		own = append(own, others[t.nextReport%len(others)])
+	for range min(len(peerReports), max(maxReportsPerDigest-len(own), 0)) {
+		r.nextReport++
+		own = append(own, peerReports[r.nextReport%len(peerReports)])
 	}
 	return own
 }
 
 // Heard implements peer.Trials. Evidence only grows, so the report with more answers is the later
 // one.
-func (t *rollouts) Heard(reports []canary.Report) {
-	t.mu.Lock()
-	defer t.mu.Unlock()
-	for _, r := range reports {
-		for _, ro := range t.current {
-			if ro.order.Number == r.Number && r.Source != t.source && r.Answers > ro.peerEvidence[r.Source].Answers {
-				ro.peerEvidence[r.Source] = r.Evidence
+func (r *rollouts) Heard(reports []canary.Report) {
+	r.mu.Lock()
+	defer r.mu.Unlock()
+	for _, report := range reports {
+		for _, ro := range r.current {
+			if ro.order.Number == report.Number && report.Source != r.source && report.Answers > ro.peerEvidence[report.Source].Answers {
+				ro.peerEvidence[report.Source] = report.Evidence
 			}
 		}
 	}
@@ -302,23 +302,23 @@
 
 // verdicts returns the statuses that follow from the evidence and are not in the store, with the
 // versions of their rows.
-func (t *rollouts) verdicts() []statusRow {
-	t.mu.Lock()
-	defer t.mu.Unlock()
+func (r *rollouts) verdicts() []statusRow {
+	r.mu.Lock()
+	defer r.mu.Unlock()
 	var out []statusRow
-	for service, ro := range t.current {
-		known := t.statuses[service]
-		state := t.state(ro)
+	for service, ro := range r.current {
+		known := r.statuses[service]
+		state := r.state(ro)
 		next := canary.Active
 		switch {
 		case state != canary.Active:
 			continue
-		case t.isBad(ro):
+		case r.isBad(ro):
 			next = canary.Reverted
-		case !t.clock().Before(ro.order.DoneAt(ro.receivedAt)) && ro.totalEvidence().Sound():
+		case !r.clock().Before(ro.order.DoneAt(ro.receivedAt)) && ro.totalEvidence().Sound():
 			next = canary.Done
 		}
-		now := t.clock()
+		now := r.clock()
 		if next == state && known.Number == ro.order.Number || now.Sub(ro.verdictAt) < verdictRetryDelay {
 			continue
 		}
--- a/internal/oper/node/rollouts_test.go
+++ b/internal/oper/node/rollouts_test.go
@@ -23,7 +23,7 @@
 
 const (
 	testService ident.Service = "s"
-	// maxCanaryRatio is the part of the requests that a canary version may receive.
+	// maxCanaryRatio is the maximum part of the requests that a canary version may receive.
 	maxCanaryRatio = 0.1
 )
 
@@ -38,15 +38,15 @@
 // router returns the rollouts of a router that has just received the rollout.
 func (f *canaryFleet) router() *rollouts {
 	f.source++
-	t := newRollouts(maxCanaryRatio, uint64(f.source), log.NewNopLogger(), func() time.Time { return f.now })
-	t.setRollouts([]canary.Order{{Service: testService, Version: "v2", Over: 12 * time.Second, Number: 7}})
-	return t
+	r := newRollouts(maxCanaryRatio, uint64(f.source), log.NewNopLogger(), func() time.Time { return f.now })
+	r.setRollouts([]canary.Order{{Service: testService, Version: "v2", Over: 12 * time.Second, Number: 7}})
+	return r
 }
 
 // send sends a request by a router. The canary version fails the given number of ten requests.
-func (f *canaryFleet) send(t *rollouts, fails int) {
-	as := t.Choose(testService)
-	t.Sent(testService, as)
+func (f *canaryFleet) send(r *rollouts, fails int) {
+	as := r.Choose(testService)
+	r.Sent(testService, as)
 	f.requests++
 	onCanary := as != testService
 	ok := !onCanary || f.rng.IntN(10) >= fails
@@ -56,7 +56,7 @@
 	if !ok {
 		f.poor++
 	}
-	t.Answered(testService, as, "route", ok, 50*time.Millisecond)
+	r.Answered(testService, as, "route", ok, 50*time.Millisecond)
 }
 
 // second simulates one second, in which each router sends perRouter requests on average and
@@ -64,14 +64,14 @@
 func (f *canaryFleet) second(perRouter float64, fails int) {
 	for range 10 {
 		f.now = f.now.Add(100 * time.Millisecond)
-		for i, t := range f.rollouts {
+		for i, r := range f.rollouts {
 			for n := perRouter / 10; f.rng.Float64() < n; n-- {
-				f.send(t, fails)
+				f.send(r, fails)
 			}
 			if f.rng.IntN(4) == 0 {
 				other := f.rollouts[f.rng.IntN(len(f.rollouts))]
-				other.Heard(t.Reports())
-				t.Heard(other.Reports())
+				other.Heard(r.Reports())
+				r.Heard(other.Reports())
 			}
 			if f.rng.IntN(1000) == 0 {
 				f.rollouts[i] = f.router()
@@ -83,8 +83,8 @@
 // verdicts returns the number of routers that would write a state.
 func (f *canaryFleet) verdicts(state canary.State) int {
 	n := 0
-	for _, t := range f.rollouts {
-		for _, v := range t.verdicts() {
+	for _, r := range f.rollouts {
+		for _, v := range r.verdicts() {
 			if v.State == state {
 				n++
 			}
@@ -94,7 +94,7 @@
 }
 
 // A canary version never receives more than its part of a fleet's requests while routers crash and
-// restart. All routers revert a bad version within two seconds after its fiftieth poor answer and
+// restart. Routers revert a bad version within two seconds after its fiftieth poor answer and
 // before the end of the rollout. The rollout of a sound version completes in time.
 func TestFleetJudgesCanaries(t *testing.T) {
 	for _, routers := range []int{8, 62, 986} {
@@ -103,24 +103,24 @@
 			// This results in 400 requests per second in a fleet of 62 routers, and one per router
 			// and second in a fleet of 986.
 			perRouter := max(400/float64(routers), 1)
-			fiftieth, known := -1, -1
+			fiftiethPoorIn, revertedIn := -1, -1
 			for second := range 12 {
 				f.second(perRouter, fails)
-				if f.poor >= 50 && fiftieth < 0 {
-					fiftieth = second
+				if f.poor >= 50 && fiftiethPoorIn < 0 {
+					fiftiethPoorIn = second
 				}
-				if fails > 0 && known < 0 && f.verdicts(canary.Reverted) > routers*3/4 {
-					known = second
+				if fails > 0 && revertedIn < 0 && f.verdicts(canary.Reverted) > routers*3/4 {
+					revertedIn = second
 				}
-				if share := float64(f.canaryRequests) / float64(f.requests); share > maxCanaryRatio && second < 10 {
-					t.Errorf("%d routers, second %d: canary receives a ratio of %.3f", routers, second, share)
+				if ratio := float64(f.canaryRequests) / float64(f.requests); ratio > maxCanaryRatio && second < 10 {
+					t.Errorf("%d routers, second %d: canary receives a ratio of %.3f", routers, second, ratio)
 				}
 			}
 			done := f.verdicts(canary.Done)
 			t.Logf("%d routers, %d of ten fail: %d of %d sent to the canary, %d poor, fiftieth in second %d, reverted in second %d, done at %d",
-				routers, fails, f.canaryRequests, f.requests, f.poor, fiftieth, known, done)
-			if fails > 0 && (known < 0 || fiftieth >= 0 && known > fiftieth+2) {
-				t.Errorf("%d routers: fiftieth poor answer in second %d, reverted in second %d", routers, fiftieth, known)
+				routers, fails, f.canaryRequests, f.requests, f.poor, fiftiethPoorIn, revertedIn, done)
+			if fails > 0 && (revertedIn < 0 || fiftiethPoorIn >= 0 && revertedIn > fiftiethPoorIn+2) {
+				t.Errorf("%d routers: fiftieth poor answer in second %d, reverted in second %d", routers, fiftiethPoorIn, revertedIn)
 			}
 			if fails == 0 && done == 0 {
 				t.Errorf("%d routers: rollout of a sound version is not done", routers)
