--- a/internal/oper/node/announce_test.go
+++ b/internal/oper/node/announce_test.go
@@ -7,66 +7,64 @@
 	"time"
 )
 
-// tries are moments at which routers write their rows, in order.
-type tries []try
+// attemptQueue is a heap of attempts to write routers' rows, ordered by time.
+type attemptQueue []attempt
 
-// try is one router's.
-type try struct {
+// attempt is the next attempt of one router.
+type attempt struct {
 	at     time.Duration
 	router int
 }
 
-func (t tries) Len() int           { return len(t) }
-func (t tries) Less(i, j int) bool { return t[i].at < t[j].at }
-func (t tries) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
-func (t *tries) Push(x any)        { *t = append(*t, x.(try)) }
-func (t *tries) Pop() any {
+func (t attemptQueue) Len() int           { return len(t) }
+func (t attemptQueue) Less(i, j int) bool { return t[i].at < t[j].at }
+func (t attemptQueue) Swap(i, j int)      { t[i], t[j] = t[j], t[i] }
+func (t *attemptQueue) Push(x any)        { *t = append(*t, x.(attempt)) }
+func (t *attemptQueue) Pop() any {
 	last := (*t)[len(*t)-1]
 	*t = (*t)[:len(*t)-1]
 	return last
 }
 
-// Seen: 986 routers that started together made 8,548 calls to the store in a day, most of them in the first seconds: the
-// largest price of a quiet day. 295 were refused 73 times.
-//
-// How: rows of one table take 200 writes a second, and refuse what would wait longer than a second. All routers wrote
-// theirs at once, and those refused tried again each half second, together.
-//
-// Cause: a fixed pause between tries. Refusals grow with the square of the fleet.
-func TestThousandsOfRoutersAnnounceThemselves(t *testing.T) {
+// Guards against write storms when a large fleet starts. All routers write their rows at once,
+// while the rows of one table accept 200 writes per second and reject a write that would wait
+// longer than a second. With a fixed delay of half a second between attempts, the rejected routers
+// retry together, and rejections grow with the square of the fleet: 295 routers were rejected 73
+// times, and 986 routers made 8,548 store calls in a day, most of them in the first seconds.
+func TestAnnounceRetriesInALargeFleet(t *testing.T) {
 	const perSecond, queue = 200, 200
 	for _, routers := range []int{60, 986, 2000} {
 		rng := rand.New(rand.NewPCG(uint64(routers), 1))
-		var due tries
+		var due attemptQueue
 		rngs := make([]*rand.Rand, routers)
 		for i := range routers {
 			rngs[i] = rand.New(rand.NewPCG(uint64(i), announceSalt))
-			due = append(due, try{at: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), router: i})
+			due = append(due, attempt{at: time.Duration(rng.Int64N(int64(300 * time.Millisecond))), router: i})
 		}
 		heap.Init(&due)
 		calls, last := 0, time.Duration(0)
-		// free is when the rows have taken all writes that wait.
-		free := time.Duration(0)
+		// writerFreeAt is when all queued writes are done.
+		writerFreeAt := time.Duration(0)
 		for len(due) > 0 {
-			next := heap.Pop(&due).(try)
+			next := heap.Pop(&due).(attempt)
 			calls++
-			if free-next.at > queue*time.Second/perSecond {
-				next.at += announceAgain(rngs[next.router])
+			if writerFreeAt-next.at > queue*time.Second/perSecond {
+				next.at += announceRetryDelay(rngs[next.router])
 				heap.Push(&due, next)
 				continue
 			}
-			free = max(free, next.at) + time.Second/perSecond
-			last = max(last, free)
+			writerFreeAt = max(writerFreeAt, next.at) + time.Second/perSecond
+			last = max(last, writerFreeAt)
 		}
 		perRouter := float64(calls) / float64(routers)
-		t.Logf("%d routers: %.2f calls each, all written after %v", routers, perRouter, last)
-		// A start is to cost four calls, one of which reads the others' rows.
+		t.Logf("%d routers: %.2f calls each, all rows written after %v", routers, perRouter, last)
+		// A start should cost four calls, one of which reads the other routers' rows.
 		if perRouter > 3 {
-			t.Errorf("%d routers write %.2f times each, want 3 at most", routers, perRouter)
+			t.Errorf("%d routers: %.2f writes each, want at most 3", routers, perRouter)
 		}
-		// A third more than the rows take for as many.
+		// The limit is a third more time than the table needs for as many writes.
 		if limit := 2*time.Second + time.Duration(routers)*time.Second/perSecond*4/3; last > limit {
-			t.Errorf("%d routers are announced after %v, want %v at most", routers, last, limit)
+			t.Errorf("%d routers: all rows written after %v, want at most %v", routers, last, limit)
 		}
 	}
 }
--- a/internal/oper/node/cold_test.go
+++ b/internal/oper/node/cold_test.go
@@ -17,7 +17,7 @@
 	"valescale/internal/share/peer"
 )
 
-// coldRows decodes nothing: what it says is set by the test.
+// coldRows is a fake decoder that returns values set by the test.
 type coldRows struct {
 	Rows
 	left        time.Duration
@@ -28,8 +28,9 @@
 	return Target{Box: boxes.Box{ID: "t", Service: "s", Zone: "a", Incarnation: r.incarnation}, Slots: 12, ColdLeft: r.left}, nil
 }
 
-// A target is cold for as long as its row said first, however often the row is read, and again
-// when the row says another time, the target started anew, or its availability zone was opened again.
+// A target is cold for the time that its row reported first, however often the row is read. It is
+// cold again when the row reports another time, the target restarts, or its availability zone is
+// reopened.
 func TestColdTargets(t *testing.T) {
 	now := time.Unix(1000, 0)
 	rows := &coldRows{left: 3 * time.Second, incarnation: 1}
@@ -38,7 +39,7 @@
 	s.services = []match.Service{{Name: "s", ColdFor: 3 * time.Second, ColdRate: 13}}
 	until := func() time.Time {
 		version++
-		s.setTargets(feed.Change{Rows: []table.Row{{Key: "t", Version: version}}})
+		s.updateTargets(feed.Change{Rows: []table.Row{{Key: "t", Version: version}}})
 		return s.capacity(policy.Service{Name: "s"}, peer.Target{ID: "t", Service: "s", Zone: "a"}).Cold.Until
 	}
 	first := now.Add(3 * time.Second)
@@ -47,26 +48,26 @@
 	}
 	now = now.Add(time.Second)
 	if got := until(); !got.Equal(first) {
-		t.Errorf("the same row again: cold until %v, want %v", got, first)
+		t.Errorf("same row read again: cold until %v, want %v", got, first)
 	}
 	rows.left = 2 * time.Second
 	if got := until(); !got.Equal(now.Add(rows.left)) {
-		t.Errorf("cold again: until %v, want %v", got, now.Add(rows.left))
+		t.Errorf("row with a new cold time: cold until %v, want %v", got, now.Add(rows.left))
 	}
 	now = now.Add(time.Second)
 	rows.incarnation++
 	if got := until(); !got.Equal(now.Add(rows.left)) {
-		t.Errorf("another start that is cold for as long: until %v, want %v", got, now.Add(rows.left))
+		t.Errorf("restart with the same cold time: cold until %v, want %v", got, now.Add(rows.left))
 	}
 	rows.left = 0
 	s.zones.set([]ident.Zone{"a"}, table.Position{Version: 1})
 	now = now.Add(time.Minute)
 	s.zones.set(nil, table.Position{Version: 2})
 	if got := until(); !got.Equal(now.Add(3 * time.Second)) {
-		t.Errorf("open again: cold until %v, want %v", got, now.Add(3*time.Second))
+		t.Errorf("zone reopened: cold until %v, want %v", got, now.Add(3*time.Second))
 	}
 	got := s.capacity(policy.Service{Name: "s"}, peer.Target{ID: "t", Service: "other", Zone: "a"}).Cold
 	if diff := cmp.Diff(place.Cold{}, got); diff != "" {
-		t.Errorf("a service without a bound: %s", diff)
+		t.Errorf("service without a cold rate: %s", diff)
 	}
 }
--- a/internal/oper/node/idle.go
+++ b/internal/oper/node/idle.go
@@ -7,24 +7,25 @@
 	"time"
 )
 
-// idle closes callers' connections that have had no request for a time that the
-// configuration may change while they are open, which the server's own limit cannot.
-type idle struct {
-	// limit is asked as a connection becomes idle.
-	limit func() time.Duration
+// idleConns closes callers' connections that have been idle for longer than a timeout that the
+// configuration may change while they are open, which http.Server's own idle timeout does not
+// support.
+type idleConns struct {
+	// timeout is called when a connection becomes idle.
+	timeout func() time.Duration
 
 	mu sync.Mutex
-	// timers are those of the connections that are idle now.
+	// timers contains the timers of the connections that are currently idle.
 	timers map[net.Conn]*time.Timer
 }
 
-// newIdle returns one without connections.
-func newIdle(limit func() time.Duration) *idle {
-	return &idle{limit: limit, timers: map[net.Conn]*time.Timer{}}
+// newIdleConns returns an idleConns without connections.
+func newIdleConns(timeout func() time.Duration) *idleConns {
+	return &idleConns{timeout: timeout, timers: map[net.Conn]*time.Timer{}}
 }
 
-// changed follows a connection's state.
-func (i *idle) changed(c net.Conn, state http.ConnState) {
+// stateChanged handles a change of a connection's state. It is a http.Server.ConnState callback.
+func (i *idleConns) stateChanged(c net.Conn, state http.ConnState) {
 	i.mu.Lock()
 	defer i.mu.Unlock()
 	if timer, ok := i.timers[c]; ok {
@@ -32,19 +33,19 @@
 		delete(i.timers, c)
 	}
 	if state == http.StateIdle {
-		// A connection that cannot be closed is closed already.
-		i.timers[c] = time.AfterFunc(i.limit(), func() { _ = c.Close() })
+		// Close fails only for a connection that is already closed.
+		i.timers[c] = time.AfterFunc(i.timeout(), func() { _ = c.Close() })
 	}
 }
 
-// defaultIdle counts while no configuration is known: longer than callers of the platform
-// leave connections idle, so that none is closed under a request.
-const defaultIdle = time.Minute
+// defaultIdleTimeout applies while no configuration is known. It is longer than callers of the
+// platform leave connections idle, so that none is closed while a request is sent on it.
+const defaultIdleTimeout = time.Minute
 
-// idleTime is how long a caller's connection may stay without a request.
-func (n *Node) idleTime() time.Duration {
+// idleTimeout returns how long a caller's connection may stay idle.
+func (n *Node) idleTimeout() time.Duration {
 	if t := n.Table(); t != nil && t.Limits.IdleTime > 0 {
 		return t.Limits.IdleTime
 	}
-	return defaultIdle
+	return defaultIdleTimeout
 }
--- a/internal/oper/node/pack.go
+++ b/internal/oper/node/pack.go
@@ -15,59 +15,61 @@
 )
 
 const (
-	// packFrom is the least number of rows of a whole page that is packed: fewer are no work.
-	packFrom = 100
-	// mostUnpacked bounds what a packed page may hold, in bytes: many times 20,000 rows.
-	mostUnpacked = 64 << 20
+	// minPackedRows is the minimum number of rows of a full page that is packed. Packing fewer
+	// saves nothing.
+	minPackedRows = 100
+	// maxUnpackedBytes limits the size of an unpacked page. It is many times the size of 20,000
+	// rows.
+	maxUnpackedBytes = 64 << 20
 )
 
-// packs holds the whole copies of tables as they are sent to other routers. When a fleet starts again, sixteen
-// routers ask each of those that others read from for the same copy at once; to encode and compress one takes a tenth of a
-// second of a box with a fifth of a core.
-type packs struct {
-	mu   sync.Mutex
-	made map[table.Name]pack
+// packCache caches the packed full pages of tables that are sent to peers. When a fleet restarts,
+// sixteen routers request the same page from each reader at once. Encoding and compressing it takes
+// a tenth of a second on a box with a fifth of a core.
+type packCache struct {
+	mu     sync.Mutex
+	packed map[table.Name]packedPage
 }
 
-// pack is one table's copy as it is sent.
-type pack struct {
-	of   packKey
+// packedPage is a packed full page of one table.
+type packedPage struct {
+	of   pageKey
 	data []byte
 }
 
-// packKey tells copies of a table apart.
-type packKey struct {
-	at   table.Position
-	rows int
-	sum  uint64
+// pageKey identifies the contents of a full page.
+type pageKey struct {
+	position table.Position
+	rows     int
+	rowsHash uint64
 }
 
-// keyOf is the key of a whole page.
-func keyOf(page table.Page) packKey {
-	key := packKey{at: page.At, rows: len(page.Rows)}
+// pageKeyOf returns the key of a full page.
+func pageKeyOf(page table.Page) pageKey {
+	key := pageKey{position: page.At, rows: len(page.Rows)}
 	for i := range page.Rows {
-		// The order of rows in a page is any.
-		key.sum += ident.Mix(uint64(page.Rows[i].Version), uint64(page.Rows[i].Era))
+		// The rows of a page are in no particular order, hence the sum.
+		key.rowsHash += ident.Mix(uint64(page.Rows[i].Version), uint64(page.Rows[i].Era))
 	}
 	return key
 }
 
-// newPacks returns packs of nothing.
-func newPacks() *packs { return &packs{made: map[table.Name]pack{}} }
+// newPackCache returns an empty cache.
+func newPackCache() *packCache { return &packCache{packed: map[table.Name]packedPage{}} }
 
-// of returns a whole page's rows, packed. Those who ask while it is being made wait for it.
-func (p *packs) of(name table.Name, page table.Page) ([]byte, error) {
+// of returns the packed rows of a full page. Concurrent callers wait while they are packed.
+func (p *packCache) of(name table.Name, page table.Page) ([]byte, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	key := keyOf(page)
-	if known, made := p.made[name]; made && known.of == key {
-		return known.data, nil
+	key := pageKeyOf(page)
+	if cached, packed := p.packed[name]; packed && cached.of == key {
+		return cached.data, nil
 	}
 	data, err := packRows(page.Rows)
 	if err != nil {
 		return nil, err
 	}
-	p.made[name] = pack{of: key, data: data}
+	p.packed[name] = packedPage{of: key, data: data}
 	return data, nil
 }
 
@@ -92,14 +94,14 @@
 	return out.Bytes(), nil
 }
 
-// unpackRows is the reverse of packRows.
+// unpackRows is the inverse of packRows.
 func unpackRows(name string, packed []byte) ([]table.Row, error) {
 	const op = "node.unpackRows"
 	r, err := gzip.NewReader(bytes.NewReader(packed))
 	if err != nil {
 		return nil, fault.New(op, BadRow, err)
 	}
-	data, err := io.ReadAll(io.LimitReader(r, mostUnpacked))
+	data, err := io.ReadAll(io.LimitReader(r, maxUnpackedBytes))
 	if err != nil {
 		return nil, fault.New(op, BadRow, err)
 	}
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -10,65 +10,65 @@
 	"valescale/internal/rule/retry"
 )
 
-// settingsEvery is how often the settings are read without a signal: they may change
-// silently, and reading a file of some kilobytes costs a fraction of a millisecond.
-const settingsEvery = time.Second
+// settingsInterval is the interval at which the settings are read without a signal. They may change
+// without one, and reading a file of a few kilobytes takes a fraction of a millisecond.
+const settingsInterval = time.Second
 
-// adjustable is what of the settings may change while the router runs. The rest counts
-// from the next start on.
-type adjustable struct {
+// reloadable contains the settings that may change while the router runs. The others apply from the
+// next start.
+type reloadable struct {
 	retries    retry.Allowance
 	loadFactor float64
 	grace      time.Duration
 }
 
-func (s Settings) adjustable() adjustable {
-	return adjustable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.Grace}
+func (s Settings) reloadable() reloadable {
+	return reloadable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.Grace}
 }
 
-// followSettings reads the settings again when told to, and now and then.
-func (n *Node) followSettings(ctx context.Context, told <-chan os.Signal) {
-	ticker := time.NewTicker(settingsEvery)
+// watchSettings reloads the settings on a signal and periodically.
+func (n *Node) watchSettings(ctx context.Context, hup <-chan os.Signal) {
+	ticker := time.NewTicker(settingsInterval)
 	defer ticker.Stop()
-	failure := ""
+	lastError := ""
 	for {
 		signalled := false
 		select {
 		case <-ctx.Done():
 			return
-		case <-told:
+		case <-hup:
 			signalled = true
 		case <-ticker.C:
 		}
 		err := n.reload(signalled)
 		if err == nil {
-			failure = ""
+			lastError = ""
 			continue
 		}
-		// The same mistake is found each second until it is mended.
-		if signalled || err.Error() != failure {
-			_ = level.Error(n.Logger).Log("msg", "settings cannot be reloaded, the earlier ones stay", "err", err)
+		// The same error occurs every second until it is corrected.
+		if signalled || err.Error() != lastError {
+			_ = level.Error(n.Logger).Log("msg", "settings reload failed, keeping the previous settings", "err", err)
 		}
-		failure = err.Error()
+		lastError = err.Error()
 	}
 }
 
-// reload takes in what has changed of the settings. It is logged if something has, or if
-// a signal asked for it.
+// reload applies the settings that have changed. It logs the reload if any has, or if a signal
+// requested it.
 func (n *Node) reload(signalled bool) error {
 	fresh, err := n.Reload()
 	if err != nil {
 		return err
 	}
 	old := n.settings.Load()
-	if fresh.adjustable() == old.adjustable() && !signalled {
+	if fresh.reloadable() == old.reloadable() && !signalled {
 		return nil
 	}
 	next := *old
 	next.Retries, next.LoadFactor, next.Grace = fresh.Retries, fresh.LoadFactor, fresh.Grace
 	n.settings.Store(&next)
-	n.budget.allow(n.Clock(), next.Retries)
-	n.state.touch()
+	n.retryBudget.setAllowance(n.Clock(), next.Retries)
+	n.state.invalidatePools()
 	n.mesh.MarkDirty()
 	_ = level.Info(n.Logger).Log("msg", "reload", "signal", signalled, "retry_ratio", next.Retries.Ratio,
 		"retry_extra", next.Retries.Extra, "load_factor", next.LoadFactor, "grace_ms", next.Grace.Milliseconds())
--- a/internal/oper/node/zones.go
+++ b/internal/oper/node/zones.go
@@ -12,15 +12,15 @@
 	"valescale/internal/plat/table"
 )
 
-// zones are the availability zones that operators have closed: their targets finish what
-// they have and get no new work.
+// zones contains the availability zones that operators have closed. Their targets finish running
+// requests and receive no new work.
 type zones struct {
 	logger log.Logger
 	clock  ident.Clock
 
 	mu     sync.Mutex
 	closed []ident.Zone
-	// reopened is when each zone that was closed was opened again.
+	// reopened contains the time at which each closed zone was reopened.
 	reopened map[ident.Zone]time.Time
 }
 
@@ -29,7 +29,7 @@
 	return &zones{logger: logger, clock: clock, reopened: map[ident.Zone]time.Time{}}
 }
 
-// set closes exactly the given zones, opens the others and reports whether anything changed.
+// set closes the given zones, reopens all others and reports whether anything changed.
 func (z *zones) set(closed []ident.Zone, at table.Position) bool {
 	z.mu.Lock()
 	defer z.mu.Unlock()
@@ -42,7 +42,7 @@
 	}
 	for _, zone := range z.closed {
 		if !slices.Contains(closed, zone) {
-			_ = level.Info(z.logger).Log("msg", "availability zone open again", "zone", zone, "era", at.Era, "version", at.Version)
+			_ = level.Info(z.logger).Log("msg", "availability zone reopened", "zone", zone, "era", at.Era, "version", at.Version)
 			z.reopened[zone] = z.clock()
 			changed = true
 		}
@@ -51,8 +51,8 @@
 	return changed
 }
 
-// of reports whether a zone is closed, and when it was opened last after it was closed.
-func (z *zones) of(zone ident.Zone) (closed bool, reopened time.Time) {
+// stateOf reports whether a zone is closed, and when it was last reopened.
+func (z *zones) stateOf(zone ident.Zone) (closed bool, reopened time.Time) {
 	z.mu.Lock()
 	defer z.mu.Unlock()
 	return slices.Contains(z.closed, zone), z.reopened[zone]
