--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -27,7 +27,7 @@
 	"valescale/internal/share/peer"
 )
 
-// build makes the parts and connects them.
+// build creates the components of the router and connects them.
 func (d *Daemon) build() error {
 	s := d.settings
 	platform := d.platformTransport()
@@ -42,7 +42,7 @@
 	return d.buildEdge(objects, platform, d.self.Incarnation)
 }
 
-// buildPeers makes what knows the other routers.
+// buildPeers creates the client of the peers and the membership view.
 func (d *Daemon) buildPeers(list *boxes.Client) error {
 	s := d.settings
 	now := d.clock()
@@ -50,11 +50,11 @@
 		ID: s.Router.ID, Addr: d.PeerAddr(), Zone: s.Router.Zone, Region: s.Router.Region,
 		Incarnation: ident.Incarnation(now.UnixMilli()),
 	}
-	peerTLS, err := peerConfig(s.Peers)
+	peerTLS, err := peerTLSConfig(s.Peers)
 	if err != nil {
 		return err
 	}
-	clients, closeClients := peer.NewClients(peerTLS, d.meter)
+	clients, closeClients := peer.NewClients(peerTLS, d.peerBytes)
 	d.cleanups = append(d.cleanups, closeClients)
 	view := peer.NewView(now, d.self, peer.DefaultLimits)
 	pace := peer.DefaultPace
@@ -63,54 +63,55 @@
 	return nil
 }
 
-// buildConfig makes what records and follows the configuration.
+// buildConfig creates the components that record and follow the configuration.
 func (d *Daemon) buildConfig() {
-	d.keeper = config.NewKeeper(d.installed)
-	force := d.keeper.InForce()
-	d.force.Store(&force)
-	d.recorder = config.NewRecorder(d.table, d.keeper, d.heardOf, d.clock)
-	d.follower = config.NewFollower(d.keeper, d.recorder, fetcher{d.node}, d.settings.Pace.Head, d.logger, d.self.Seed())
+	d.keeper = config.NewKeeper(d.onConfigInstalled)
+	inForce := d.keeper.InForce()
+	d.inForce.Store(&inForce)
+	d.recorder = config.NewRecorder(d.table, d.keeper, d.highestRevision, d.clock)
+	d.follower = config.NewFollower(d.keeper, d.recorder, configFetcher{d.node}, d.settings.Pace.Head, d.logger, d.self.Seed())
 }
 
-// buildMesh makes what counts, places and shares requests with the other routers.
+// buildMesh creates the components that grant permits, place requests and exchange load
+// with the other routers.
 func (d *Daemon) buildMesh() {
 	s := d.settings
-	first := mesh.FirstPermit(d.self.Incarnation)
+	firstPermit := mesh.FirstPermit(d.self.Incarnation)
 	limits := home.Limits{Queue: s.Limits.Queue, PerWorkspace: s.Limits.PerWorkspace}
-	d.homes = home.New(s.Router.ID, limits, d.clock, d.workspace)
+	d.homes = home.New(s.Router.ID, limits, d.clock, d.workspaceLimits)
 	var closeLinks func()
 	d.remote, closeLinks = home.NewRemote(home.Edge{
-		ID: s.Router.ID, Zone: s.Router.Zone, Base: first,
+		ID: s.Router.ID, Zone: s.Router.Zone, Base: firstPermit,
 	}, d.homes, d.node, s.Pace.Permit)
 	d.cleanups = append(d.cleanups, closeLinks)
 	d.router = route.New(route.Self{
-		ID: s.Router.ID, Zone: s.Router.Zone, Region: s.Router.Region, FirstPermit: first,
+		ID: s.Router.ID, Zone: s.Router.Zone, Region: s.Router.Region, FirstPermit: firstPermit,
 	}, d.remote, d.clock)
 	d.mesh = mesh.New(mesh.Parts{
 		Self: d.self, Node: d.node, Homes: d.homes, Remote: d.remote, Router: d.router, Logger: d.logger, Clock: d.clock,
-		Wanted: d.wanted, Capacity: d.capacity,
+		Wanted: d.meshConfig, Capacity: d.capacity,
 		Bound: func(s policy.Service) place.Bound { return place.BoundOf(s.Bound) },
 	})
 	d.node.SetHooks(peer.Hooks{
 		Changed: d.mesh.MarkDirty,
-		Head:    d.heard,
+		Head:    d.onLaterRevision,
 		Era:     d.table.Hear,
 	})
-	d.table.OnChange(d.restored)
+	d.table.OnChange(d.onStoreRollback)
 }
 
-// buildEdge makes the parts that serve callers and operators.
+// buildEdge creates the components that serve callers and operators.
 func (d *Daemon) buildEdge(objects *object.Client, platform http.RoundTripper, incarnation ident.Incarnation) error {
 	s := d.settings
-	claims, stopClaims := claim.New(d.table, objects, claim.DefaultOptions, d.logger, d.clock)
-	d.stopClaim = stopClaims
+	claims, stopClaimWriter := claim.New(d.table, objects, claim.DefaultOptions, d.logger, d.clock)
+	d.stopClaims = stopClaimWriter
 	relayLimits := relay.DefaultLimits
 	relayLimits.Answer = s.Limits.Answer
 	sender, closeSender := relay.New(relayLimits)
-	d.cleanups = append(d.cleanups, closeSender, func() { stopNow(stopClaims) })
+	d.cleanups = append(d.cleanups, closeSender, func() { stopWithoutFlush(stopClaimWriter) })
 	d.engines = engine.New(platform, s.Platform.Timeout)
 	d.sweeper = claim.NewSweeper(d.table, claim.DefaultKeep, d.clock)
-	d.sweeping = lease.New(d.table, sweepLease, s.Router.ID, string(claim.NewAttempt()), s.Pace.Lease, d.clock)
+	d.sweepLease = lease.New(d.table, sweepLeaseName, s.Router.ID, string(claim.NewAttempt()), s.Pace.Lease, d.clock)
 	closeGuard := d.buildGuard(sender)
 	d.cleanups = append(d.cleanups, closeGuard)
 	shadow := admin.NewShadow()
@@ -128,60 +129,61 @@
 	return nil
 }
 
-// buildGuard makes what holds requests back that targets end under.
+// buildGuard creates the guard, which quarantines requests under which targets crash.
+// It returns the function that closes the guard.
 func (d *Daemon) buildGuard(prober guard.Prober) func() {
-	guarding, closeGuard := guard.New(guard.Parts{
-		Prober: prober, Store: heldRows{d.table}, Logger: d.logger, Clock: d.clock, Spread: d.node.Spread,
+	g, closeGuard := guard.New(guard.Parts{
+		Prober: prober, Store: quarantineStore{d.table}, Logger: d.logger, Clock: d.clock, Spread: d.node.Spread,
 		Reads: func() bool { return true },
 	})
-	d.guard = guarding
-	d.node.SetCrashes(guarding)
+	d.guard = g
+	d.node.SetCrashes(g)
 	return closeGuard
 }
 
-// heldRows are the rows of requests held back in the table service.
-type heldRows struct{ *table.Client }
+// quarantineStore reads the rows of quarantined requests from the table service.
+type quarantineStore struct{ *table.Client }
 
-// maxHeldRows is how many are read at once; more than that are not remembered either.
-const maxHeldRows = 1000
+// maxQuarantinedRows limits the rows read in one scan; the guard keeps no more than that either.
+const maxQuarantinedRows = 1000
 
-// Held returns the rows.
-func (h heldRows) Held(ctx context.Context) ([]table.Row, error) {
-	return h.Scan(ctx, table.Range{Table: guard.Table, Limit: maxHeldRows})
+// Held returns the rows of quarantined requests.
+func (h quarantineStore) Held(ctx context.Context) ([]table.Row, error) {
+	return h.Scan(ctx, table.Range{Table: guard.Table, Limit: maxQuarantinedRows})
 }
 
-// stopNow stops what writes outcomes without waiting for the store.
-func stopNow(stop func(context.Context)) {
+// stopWithoutFlush stops the writer of claim outcomes without waiting for the store.
+func stopWithoutFlush(stop func(context.Context)) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Millisecond)
 	defer cancel()
 	stop(ctx)
 }
 
 const (
-	// platformIdle is how long a connection to the platform is kept without a call,
-	// platformConns how many of these are kept at one address.
-	platformIdle  = time.Minute
-	platformConns = 16
-	// sweepLease names the lease for the sweeping of old claims.
-	sweepLease = "sweep"
+	// platformIdleTimeout is how long an idle connection to the platform is kept, and
+	// platformMaxIdleConns how many idle connections are kept per address.
+	platformIdleTimeout  = time.Minute
+	platformMaxIdleConns = 16
+	// sweepLeaseName is the name of the lease for the removal of old claims.
+	sweepLeaseName = "sweep"
 )
 
-// platformTransport dials the platform and the engines' side interfaces; what
-// goes over it is control traffic.
+// platformTransport returns the transport for the platform and the engines' side
+// interfaces. All its traffic is metered as control traffic.
 func (d *Daemon) platformTransport() *http.Transport {
 	dialer := &net.Dialer{Timeout: d.settings.Platform.Timeout}
-	t := &http.Transport{
-		MaxIdleConnsPerHost: platformConns,
-		IdleConnTimeout:     platformIdle,
+	transport := &http.Transport{
+		MaxIdleConnsPerHost: platformMaxIdleConns,
+		IdleConnTimeout:     platformIdleTimeout,
 		DisableCompression:  true,
 		DialContext: func(ctx context.Context, network, addr string) (net.Conn, error) {
-			c, err := dialer.DialContext(ctx, network, addr)
+			conn, err := dialer.DialContext(ctx, network, addr)
 			if err != nil {
 				return nil, err
 			}
-			return d.outside.Conn(c), nil
+			return d.platformBytes.Conn(conn), nil
 		},
 	}
-	d.cleanups = append(d.cleanups, t.CloseIdleConnections)
-	return t
+	d.cleanups = append(d.cleanups, transport.CloseIdleConnections)
+	return transport
 }
--- a/internal/oper/daemon/daemon.go
+++ b/internal/oper/daemon/daemon.go
@@ -28,57 +28,57 @@
 	"valescale/internal/share/peer"
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 const (
-	// Listen means that an address cannot be listened on.
+	// Listen is the kind of an address that cannot be listened on.
 	Listen Kind = "listen"
-	// Keys means that certificates or keys cannot be used.
+	// Keys is the kind of certificates or keys that cannot be used.
 	Keys Kind = "keys"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
 // Daemon is one router process.
 type Daemon struct {
-	settings conf.Settings
-	logger   log.Logger
-	clock    ident.Clock
-	self     peer.Member
-	node     *peer.Node
-	keeper   *config.Keeper
-	recorder *config.Recorder
-	follower *config.Follower
-	homes    *home.Homes
-	remote   *home.Remote
-	router   *route.Router
-	front    *front.Front
-	guard    *guard.Guard
-	metrics  *telem.Metrics
-	admin    *admin.Service
-	table    *table.Client
-	engines  *engine.Client
-	sweeper  *claim.Sweeper
-	sweeping *lease.Lease
-	// meter counts what goes to and from other routers, outside what goes to the
+	settings   conf.Settings
+	logger     log.Logger
+	clock      ident.Clock
+	self       peer.Member
+	node       *peer.Node
+	keeper     *config.Keeper
+	recorder   *config.Recorder
+	follower   *config.Follower
+	homes      *home.Homes
+	remote     *home.Remote
+	router     *route.Router
+	front      *front.Front
+	guard      *guard.Guard
+	metrics    *telem.Metrics
+	admin      *admin.Service
+	table      *table.Client
+	engines    *engine.Client
+	sweeper    *claim.Sweeper
+	sweepLease *lease.Lease
+	// peerBytes counts the traffic with other routers, platformBytes the traffic with the
 	// platform and the engines' side interfaces.
-	meter   *peer.Meter
-	outside *peer.Meter
-	reports *reports
-	mesh    *mesh.Mesh
-	// force is the configuration that callers are served by.
-	force   atomic.Pointer[config.InForce]
+	peerBytes     *peer.Meter
+	platformBytes *peer.Meter
+	engineReports *engineReports
+	mesh          *mesh.Mesh
+	// inForce is the configuration under which callers are served.
+	inForce atomic.Pointer[config.InForce]
 	ready   atomic.Bool
 	leaving atomic.Bool
 	killed  atomic.Bool
 	servers []*http.Server
-	// stopBackground ends what Run started beside the servers.
+	// stopBackground stops the background tasks that Run started beside the servers.
 	stopBackground context.CancelFunc
 	listeners      listeners
 	cleanups       []func()
-	stopClaim      func(context.Context)
+	stopClaims     func(context.Context)
 }
 
 type listeners struct {
@@ -87,12 +87,12 @@
 	admin   net.Listener
 }
 
-// New returns a router that listens but serves nobody until Run, and the function
-// that frees what it holds.
+// New returns a router that listens but does not serve until Run is called, and the
+// function that releases its resources.
 func New(settings conf.Settings, logger log.Logger, clock ident.Clock) (*Daemon, func(), error) {
 	d := &Daemon{
 		settings: settings, logger: logger, clock: clock,
-		meter: &peer.Meter{}, outside: &peer.Meter{}, reports: newReports(),
+		peerBytes: &peer.Meter{}, platformBytes: &peer.Meter{}, engineReports: newEngineReports(),
 	}
 	if err := d.listen(); err != nil {
 		d.close()
@@ -113,28 +113,28 @@
 }
 
 func (d *Daemon) listen() error {
-	for _, at := range []struct {
-		addr string
-		into *net.Listener
+	for _, endpoint := range []struct {
+		addr     string
+		listener *net.Listener
 	}{
 		{d.settings.Callers.Addr, &d.listeners.callers},
 		{d.settings.Peers.Addr, &d.listeners.peers},
 		{d.settings.Admin.Addr, &d.listeners.admin},
 	} {
-		l, err := net.Listen("tcp", at.addr)
+		l, err := net.Listen("tcp", endpoint.addr)
 		if err != nil {
 			return fault.New("daemon.New", Listen, err)
 		}
 		d.cleanups = append(d.cleanups, func() { _ = l.Close() })
-		*at.into = l
+		*endpoint.listener = l
 	}
 	return nil
 }
 
-// CallerAddr is where callers connect.
+// CallerAddr returns the address of the listener for callers.
 func (d *Daemon) CallerAddr() string { return d.listeners.callers.Addr().String() }
 
-// PeerAddr is where other routers connect.
+// PeerAddr returns the address under which other routers reach this router.
 func (d *Daemon) PeerAddr() string {
 	if d.settings.Peers.Advertise != "" {
 		return d.settings.Peers.Advertise
@@ -142,26 +142,26 @@
 	return d.listeners.peers.Addr().String()
 }
 
-// AdminAddr is where operators connect.
+// AdminAddr returns the address of the listener for operators.
 func (d *Daemon) AdminAddr() string { return d.listeners.admin.Addr().String() }
 
-// Traffic is the control traffic so far: with other routers, and with the platform
+// Traffic returns the control traffic so far: with other routers, and with the platform
 // and the engines' side interfaces.
-func (d *Daemon) Traffic() (peers, outside peer.Traffic) {
-	return d.meter.Traffic(), d.outside.Traffic()
+func (d *Daemon) Traffic() (peers, platformBytes peer.Traffic) {
+	return d.peerBytes.Traffic(), d.platformBytes.Traffic()
 }
 
-// Leaving reports whether this router knows that a target is leaving.
+// Leaving reports whether a target is marked as leaving in the pools of this router.
 func (d *Daemon) Leaving(id ident.Target) bool {
 	for _, p := range d.mesh.Set().Pools {
-		if e, known := p.Roster.Engine(id.Hash()); known && e.ID == id {
+		if e, ok := p.Roster.Engine(id.Hash()); ok && e.ID == id {
 			return e.Leaving
 		}
 	}
 	return false
 }
 
-// Kill ends the router at once with all its connections, as a crash would.
+// Kill stops the router and closes all its connections at once, as a crash would.
 func (d *Daemon) Kill() {
 	d.killed.Store(true)
 	for _, s := range d.servers {
@@ -170,66 +170,67 @@
 	d.stopBackground()
 }
 
-// InForce is the configuration that callers are served by.
-func (d *Daemon) InForce() config.InForce { return *d.force.Load() }
+// InForce returns the configuration under which callers are served.
+func (d *Daemon) InForce() config.InForce { return *d.inForce.Load() }
 
-// Revision is the configuration revision in force.
+// Revision returns the configuration revision in force.
 func (d *Daemon) Revision() ident.Revision { return d.InForce().Revision }
 
-// Ready reports whether the router wants requests.
+// Ready reports whether the router accepts requests.
 func (d *Daemon) Ready() bool { return d.ready.Load() }
 
-// Permits is the number of permits that this router's homes have given out.
+// Permits returns the number of outstanding permits granted by the homes on this router.
 func (d *Daemon) Permits() int {
 	permits, _ := d.homes.InFlight()
 	return permits
 }
 
-// Stats returns how targets were found.
+// Stats returns the counts of the ways in which targets were found.
 func (d *Daemon) Stats() route.Stats { return d.router.Stats() }
 
-// workspace returns a workspace's limits in force.
-func (d *Daemon) workspace(name ident.Workspace) (policy.Workspace, bool) {
+// workspaceLimits returns the limits of a workspace in the installed configuration.
+func (d *Daemon) workspaceLimits(name ident.Workspace) (policy.Workspace, bool) {
 	w, ok := d.keeper.InForce().Set.Workspaces[name]
 	return w, ok
 }
 
-// installed follows a change of the configuration.
-func (d *Daemon) installed(config.InForce) { d.mesh.MarkDirty() }
+// onConfigInstalled schedules a rebuild of the mesh after a change of the configuration.
+func (d *Daemon) onConfigInstalled(config.InForce) { d.mesh.MarkDirty() }
 
-// heard follows a router that told of a later revision.
-func (d *Daemon) heard(_ ident.Revision, from ident.Router) {
+// onLaterRevision fetches the configuration from a router that reported a later revision.
+func (d *Daemon) onLaterRevision(_ ident.Revision, from ident.Router) {
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), d.settings.Platform.Timeout*2)
 		defer cancel()
 		if err := d.follower.Heard(ctx, from); err != nil {
-			_ = level.Warn(d.logger).Log("msg", "could not fetch the configuration", "from", from, "err", err)
+			_ = level.Warn(d.logger).Log("msg", "failed to fetch configuration from peer", "from", from, "err", err)
 		}
 	}()
 }
 
-// restored follows a table service that has come back from an older copy: the other routers are told, since
-// each has to write again what it wrote, and requests held back are. They are told of the first era too, so
-// that a router which starts knows a later one for what it is.
-func (d *Daemon) restored(era, was table.Era) {
+// onStoreRollback handles a change of the table service's era, which means that the store was
+// restored from an older snapshot. The era is gossiped to the other routers, since each has to
+// rewrite its own rows, and quarantined requests are written again. The first era is gossiped
+// too, so that a router which starts can recognize a later era as a store rollback.
+func (d *Daemon) onStoreRollback(era, previous table.Era) {
 	d.node.Do(func(v *peer.View) { v.RaiseEra(era) })
-	if was == 0 {
+	if previous == 0 {
 		return
 	}
 	d.node.Spread()
 	d.guard.Rewrite()
 }
 
-// heardOf is the highest revision that any router has told of.
-func (d *Daemon) heardOf() (revision ident.Revision) {
+// highestRevision returns the highest revision that any router has reported.
+func (d *Daemon) highestRevision() (revision ident.Revision) {
 	d.node.Read(func(v *peer.View) { revision = v.Head() })
 	return revision
 }
 
-// Target finds a target by its id.
+// Target returns the target with an id.
 func (d *Daemon) Target(id ident.Target) (route.Target, bool) { return d.mesh.Target(id) }
 
-// MarkLeaving notes that an incarnation of a target is leaving, and tells the peers.
+// MarkLeaving records that an incarnation of a target is leaving and notifies the peers.
 func (d *Daemon) MarkLeaving(id ident.Target, incarnation ident.Incarnation) {
 	d.mesh.MarkLeaving(id, incarnation)
 }
--- a/internal/oper/daemon/doc.go
+++ b/internal/oper/daemon/doc.go
@@ -1,4 +1,4 @@
-// Package daemon puts a router together from its parts and runs it: it starts the
-// listeners, follows membership and configuration, and stops without cutting off
-// what is in flight.
+// Package daemon assembles a router from its components and runs it: it starts the
+// listeners, follows membership and configuration changes, and shuts down without
+// aborting requests in flight.
 package daemon
--- a/internal/oper/daemon/figures.go
+++ b/internal/oper/daemon/figures.go
@@ -10,7 +10,7 @@
 	"valescale/internal/share/peer"
 )
 
-// gauges are what metrics read of this router.
+// gauges returns the functions from which the metrics read the state of this router.
 func (d *Daemon) gauges() telem.Gauges {
 	return telem.Gauges{
 		Revision: func() float64 { return float64(d.Revision()) },
@@ -23,8 +23,8 @@
 		},
 		Permits:   func() float64 { permits, _ := d.homes.InFlight(); return float64(permits) },
 		Waiting:   func() float64 { _, waiting := d.homes.InFlight(); return float64(waiting) },
-		SentBytes: func() float64 { return float64(d.meter.Traffic().Sent + d.outside.Traffic().Sent) },
-		ReadBytes: func() float64 { return float64(d.meter.Traffic().Received + d.outside.Traffic().Received) },
+		SentBytes: func() float64 { return float64(d.peerBytes.Traffic().Sent + d.platformBytes.Traffic().Sent) },
+		ReadBytes: func() float64 { return float64(d.peerBytes.Traffic().Received + d.platformBytes.Traffic().Received) },
 		LoadRatio: d.homes.LoadRatio,
 		Held:      func() float64 { return float64(d.guard.Held()) },
 		StoreCalls: func() float64 {
@@ -36,7 +36,7 @@
 	}
 }
 
-// status is what operators see of this router.
+// status returns the state of this router as shown to operators.
 func (d *Daemon) status() admin.Status {
 	out := admin.Status{Ready: d.Ready(), StoreUp: d.table.Up()}
 	for _, p := range d.mesh.Set().Pools {
--- a/internal/oper/daemon/keys.go
+++ b/internal/oper/daemon/keys.go
@@ -17,39 +17,40 @@
 	"valescale/internal/share/peerpb"
 )
 
-// reloadEvery is how old a certificate read from its files may be.
-const reloadEvery = 10 * time.Second
+// certCheckInterval is the minimum time between two checks of a certificate's files for changes.
+const certCheckInterval = 10 * time.Second
 
-// certificate reads a key pair anew after its files have changed.
+// certificate is a key pair that is reloaded after its files have changed.
 type certificate struct {
-	cert, key string
-	clock     ident.Clock
-	mu        sync.Mutex
-	pair      *tls.Certificate
-	read      time.Time
-	changed   time.Time
+	certPath, keyPath string
+	clock             ident.Clock
+	mu                sync.Mutex
+	pair              *tls.Certificate
+	checkedAt         time.Time
+	modTime           time.Time
 }
 
 func loadCertificate(l conf.Listener, clock ident.Clock) (*certificate, error) {
-	c := &certificate{cert: l.Cert, key: l.Key, clock: clock}
+	c := &certificate{certPath: l.Cert, keyPath: l.Key, clock: clock}
 	_, err := c.current()
 	return c, err
 }
 
-// current returns the pair; one that can no longer be read stays in use.
+// current returns the key pair. If the files can no longer be read, the last valid pair
+// stays in use.
 func (c *certificate) current() (*tls.Certificate, error) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	now := c.clock()
-	if c.pair != nil && now.Sub(c.read) < reloadEvery {
+	if c.pair != nil && now.Sub(c.checkedAt) < certCheckInterval {
 		return c.pair, nil
 	}
-	c.read = now
-	info, err := os.Stat(c.cert)
-	if err == nil && c.pair != nil && info.ModTime().Equal(c.changed) {
+	c.checkedAt = now
+	info, err := os.Stat(c.certPath)
+	if err == nil && c.pair != nil && info.ModTime().Equal(c.modTime) {
 		return c.pair, nil
 	}
-	pair, err := tls.LoadX509KeyPair(c.cert, c.key)
+	pair, err := tls.LoadX509KeyPair(c.certPath, c.keyPath)
 	if err != nil {
 		if c.pair != nil {
 			return c.pair, nil
@@ -58,7 +59,7 @@
 	}
 	c.pair = &pair
 	if info != nil {
-		c.changed = info.ModTime()
+		c.modTime = info.ModTime()
 	}
 	return c.pair, nil
 }
@@ -70,13 +71,13 @@
 	}
 	pool := x509.NewCertPool()
 	if !pool.AppendCertsFromPEM(data) {
-		return nil, fault.New("daemon.loadCA", Keys, errors.Errorf("%s holds no certificate", path))
+		return nil, fault.New("daemon.loadCA", Keys, errors.Errorf("%s contains no certificate", path))
 	}
 	return pool, nil
 }
 
-// serverConfig returns the TLS side of a listener, nil for clear text.
-func serverConfig(l conf.Listener, mustShow bool) (*tls.Config, error) {
+// serverTLSConfig returns the TLS configuration of a listener, or nil for clear text.
+func serverTLSConfig(l conf.Listener, requireClientCert bool) (*tls.Config, error) {
 	if l.Cert == "" {
 		return nil, nil
 	}
@@ -95,15 +96,16 @@
 		return nil, err
 	}
 	config.ClientAuth = tls.VerifyClientCertIfGiven
-	if mustShow {
+	if requireClientCert {
 		config.ClientAuth = tls.RequireAndVerifyClientCert
 	}
 	return config, nil
 }
 
-// peerConfig returns the TLS side of calls to other routers, nil for clear text.
-// Routers are called by IP number, so the authority's signature is what counts.
-func peerConfig(l conf.Listener) (*tls.Config, error) {
+// peerTLSConfig returns the TLS configuration of calls to other routers, or nil for clear
+// text. Routers are called by IP address, so a certificate is verified by the signature of
+// the authority and not by its host name.
+func peerTLSConfig(l conf.Listener) (*tls.Config, error) {
 	if l.Cert == "" {
 		return nil, nil
 	}
@@ -117,8 +119,8 @@
 	}
 	return &tls.Config{
 		MinVersion: tls.VersionTLS13,
-		// The name is an IP number that certificates of replaced boxes do not have;
-		// the chain is checked below all the same.
+		// Host name verification would fail: the name is an IP address, which the certificate
+		// of a replaced box does not contain. VerifyConnection verifies the chain instead.
 		InsecureSkipVerify: true,
 		VerifyConnection: func(state tls.ConnectionState) error {
 			options := x509.VerifyOptions{Roots: roots, Intermediates: x509.NewCertPool()}
@@ -135,18 +137,18 @@
 	}, nil
 }
 
-type callerKey struct{}
+type peerKey struct{}
 
-// callerOf returns the router that a call comes from, as its certificate names it,
-// or the empty id on a connection without keys.
-func callerOf(ctx context.Context) ident.Router {
-	id, _ := ctx.Value(callerKey{}).(ident.Router)
+// authenticatedPeer returns the id of the calling router from its certificate, or the empty
+// id on a connection without TLS.
+func authenticatedPeer(ctx context.Context) ident.Router {
+	id, _ := ctx.Value(peerKey{}).(ident.Router)
 	return id
 }
 
-// checkPeer notes whose certificate a call comes under; what speaks for another
-// router than that is refused where it is read.
-func checkPeer(withTLS bool, next http.Handler) http.Handler {
+// authenticatePeer adds the router named by the client certificate to the request's context.
+// The handlers reject messages sent in the name of another router.
+func authenticatePeer(withTLS bool, next http.Handler) http.Handler {
 	if !withTLS {
 		return next
 	}
@@ -156,7 +158,7 @@
 			return
 		}
 		id := ident.Router(r.TLS.PeerCertificates[0].Subject.CommonName)
-		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), callerKey{}, id)))
+		next.ServeHTTP(w, r.WithContext(context.WithValue(r.Context(), peerKey{}, id)))
 	})
 }
 
--- a/internal/oper/daemon/keys_test.go
+++ b/internal/oper/daemon/keys_test.go
@@ -16,7 +16,8 @@
 	"valescale/internal/oper/conf"
 )
 
-// writePair writes a self-signed certificate with a name and a file time.
+// writePair writes a self-signed certificate with a common name, and its key, and sets the
+// modification time of both files.
 func writePair(t *testing.T, l conf.Listener, name string, at time.Time) {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -46,7 +47,7 @@
 	}
 }
 
-func TestCertificatesAreReadAnew(t *testing.T) {
+func TestCertificateIsReloadedAfterItsFilesChange(t *testing.T) {
 	now := time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 	l := conf.Listener{Cert: filepath.Join(t.TempDir(), "cert"), Key: filepath.Join(t.TempDir(), "key")}
 	writePair(t, l, "old", now)
@@ -63,17 +64,17 @@
 	}
 	writePair(t, l, "new", now.Add(time.Hour))
 	if got := name(); got != "old" {
-		t.Errorf("%q is in use before it is time to look", got)
+		t.Errorf("%q is in use before the check interval has passed, want the old certificate", got)
 	}
-	now = now.Add(reloadEvery)
+	now = now.Add(certCheckInterval)
 	if got := name(); got != "new" {
-		t.Errorf("%q is in use after the files changed", got)
+		t.Errorf("%q is in use after the files changed, want the new certificate", got)
 	}
 	if err := os.WriteFile(l.Cert, []byte("broken"), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	now = now.Add(2 * reloadEvery)
+	now = now.Add(2 * certCheckInterval)
 	if got := name(); got != "new" {
-		t.Errorf("%q is in use after the files broke", got)
+		t.Errorf("%q is in use after the file became invalid, want the last valid certificate", got)
 	}
 }
--- a/internal/oper/daemon/peers.go
+++ b/internal/oper/daemon/peers.go
@@ -15,21 +15,23 @@
 	"valescale/internal/share/peerpb"
 )
 
-// peerService answers other routers.
+// peerService implements the RPC service for other routers.
 type peerService struct {
 	*home.Server
 	daemon *Daemon
 }
 
-// Gossip exchanges digests.
+// Gossip exchanges gossip digests. With TLS, a digest sent in the name of another router
+// is rejected.
 func (p *peerService) Gossip(ctx context.Context, req *connect.Request[peerpb.Digest]) (*connect.Response[peerpb.Digest], error) {
-	if caller := callerOf(ctx); caller != "" && string(caller) != req.Msg.GetFrom() {
+	if caller := authenticatedPeer(ctx); caller != "" && string(caller) != req.Msg.GetFrom() {
 		return nil, connect.NewError(connect.CodePermissionDenied, fault.Newf("daemon.Gossip", Keys, "%s speaks for %s", caller, req.Msg.GetFrom()))
 	}
 	return connect.NewResponse(p.daemon.node.Gossip(req.Msg)), nil
 }
 
-// Fetch returns configuration changes, or the whole when the asker is too far behind.
+// Fetch returns the configuration changes after a revision, or a full snapshot if the
+// caller is too far behind.
 func (p *peerService) Fetch(_ context.Context, req *connect.Request[peerpb.FetchRequest]) (*connect.Response[peerpb.FetchReply], error) {
 	d := p.daemon
 	if !d.follower.Seen() {
@@ -38,9 +40,9 @@
 	reply := &peerpb.FetchReply{Head: uint64(d.keeper.InForce().Revision)}
 	changes, ok := d.keeper.Since(ident.Revision(req.Msg.GetAfter()))
 	if !ok {
-		whole := d.keeper.Documents()
-		reply.SnapshotRevision = uint64(whole.Revision)
-		reply.Snapshot = admin.EncodeDocuments(whole.Documents)
+		snapshot := d.keeper.Documents()
+		reply.SnapshotRevision = uint64(snapshot.Revision)
+		reply.Snapshot = admin.EncodeDocuments(snapshot.Documents)
 		return connect.NewResponse(reply), nil
 	}
 	for _, c := range changes {
@@ -49,16 +51,16 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Rows is not offered: these routers read their configuration by revision.
+// Rows is not implemented: these routers fetch their configuration by revision.
 func (p *peerService) Rows(context.Context, *connect.Request[peerpb.RowsRequest]) (*connect.Response[peerpb.RowsReply], error) {
 	return nil, connect.NewError(connect.CodeUnimplemented, nil)
 }
 
-// fetcher fetches changes from other routers.
-type fetcher struct{ node *peer.Node }
+// configFetcher fetches configuration changes from other routers.
+type configFetcher struct{ node *peer.Node }
 
-// Fetch asks a router for the changes after a revision.
-func (f fetcher) Fetch(ctx context.Context, from ident.Router, after ident.Revision) (config.Fetched, error) {
+// Fetch requests the configuration changes after a revision from a router.
+func (f configFetcher) Fetch(ctx context.Context, from ident.Router, after ident.Revision) (config.Fetched, error) {
 	client, err := f.node.Client(from)
 	if err != nil {
 		return config.Fetched{}, err
--- a/internal/oper/daemon/pools.go
+++ b/internal/oper/daemon/pools.go
@@ -15,128 +15,133 @@
 	"valescale/internal/share/peer"
 )
 
-// wanted is what the configuration in force wants of the mesh. Callers are served by
-// it once its pools are there, so that a service is never in force without them.
-func (d *Daemon) wanted() mesh.Wanted {
-	force := d.keeper.InForce()
+// meshConfig returns the input of the mesh from the installed configuration. Callers are
+// served under that configuration only after its pools have been built, so that a service is
+// never in force without its pools.
+func (d *Daemon) meshConfig() mesh.Wanted {
+	inForce := d.keeper.InForce()
 	return mesh.Wanted{
-		Revision: force.Revision, Services: slices.Collect(maps.Values(force.Set.Services)), Reports: d.reports.version(),
+		Revision: inForce.Revision, Services: slices.Collect(maps.Values(inForce.Set.Services)), Reports: d.engineReports.version(),
 		Install: func() {
-			d.force.Store(&force)
-			d.acknowledge(force.Revision)
+			d.inForce.Store(&inForce)
+			d.acknowledgeRevision(inForce.Revision)
 		},
 	}
 }
 
-// capacity is what an engine's report and its service's document say of it.
+// capacity returns the capacity of a target from its latest report and the document of its
+// service.
 func (d *Daemon) capacity(service policy.Service, t peer.Target) mesh.Capacity {
-	report := d.reports.of(t.ID)
-	closed := report.silent() || slices.Contains(service.ClosedZones, t.Zone)
+	report := d.engineReports.get(t.ID)
+	closed := report.unresponsive() || slices.Contains(service.ClosedZones, t.Zone)
 	return mesh.Capacity{Slots: report.Slots, Closed: closed}
 }
 
-// acknowledge says that callers are served by a revision from now on.
-func (d *Daemon) acknowledge(revision ident.Revision) {
-	fresh := false
+// acknowledgeRevision publishes that callers are served under a revision from now on.
+func (d *Daemon) acknowledgeRevision(revision ident.Revision) {
+	advanced := false
 	d.node.Do(func(v *peer.View) {
-		fresh = v.RevisionOf(d.self.ID) < revision
+		advanced = v.RevisionOf(d.self.ID) < revision
 		v.SetRevision(revision)
 	})
-	if fresh {
+	if advanced {
 		_ = level.Info(d.logger).Log("msg", "configuration in force", "revision", revision)
 		go d.node.Tell(context.Background())
 	}
 }
 
-// silentAfter is how many reports in a row an engine may miss before it gets no new work.
-const silentAfter = 3
+// maxMissedReports is the number of consecutive missed reports after which an engine gets no
+// new work.
+const maxMissedReports = 3
 
-// report is what is known of one engine.
-type report struct {
+// engineReport is the latest report of one engine.
+type engineReport struct {
 	engine.Report
 	missed int
-	// exported is the incarnation whose chats have been copied elsewhere.
+	// exported is the incarnation whose chats have been exported to other engines.
 	exported ident.Incarnation
 }
 
-func (r report) silent() bool { return r.missed >= silentAfter }
+func (r engineReport) unresponsive() bool { return r.missed >= maxMissedReports }
 
-// reports keeps the latest report of each engine that this router is home of.
-type reports struct {
+// engineReports holds the latest report of each engine whose home this router is.
+type engineReports struct {
 	mu   sync.Mutex
-	byID map[ident.Target]report
-	// turns counts the reports that change what the engine may get.
-	turns uint64
+	byID map[ident.Target]engineReport
+	// changes counts the reports that changed the work an engine may get.
+	changes uint64
 }
 
-func newReports() *reports { return &reports{byID: map[ident.Target]report{}} }
+func newEngineReports() *engineReports { return &engineReports{byID: map[ident.Target]engineReport{}} }
 
-func (r *reports) of(id ident.Target) report {
+func (r *engineReports) get(id ident.Target) engineReport {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.byID[id]
 }
 
-// version grows with each report that changes what an engine may get.
-func (r *reports) version() uint64 {
+// version returns a number that grows with each change of the work an engine may get.
+func (r *engineReports) version() uint64 {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	return r.turns
+	return r.changes
 }
 
-// turn counts a change, if it is one.
-func (r *reports) turn(turned bool) bool {
-	if turned {
-		r.turns++
+// countChange increments the version if changed is set, and returns changed.
+func (r *engineReports) countChange(changed bool) bool {
+	if changed {
+		r.changes++
 	}
-	return turned
+	return changed
 }
 
-// missed notes that an engine did not report; turned is set when that silences it.
-func (r *reports) missed(id ident.Target) (turned bool) {
+// missed records that an engine did not report; changed is set if the engine becomes
+// unresponsive thereby.
+func (r *engineReports) missed(id ident.Target) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.byID[id]
-	known.missed++
-	r.byID[id] = known
-	return r.turn(known.missed == silentAfter)
+	latest := r.byID[id]
+	latest.missed++
+	r.byID[id] = latest
+	return r.countChange(latest.missed == maxMissedReports)
 }
 
-// watched forgets the missed reports of all engines but those that this router reads now. Whoever is home of
-// the others knows better: a silence that nobody looks at would never end here.
-func (r *reports) watched(now map[ident.Target]bool) (turned bool) {
+// resetUnread resets the missed reports of all engines except those that this router reads now.
+// The home of the other engines has newer reports, and without a reset they would stay
+// unresponsive on this router, which no longer reads their reports.
+func (r *engineReports) resetUnread(read map[ident.Target]bool) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for id, known := range r.byID {
-		if now[id] || known.missed == 0 {
+	for id, latest := range r.byID {
+		if read[id] || latest.missed == 0 {
 			continue
 		}
-		turned = r.turn(known.silent()) || turned
-		known.missed = 0
-		r.byID[id] = known
+		changed = r.countChange(latest.unresponsive()) || changed
+		latest.missed = 0
+		r.byID[id] = latest
 	}
-	return turned
+	return changed
 }
 
-// export reports whether an engine's present incarnation is still to be
-// exported, and notes that it is being done.
-func (r *reports) export(id ident.Target) bool {
+// startExport reports whether the chats of an engine's current incarnation are still to be
+// exported, and marks them as exported.
+func (r *engineReports) startExport(id ident.Target) bool {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.byID[id]
-	if known.exported == known.Incarnation {
+	latest := r.byID[id]
+	if latest.exported == latest.Incarnation {
 		return false
 	}
-	known.exported = known.Incarnation
-	r.byID[id] = known
+	latest.exported = latest.Incarnation
+	r.byID[id] = latest
 	return true
 }
 
-// got notes a report; turned is set when the engine had been silent or its slots changed.
-func (r *reports) got(id ident.Target, fresh engine.Report) (turned bool) {
+// record stores a report; changed is set if the engine was unresponsive or its slots changed.
+func (r *engineReports) record(id ident.Target, fresh engine.Report) (changed bool) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	known := r.byID[id]
-	r.byID[id] = report{Report: fresh, exported: known.exported}
-	return r.turn(known.silent() || known.Slots != fresh.Slots)
+	latest := r.byID[id]
+	r.byID[id] = engineReport{Report: fresh, exported: latest.exported}
+	return r.countChange(latest.unresponsive() || latest.Slots != fresh.Slots)
 }
--- a/internal/oper/daemon/probe.go
+++ b/internal/oper/daemon/probe.go
@@ -14,14 +14,14 @@
 	"valescale/internal/rule/policy"
 )
 
-// probeAtOnce bounds the reports read at the same time.
-const probeAtOnce = 8
+// maxConcurrentReports limits the reports read at the same time.
+const maxConcurrentReports = 8
 
-// probe reads the reports of the engines whose shards this router is home of.
-func (d *Daemon) probe(ctx context.Context) {
+// readReports reads the reports of the engines of whose shards this router is the home.
+func (d *Daemon) readReports(ctx context.Context) {
 	var wg sync.WaitGroup
-	gate := make(chan struct{}, probeAtOnce)
-	set, force := d.mesh.Set(), d.InForce()
+	semaphore := make(chan struct{}, maxConcurrentReports)
+	set, inForce := d.mesh.Set(), d.InForce()
 	read := map[ident.Target]bool{}
 	for _, p := range set.Pools {
 		if p.Region != d.self.Region || p.Service.Kind != policy.EngineTargets {
@@ -33,66 +33,67 @@
 				continue
 			}
 			read[e.ID] = true
-			gate <- struct{}{}
+			semaphore <- struct{}{}
 			wg.Go(func() {
-				defer func() { <-gate }()
-				d.readReport(ctx, id, route.TargetOf(e), force.Revision, p.Service)
+				defer func() { <-semaphore }()
+				d.readReport(ctx, id, route.TargetOf(e), inForce.Revision, p.Service)
 			})
 		}
 	}
 	wg.Wait()
-	if d.reports.watched(read) {
+	if d.engineReports.resetUnread(read) {
 		d.mesh.MarkDirty()
 	}
 }
 
-func (d *Daemon) readReport(ctx context.Context, id place.ShardID, t route.Target, wanted ident.Revision, service policy.Service) {
-	known := d.reports.of(t.ID)
-	since := known.Seq
-	if known.Incarnation != t.Incarnation {
+// readReport reads the report of one engine and acts on its content.
+func (d *Daemon) readReport(ctx context.Context, id place.ShardID, t route.Target, revision ident.Revision, service policy.Service) {
+	latest := d.engineReports.get(t.ID)
+	since := latest.Seq
+	if latest.Incarnation != t.Incarnation {
 		since = 0
 	}
 	fresh, err := d.engines.Report(ctx, t.Addr, since)
 	if err != nil {
-		if ctx.Err() == nil && d.reports.missed(t.ID) {
-			_ = level.Warn(d.logger).Log("msg", "engine does not report", "target", t.ID, "err", err)
+		if ctx.Err() == nil && d.engineReports.missed(t.ID) {
+			_ = level.Warn(d.logger).Log("msg", "engine did not answer report requests; it gets no new work", "target", t.ID, "err", err)
 			d.mesh.MarkDirty()
 		}
 		return
 	}
-	if d.reports.got(t.ID, fresh) {
+	if d.engineReports.record(t.ID, fresh) {
 		d.mesh.MarkDirty()
 	}
 	d.homes.Evicted(id, t.ID.Hash(), fresh.Evicted)
 	if fresh.Leaving {
 		d.MarkLeaving(t.ID, fresh.Incarnation)
-		d.export(ctx, id, t, wanted, service)
+		d.startExport(ctx, id, t, revision, service)
 	}
-	d.order(ctx, t, wanted, service, fresh)
+	d.sendModelOrder(ctx, t, revision, service, fresh)
 }
 
-// order tells an engine which model it is to have loaded. The order states the
-// wanted end and carries the revision that wants it, which only grows: an engine
-// that checks refuses an older one. To one that does not check, the home of its
-// shard sends the order again until the report matches, so that what a router with
-// an old configuration may have sent does not last.
-func (d *Daemon) order(ctx context.Context, t route.Target, wanted ident.Revision, service policy.Service, fresh engine.Report) {
+// sendModelOrder orders an engine to load the model of its service. The order contains the
+// desired state and the configuration revision that requires it. Revisions only grow, so an
+// engine that checks them rejects an older order. For an engine that does not, the home of its
+// shard repeats the order until the report matches, so that an order from a router with an
+// older configuration has no lasting effect.
+func (d *Daemon) sendModelOrder(ctx context.Context, t route.Target, revision ident.Revision, service policy.Service, fresh engine.Report) {
 	if service.Model == "" || fresh.Model == service.Model || fresh.Leaving {
 		return
 	}
-	epoch := ident.Epoch(wanted)
+	epoch := ident.Epoch(revision)
 	err := d.engines.Send(ctx, t.Addr, engine.Order{Kind: engine.LoadModel, Epoch: epoch, Model: service.Model})
 	if fault.KindOf[engine.Kind](err) == engine.Stale {
-		_ = level.Warn(d.logger).Log("msg", "engine knows a later revision", "target", t.ID, "revision", wanted)
+		_ = level.Warn(d.logger).Log("msg", "engine rejected model order: it has received a later revision", "target", t.ID, "revision", revision)
 		return
 	}
-	_ = level.Info(d.logger).Log("msg", "ordered model", "target", t.ID, "model", service.Model, "revision", wanted, "err", err)
+	_ = level.Info(d.logger).Log("msg", "model order sent", "target", t.ID, "model", service.Model, "revision", revision, "err", err)
 }
 
-// export has a leaving engine copy the cached prefixes of its chats to the other
-// engines of its shard, once an incarnation. Copying twice does no harm.
-func (d *Daemon) export(ctx context.Context, id place.ShardID, t route.Target, wanted ident.Revision, service policy.Service) {
-	if !service.Export || !d.reports.export(t.ID) {
+// startExport orders a leaving engine to copy the cached prefixes of its chats to the other
+// engines of its shard, once per incarnation. A repeated copy is harmless.
+func (d *Daemon) startExport(ctx context.Context, id place.ShardID, t route.Target, revision ident.Revision, service policy.Service) {
+	if !service.Export || !d.engineReports.startExport(t.ID) {
 		return
 	}
 	for _, e := range d.homes.PlanExport(id, t.ID.Hash()) {
@@ -100,12 +101,12 @@
 		if !ok {
 			continue
 		}
-		order := engine.Order{Kind: engine.ExportCache, Epoch: ident.Epoch(wanted), Keys: e.Keys, To: to.Addr}
+		order := engine.Order{Kind: engine.ExportCache, Epoch: ident.Epoch(revision), Keys: e.Keys, To: to.Addr}
 		if err := d.engines.Send(ctx, t.Addr, order); err != nil {
-			_ = level.Warn(d.logger).Log("msg", "export refused", "target", t.ID, "to", to.ID, "err", err)
+			_ = level.Warn(d.logger).Log("msg", "cache export order failed", "target", t.ID, "to", to.ID, "err", err)
 			continue
 		}
 		d.homes.Exported(id, e)
-		_ = level.Info(d.logger).Log("msg", "exported chats", "target", t.ID, "to", to.ID, "chats", len(e.Keys))
+		_ = level.Info(d.logger).Log("msg", "cache export order sent", "target", t.ID, "to", to.ID, "chats", len(e.Keys))
 	}
 }
--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -15,17 +15,17 @@
 )
 
 const (
-	// leaveRounds is how many times a leaving router tells its peers.
-	leaveRounds = 3
-	// guardEvery is how often requests that need not be held back any more are forgotten, a small part of
-	// the minutes for which they are.
-	guardEvery = 10 * time.Second
-	// copyPause is the pause between two tries to learn the configuration at the start.
-	copyPause = 200 * time.Millisecond
+	// leaveGossipRounds is how many gossip rounds announce that this router is leaving.
+	leaveGossipRounds = 3
+	// guardSweepInterval is the interval at which requests whose quarantine has expired are
+	// evicted. It is a small part of a quarantine, which lasts for minutes.
+	guardSweepInterval = 10 * time.Second
+	// configRetryInterval is the delay between two attempts to get the configuration at startup.
+	configRetryInterval = 200 * time.Millisecond
 )
 
-// Run serves until the context ends and then drains: the router says that it is
-// leaving, takes new requests for a while longer, and waits for those in flight.
+// Run serves until the context ends and then drains: the router announces that it is leaving,
+// accepts new requests during the drain delay, and waits for those in flight.
 func (d *Daemon) Run(ctx context.Context) error {
 	background, stop := context.WithCancel(context.Background())
 	defer stop()
@@ -43,16 +43,16 @@
 	operators := d.adminServer()
 	d.servers = []*http.Server{callers, peers, operators}
 	d.stopBackground = stop
-	serve(&wg, peers, d.meter.Listener(d.listeners.peers))
+	serve(&wg, peers, d.peerBytes.Listener(d.listeners.peers))
 	serve(&wg, operators, d.listeners.admin)
 	wg.Go(func() { d.node.Run(background) })
 	wg.Go(func() { d.guard.Run(background) })
-	wg.Go(func() { mesh.Every(background, guardEvery, func(context.Context) { d.guard.Sweep() }) })
+	wg.Go(func() { mesh.Every(background, guardSweepInterval, func(context.Context) { d.guard.Sweep() }) })
 	wg.Go(func() { d.follower.Run(background) })
 	wg.Go(func() { d.mesh.Run(background) })
-	wg.Go(func() { mesh.Every(background, d.settings.Pace.Report, d.probe) })
-	wg.Go(func() { mesh.Every(background, d.settings.Pace.Lease/leaseSteps, d.sweep) })
-	wg.Go(func() { d.becomeReady(background) })
+	wg.Go(func() { mesh.Every(background, d.settings.Pace.Report, d.readReports) })
+	wg.Go(func() { mesh.Every(background, d.settings.Pace.Lease/renewalsPerLease, d.sweepClaims) })
+	wg.Go(func() { d.waitUntilReady(background) })
 	serve(&wg, callers, d.listeners.callers)
 	_ = level.Info(d.logger).Log("msg", "listening", "callers", d.CallerAddr(), "peers", d.PeerAddr(), "admin", d.AdminAddr())
 	<-ctx.Done()
@@ -65,7 +65,7 @@
 	return nil
 }
 
-// serve runs a server until it is closed.
+// serve runs a server in the background until it is closed.
 func serve(wg *sync.WaitGroup, s *http.Server, l net.Listener) {
 	wg.Go(func() {
 		if s.TLSConfig != nil {
@@ -76,9 +76,10 @@
 	})
 }
 
-// becomeReady waits until the configuration is known: from the store, or, while
-// that is down, from a ready router that has heard of this one first.
-func (d *Daemon) becomeReady(ctx context.Context) {
+// waitUntilReady waits until the configuration is available and then sets the router ready.
+// The configuration comes from the store or, while the store is down, from a ready router;
+// the gossip before each attempt makes this router known to that one first.
+func (d *Daemon) waitUntilReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.node.Tell(ctx)
 		if !d.follower.Seen() {
@@ -90,26 +91,26 @@
 			_ = level.Info(d.logger).Log("msg", "ready", "revision", d.Revision())
 			return
 		}
-		pause.For(ctx, copyPause)
+		pause.For(ctx, configRetryInterval)
 	}
 }
 
-// leaseSteps is how often a lease is renewed in its time.
-const leaseSteps = 4
+// renewalsPerLease is the number of times that a lease is renewed within its duration.
+const renewalsPerLease = 4
 
-// sweep removes old claims while this router holds the lease for it. Two routers
-// that both believe to hold it do no harm: each row goes under its own condition.
-func (d *Daemon) sweep(ctx context.Context) {
-	_ = d.sweeping.Step(ctx)
-	if _, held := d.sweeping.Epoch(); !held {
+// sweepClaims removes old claims while this router holds the lease for it. Two routers that
+// sweep at the same time are harmless, since each row is removed by a conditional write.
+func (d *Daemon) sweepClaims(ctx context.Context) {
+	_ = d.sweepLease.Step(ctx)
+	if _, held := d.sweepLease.Epoch(); !held {
 		return
 	}
-	if n, err := d.sweeper.Step(ctx); n > 0 || err != nil {
-		_ = level.Info(d.logger).Log("msg", "swept claims", "removed", n, "err", err)
+	if removed, err := d.sweeper.Step(ctx); removed > 0 || err != nil {
+		_ = level.Info(d.logger).Log("msg", "old claims removed", "removed", removed, "err", err)
 	}
 }
 
-// copyConfig takes the configuration from the first ready router that answers.
+// copyConfig copies the configuration from the first ready router that answers.
 func (d *Daemon) copyConfig(ctx context.Context) {
 	var peers []peer.Member
 	d.node.Read(func(v *peer.View) { peers = v.Peers() })
@@ -120,7 +121,7 @@
 	}
 }
 
-// drain stops taking requests without cutting any off.
+// drain stops accepting requests without aborting those in flight.
 func (d *Daemon) drain(callers *http.Server) {
 	d.leaving.Store(true)
 	d.ready.Store(false)
@@ -128,16 +129,16 @@
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Limits.DrainDelay+d.settings.Limits.DrainTime)
 	defer cancel()
 	d.node.Do(func(v *peer.View) { v.Leave(d.clock()) })
-	for range leaveRounds {
+	for range leaveGossipRounds {
 		d.node.Tell(ctx)
 	}
 	d.mesh.Refresh(ctx)
 	pause.For(ctx, d.settings.Limits.DrainDelay)
 	if err := callers.Shutdown(ctx); err != nil {
-		_ = level.Error(d.logger).Log("msg", "stopped with requests in flight", "err", err)
+		_ = level.Error(d.logger).Log("msg", "drain timeout: stopped with requests in flight", "err", err)
 	}
 	d.mesh.Refresh(ctx)
-	d.stopClaim(ctx)
-	_ = d.sweeping.Release(ctx)
+	d.stopClaims(ctx)
+	_ = d.sweepLease.Release(ctx)
 	d.node.Tell(ctx)
 }
--- a/internal/oper/daemon/servers.go
+++ b/internal/oper/daemon/servers.go
@@ -13,58 +13,58 @@
 )
 
 const (
-	// headerTime bounds the sending of a request's header.
-	headerTime = 10 * time.Second
-	// idleTime is how long a caller's connection may stay without a request.
-	idleTime = 2 * time.Minute
+	// readHeaderTimeout limits the time in which a client sends a request's header.
+	readHeaderTimeout = 10 * time.Second
+	// idleTimeout is how long an idle connection of a caller is kept open.
+	idleTimeout = 2 * time.Minute
 )
 
-// callerServer serves callers.
+// callerServer returns the HTTP server for callers.
 func (d *Daemon) callerServer() (*http.Server, error) {
-	tls, err := serverConfig(d.settings.Callers, false)
+	tlsConfig, err := serverTLSConfig(d.settings.Callers, false)
 	if err != nil {
 		return nil, err
 	}
 	return &http.Server{
 		Handler:           d.front.Handler(),
-		TLSConfig:         tls,
-		ReadHeaderTimeout: headerTime,
-		IdleTimeout:       idleTime,
+		TLSConfig:         tlsConfig,
+		ReadHeaderTimeout: readHeaderTimeout,
+		IdleTimeout:       idleTimeout,
 		MaxHeaderBytes:    d.settings.Limits.Header,
 		ErrorLog:          telem.NewServerLog(d.logger),
 	}, nil
 }
 
-// peerServer answers other routers.
+// peerServer returns the HTTP server for other routers.
 func (d *Daemon) peerServer() (*http.Server, error) {
-	tls, err := serverConfig(d.settings.Peers, true)
+	tlsConfig, err := serverTLSConfig(d.settings.Peers, true)
 	if err != nil {
 		return nil, err
 	}
 	mux := http.NewServeMux()
-	mux.Handle(peerpb.NewPeerServiceHandler(&peerService{Server: home.NewServer(d.homes, callerOf), daemon: d},
-		connect.WithReadMaxBytes(maxPeerMessage)))
+	mux.Handle(peerpb.NewPeerServiceHandler(&peerService{Server: home.NewServer(d.homes, authenticatedPeer), daemon: d},
+		connect.WithReadMaxBytes(maxPeerMessageBytes)))
 	protocols := &http.Protocols{}
 	protocols.SetHTTP2(true)
 	protocols.SetUnencryptedHTTP2(true)
 	return &http.Server{
-		Handler: trimReply(checkPeer(tls != nil, mux)), TLSConfig: tls, ReadHeaderTimeout: headerTime,
+		Handler: omitDateHeader(authenticatePeer(tlsConfig != nil, mux)), TLSConfig: tlsConfig, ReadHeaderTimeout: readHeaderTimeout,
 		Protocols: protocols, ErrorLog: telem.NewServerLog(d.logger),
 	}, nil
 }
 
-// maxPeerMessage bounds a message of another router, in bytes.
-const maxPeerMessage = 16 << 20
+// maxPeerMessageBytes limits the size of a message from another router.
+const maxPeerMessageBytes = 16 << 20
 
-// trimReply leaves out answer headers that routers have no use for.
-func trimReply(next http.Handler) http.Handler {
+// omitDateHeader suppresses the Date header, which routers do not use, in responses to peers.
+func omitDateHeader(next http.Handler) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		w.Header()["Date"] = nil
 		next.ServeHTTP(w, r)
 	})
 }
 
-// adminServer serves operators and shows health and metrics.
+// adminServer returns the HTTP server for operators, health checks and metrics.
 func (d *Daemon) adminServer() *http.Server {
 	mux := http.NewServeMux()
 	mux.Handle(peerpb.NewAdminServiceHandler(d.admin, connect.WithInterceptors(d.admin.Authenticate())))
@@ -75,10 +75,10 @@
 		}
 	})
 	mux.Handle("GET /metrics", d.metrics.Handler())
-	config, err := serverConfig(d.settings.Admin, false)
+	tlsConfig, err := serverTLSConfig(d.settings.Admin, false)
 	if err != nil {
-		_ = level.Error(d.logger).Log("msg", "admin serves nothing", "err", err)
+		_ = level.Error(d.logger).Log("msg", "invalid TLS settings: admin API, health checks and metrics are disabled", "err", err)
 		return &http.Server{Handler: http.NotFoundHandler()}
 	}
-	return &http.Server{Handler: mux, TLSConfig: config, ReadHeaderTimeout: headerTime, ErrorLog: telem.NewServerLog(d.logger)}
+	return &http.Server{Handler: mux, TLSConfig: tlsConfig, ReadHeaderTimeout: readHeaderTimeout, ErrorLog: telem.NewServerLog(d.logger)}
 }
