--- a/internal/oper/admin/codec.go
+++ b/internal/oper/admin/codec.go
@@ -15,7 +15,7 @@
 	return out
 }
 
-// DecodeDocuments reads the wire form of documents.
+// DecodeDocuments returns documents from their wire form.
 func DecodeDocuments(in []*peerpb.Document) []policy.Document {
 	out := make([]policy.Document, 0, len(in))
 	for _, d := range in {
--- a/internal/oper/admin/doc.go
+++ b/internal/oper/admin/doc.go
@@ -1,4 +1,4 @@
-// Package admin is the operators' side of a router: it checks and records their
-// changes, shows what is in force and who made it so, and runs a candidate policy
-// beside the one in force.
+// Package admin implements the admin API of a router: it checks and records operators'
+// changes, shows the configuration in force and its audit log, and compares the decisions of
+// a candidate policy with those of the policy in force.
 package admin
--- a/internal/oper/admin/service.go
+++ b/internal/oper/admin/service.go
@@ -18,20 +18,22 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Views gives looks at what this router knows of the others.
+// Views gives access to the membership view of this router.
 type Views interface {
-	Read(look func(*peer.View))
+	// Read calls a function with the membership view.
+	Read(read func(*peer.View))
+	// Tell exchanges gossip digests with several peers at once.
 	Tell(ctx context.Context)
 }
 
-// Status is what a router says of itself.
+// Status is the state of this router as shown to operators.
 type Status struct {
 	Ready   bool
 	StoreUp bool
 	Engines []EngineStatus
 }
 
-// EngineStatus is one engine as its home counts it.
+// EngineStatus is the state of one engine, with the requests in flight as counted by its home.
 type EngineStatus struct {
 	ID       ident.Target
 	Pool     ident.Pool
@@ -40,7 +42,7 @@
 	InFlight int
 }
 
-// Parts are what the service works with.
+// Parts are the dependencies of the service.
 type Parts struct {
 	Self      ident.Router
 	Operators map[policy.TokenHash]string
@@ -54,20 +56,21 @@
 	Status    func() Status
 }
 
-// Service answers operators' commands.
+// Service implements the RPC service for operators' commands.
 type Service struct {
 	Parts
 	mu sync.Mutex
-	// asked is when routers were last asked for acknowledgements.
-	asked time.Time
+	// lastGather is the time of the latest gossip for acknowledgements.
+	lastGather time.Time
 }
 
-// New returns a service.
+// New returns a service with its dependencies.
 func New(parts Parts) *Service { return &Service{Parts: parts} }
 
 type operatorKey struct{}
 
-// Authenticate returns an interceptor that lets in known operators only.
+// Authenticate returns an interceptor that rejects requests without the bearer token of an
+// operator.
 func (s *Service) Authenticate() connect.UnaryInterceptorFunc {
 	return func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -86,13 +89,14 @@
 	return name
 }
 
-// Check compiles documents together with those in force.
+// Check compiles documents together with those in force and returns the problems found.
 func (s *Service) Check(_ context.Context, req *connect.Request[peerpb.CheckRequest]) (*connect.Response[peerpb.CheckReply], error) {
 	problems := s.Recorder.Check(DecodeDocuments(req.Msg.GetDocuments()))
 	return connect.NewResponse(&peerpb.CheckReply{Problems: encodeProblems(problems)}), nil
 }
 
-// Apply records a change and puts it in force here; the others follow.
+// Apply records a change, installs it on this router and gossips it to the other routers,
+// which then fetch it.
 func (s *Service) Apply(ctx context.Context, req *connect.Request[peerpb.ApplyRequest]) (*connect.Response[peerpb.ApplyReply], error) {
 	m := req.Msg
 	if m.GetChangeId() == "" || len(m.GetDocuments()) == 0 {
@@ -113,11 +117,12 @@
 		return connect.NewResponse(reply), nil
 	}
 	if err != nil {
-		return nil, asConnect(err)
+		return nil, toConnectError(err)
 	}
 	reply.Revision = uint64(out.Change.Revision)
 	if out.Change.Revision > 0 {
-		// Whether or not this poll reaches the store, the head that others hear of does it.
+		// If the poll does not reach the store either, the router fetches the change later, after
+		// it has received the new head by gossip.
 		if s.Keeper.Install([]config.Change{out.Change}) != nil {
 			_ = s.Follower.Poll(ctx)
 		}
@@ -126,8 +131,8 @@
 	return connect.NewResponse(reply), nil
 }
 
-// asConnect keeps what a failure means across the wire.
-func asConnect(err error) error {
+// toConnectError maps the kind of an error to the status code of the RPC.
+func toConnectError(err error) error {
 	code := connect.CodeInternal
 	switch fault.KindOf[config.Kind](err) {
 	case config.Unavailable:
@@ -142,15 +147,16 @@
 	return connect.NewError(code, err)
 }
 
-// askAround is the least time between two rounds of asking for acknowledgements.
-const askAround = 500 * time.Millisecond
+// minGatherInterval is the minimum time between two gossip rounds for acknowledgements.
+const minGatherInterval = 500 * time.Millisecond
 
-// gather asks some routers what they know, since somebody waits for acknowledgements.
+// gather runs a round of gossip with some routers to receive outstanding acknowledgements
+// sooner, at most once per minGatherInterval.
 func (s *Service) gather(ctx context.Context) {
 	s.mu.Lock()
-	due := s.Clock().Sub(s.asked) >= askAround
+	due := s.Clock().Sub(s.lastGather) >= minGatherInterval
 	if due {
-		s.asked = s.Clock()
+		s.lastGather = s.Clock()
 	}
 	s.mu.Unlock()
 	if due {
@@ -158,7 +164,7 @@
 	}
 }
 
-// Accepted tells whether a revision is in force on every router.
+// Accepted reports whether a revision is in force on every router.
 func (s *Service) Accepted(ctx context.Context, req *connect.Request[peerpb.AcceptedRequest]) (*connect.Response[peerpb.AcceptedReply], error) {
 	reply := &peerpb.AcceptedReply{}
 	revision := ident.Revision(req.Msg.GetRevision())
@@ -175,20 +181,20 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Show returns documents in force; empty kind and name mean all.
+// Show returns documents in force; an empty kind or name matches all.
 func (s *Service) Show(_ context.Context, req *connect.Request[peerpb.ShowRequest]) (*connect.Response[peerpb.ShowReply], error) {
-	now := s.Keeper.Documents()
-	var chosen []policy.Document
-	for _, d := range now.Documents {
+	current := s.Keeper.Documents()
+	var matching []policy.Document
+	for _, d := range current.Documents {
 		kind, name := req.Msg.GetKind(), req.Msg.GetName()
 		if (kind == "" || kind == string(d.ID.Kind)) && (name == "" || name == d.ID.Name) {
-			chosen = append(chosen, d)
+			matching = append(matching, d)
 		}
 	}
-	return connect.NewResponse(&peerpb.ShowReply{Revision: uint64(now.Revision), Documents: EncodeDocuments(chosen)}), nil
+	return connect.NewResponse(&peerpb.ShowReply{Revision: uint64(current.Revision), Documents: EncodeDocuments(matching)}), nil
 }
 
-// History returns recorded changes, the latest first.
+// History returns recorded changes, latest first.
 func (s *Service) History(ctx context.Context, req *connect.Request[peerpb.HistoryRequest]) (*connect.Response[peerpb.HistoryReply], error) {
 	limit := uint64(max(req.Msg.GetLimit(), 1))
 	before := req.Msg.GetBefore()
@@ -198,7 +204,7 @@
 	after := before - min(before, limit+1)
 	changes, err := s.Recorder.Changes(ctx, ident.Revision(after))
 	if err != nil {
-		return nil, asConnect(err)
+		return nil, toConnectError(err)
 	}
 	reply := &peerpb.HistoryReply{}
 	for i := len(changes) - 1; i >= 0; i-- {
@@ -209,11 +215,12 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Audit returns who changed what from what to what, the latest first.
+// Audit returns the audit log, latest first: who changed which document, and its text before
+// and after the change.
 func (s *Service) Audit(ctx context.Context, req *connect.Request[peerpb.AuditRequest]) (*connect.Response[peerpb.AuditReply], error) {
 	rows, err := s.Recorder.Audit(ctx, ident.Revision(req.Msg.GetBefore()), int(req.Msg.GetLimit()))
 	if err != nil {
-		return nil, asConnect(err)
+		return nil, toConnectError(err)
 	}
 	reply := &peerpb.AuditReply{}
 	for _, a := range rows {
@@ -225,11 +232,11 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Status tells how this router is and what it knows of the others.
+// Status returns the state of this router and the members of its membership view.
 func (s *Service) Status(context.Context, *connect.Request[peerpb.StatusRequest]) (*connect.Response[peerpb.StatusReply], error) {
-	now := s.Parts.Status()
+	status := s.Parts.Status()
 	reply := &peerpb.StatusReply{
-		Router: string(s.Self), Revision: uint64(s.Keeper.InForce().Revision), Ready: now.Ready, StoreUp: now.StoreUp,
+		Router: string(s.Self), Revision: uint64(s.Keeper.InForce().Revision), Ready: status.Ready, StoreUp: status.StoreUp,
 	}
 	s.Views.Read(func(v *peer.View) {
 		for _, m := range v.Members() {
@@ -238,7 +245,7 @@
 			})
 		}
 	})
-	for _, e := range now.Engines {
+	for _, e := range status.Engines {
 		reply.Engines = append(reply.Engines, &peerpb.EngineStatus{
 			Id: string(e.ID), Pool: string(e.Pool), Zone: string(e.Zone), State: e.State, InFlight: uint32(max(e.InFlight, 0)),
 		})
@@ -249,7 +256,7 @@
 	return connect.NewResponse(reply), nil
 }
 
-// Shadow starts, reads or stops the comparison of a candidate with what is in force.
+// Shadow starts, reads or stops the comparison of a candidate with the configuration in force.
 func (s *Service) Shadow(_ context.Context, req *connect.Request[peerpb.ShadowRequest]) (*connect.Response[peerpb.ShadowReply], error) {
 	if len(req.Msg.GetDocuments()) > 0 {
 		set, problems := s.Recorder.Candidate(DecodeDocuments(req.Msg.GetDocuments()))
@@ -267,7 +274,7 @@
 	}), nil
 }
 
-// Claim shows the claim on a key, or gives it back on the operator's word.
+// Claim returns the claim on a key, or releases it on behalf of the operator.
 func (s *Service) Claim(ctx context.Context, req *connect.Request[peerpb.ClaimRequest]) (*connect.Response[peerpb.ClaimReply], error) {
 	m := req.Msg
 	key := claim.Key{Workspace: ident.Workspace(m.GetWorkspace()), Name: m.GetKey()}
--- a/internal/oper/admin/shadow.go
+++ b/internal/oper/admin/shadow.go
@@ -7,11 +7,11 @@
 	"valescale/internal/rule/policy"
 )
 
-// maxExamples bounds the differing decisions that are kept to be shown.
+// maxExamples limits the differing decisions that are kept as examples.
 const maxExamples = 10
 
-// Shadow compares a candidate configuration's decisions with those in force. It
-// changes nothing and sends nothing.
+// Shadow compares the decisions of a candidate configuration with those of the configuration
+// in force. It affects no request.
 type Shadow struct {
 	mu        sync.Mutex
 	candidate *policy.Set
@@ -23,7 +23,7 @@
 // NewShadow returns a shadow without a candidate.
 func NewShadow() *Shadow { return &Shadow{} }
 
-// Start begins to compare a candidate; nil ends the comparison.
+// Start resets the counts and starts the comparison with a candidate; nil stops it.
 func (s *Shadow) Start(candidate *policy.Set) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -31,7 +31,8 @@
 	s.decisions, s.differing, s.examples = 0, 0, nil
 }
 
-// Compare runs the candidate on a request that was just decided.
+// Compare evaluates the candidate for a request and compares the result with the decision
+// made under the configuration in force.
 func (s *Shadow) Compare(w policy.Workspace, request *policy.Request, decision policy.Decision) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -39,31 +40,31 @@
 		return
 	}
 	s.decisions++
-	now, ok := s.candidate.Workspaces[w.Name]
+	workspace, ok := s.candidate.Workspaces[w.Name]
 	if !ok {
-		s.differ(fmt.Sprintf("%s %s: workspace %s is gone", request.Method, request.Path, w.Name))
+		s.recordDifference(fmt.Sprintf("%s %s: workspace %s is gone", request.Method, request.Path, w.Name))
 		return
 	}
-	if got := s.candidate.Decide(now, request); got != decision {
-		s.differ(fmt.Sprintf("%s %s of %s: %+v instead of %+v", request.Method, request.Path, w.Name, got, decision))
+	if got := s.candidate.Decide(workspace, request); got != decision {
+		s.recordDifference(fmt.Sprintf("%s %s of %s: %+v instead of %+v", request.Method, request.Path, w.Name, got, decision))
 	}
 }
 
-func (s *Shadow) differ(example string) {
+func (s *Shadow) recordDifference(example string) {
 	s.differing++
 	if len(s.examples) < maxExamples {
 		s.examples = append(s.examples, example)
 	}
 }
 
-// Counts is what a shadow has compared.
+// Counts are the results of a comparison.
 type Counts struct {
 	Decisions uint64
 	Differing uint64
 	Examples  []string
 }
 
-// Counts returns what was compared so far.
+// Counts returns the results of the comparison so far.
 func (s *Shadow) Counts() Counts {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/oper/admin/shadow_test.go
+++ b/internal/oper/admin/shadow_test.go
@@ -32,13 +32,13 @@
 	return set
 }
 
-func TestShadowCountsWhatDiffers(t *testing.T) {
-	now := compile(t, "5")
-	w := now.Workspaces["bogota"]
+func TestShadowCountsDifferingDecisions(t *testing.T) {
+	inForce := compile(t, "5")
+	w := inForce.Workspaces["bogota"]
 	s := admin.NewShadow()
 	decide := func(path string) {
 		r := &policy.Request{Method: "GET", Path: path}
-		s.Compare(w, r, now.Decide(w, r))
+		s.Compare(w, r, inForce.Decide(w, r))
 	}
 	decide("/before")
 	s.Start(compile(t, `request.path == "/slow" ? 1 : 5`))
@@ -48,25 +48,25 @@
 	decide("/slow")
 	got := s.Counts()
 	if got.Decisions != 4 || got.Differing != 1 || len(got.Examples) != 1 || !strings.Contains(got.Examples[0], "GET /slow of bogota") {
-		t.Errorf("got %+v, want 1 of 4 to differ, /slow", got)
+		t.Errorf("got %+v, want 1 of 4 decisions to differ, for /slow", got)
 	}
 	s.Start(nil)
 	decide("/after")
 	if got := s.Counts(); got.Decisions != 0 {
-		t.Errorf("%d decisions compared after the end", got.Decisions)
+		t.Errorf("%d decisions compared after the comparison was stopped, want 0", got.Decisions)
 	}
 }
 
-func TestShadowWithoutTheWorkspace(t *testing.T) {
-	now := compile(t, "5")
+func TestShadowCountsMissingWorkspaceAsDifference(t *testing.T) {
+	inForce := compile(t, "5")
 	candidate := compile(t, "5")
 	delete(candidate.Workspaces, "bogota")
 	s := admin.NewShadow()
 	s.Start(candidate)
-	w := now.Workspaces["bogota"]
+	w := inForce.Workspaces["bogota"]
 	r := &policy.Request{Method: "GET", Path: "/"}
-	s.Compare(w, r, now.Decide(w, r))
+	s.Compare(w, r, inForce.Decide(w, r))
 	if got := s.Counts(); got.Differing != 1 {
-		t.Errorf("got %+v, want 1 to differ", got)
+		t.Errorf("got %+v, want 1 differing decision", got)
 	}
 }
