--- a/internal/oper/admin/service.go
+++ b/internal/oper/admin/service.go
@@ -121,8 +121,8 @@
 	}
 	reply.Revision = uint64(out.Change.Revision)
 	if out.Change.Revision > 0 {
-		// If the poll does not reach the store either, the router fetches the change later, after
-		// it has received the new head by gossip.
+		// The result of the poll is ignored: whether or not it reaches the store, the gossiped
+		// head leads to the change.
 		if s.Keeper.Install([]config.Change{out.Change}) != nil {
 			_ = s.Follower.Poll(ctx)
 		}
--- a/internal/oper/daemon/probe.go
+++ b/internal/oper/daemon/probe.go
@@ -87,7 +87,7 @@
 		_ = level.Warn(d.logger).Log("msg", "engine rejected model order: it has received a later revision", "target", t.ID, "revision", revision)
 		return
 	}
-	_ = level.Info(d.logger).Log("msg", "model order sent", "target", t.ID, "model", service.Model, "revision", revision, "err", err)
+	_ = level.Info(d.logger).Log("msg", "ordered model", "target", t.ID, "model", service.Model, "revision", revision, "err", err)
 }
 
 // startExport orders a leaving engine to copy the cached prefixes of its chats to the other
