--- a/internal/oper/conf/doc.go
+++ b/internal/oper/conf/doc.go
@@ -1,4 +1,4 @@
-// Package conf reads a router's settings from an INI file and checks every one of
-// them at start. The list of options in options.go is also what the settings page
-// of the documentation is made from.
+// Package conf reads the settings of a router from an INI file and validates all of them
+// at startup. The settings page of the documentation is generated from the list of options
+// in options.go.
 package conf
--- a/internal/oper/conf/options.go
+++ b/internal/oper/conf/options.go
@@ -16,68 +16,68 @@
 	"valescale/internal/rule/policy"
 )
 
-// option is one setting: where it stands, what it is without being set, what it
-// means, and how it is read.
+// option is one setting: its section and key, its default, its description, and the function
+// that validates and stores its value.
 type option struct {
-	section  string
-	key      string
-	fallback string
-	required bool
-	doc      string
-	set      func(*Settings, string) error
+	section      string
+	key          string
+	defaultValue string
+	required     bool
+	description  string
+	set          func(*Settings, string) error
 }
 
 var options = []option{
-	{"router", "id", "", true, "this router's name, unlike that of any other box", text(func(s *Settings) *ident.Router { return &s.Router.ID })},
-	{"router", "zone", "", true, "the availability zone of this box", text(func(s *Settings) *ident.Zone { return &s.Router.Zone })},
-	{"router", "region", "", true, "the region of this box", text(func(s *Settings) *ident.Region { return &s.Router.Region })},
+	{"router", "id", "", true, "this router's name, unlike that of any other box", identifier(func(s *Settings) *ident.Router { return &s.Router.ID })},
+	{"router", "zone", "", true, "the availability zone of this box", identifier(func(s *Settings) *ident.Zone { return &s.Router.Zone })},
+	{"router", "region", "", true, "the region of this box", identifier(func(s *Settings) *ident.Region { return &s.Router.Region })},
 	{"router", "seeds", "", false, "addresses of other routers, by commas, to try while the list of boxes cannot be read", seeds},
 
 	{"callers", "addr", "0.0.0.0:8080", false, "where callers connect", addr(func(s *Settings) *string { return &s.Callers.Addr })},
 	{"callers", "cert", "", false, "certificate file; empty serves in clear text", file(func(s *Settings) *string { return &s.Callers.Cert })},
-	{"callers", "key", "", false, "key file of the certificate", secret(func(s *Settings) *string { return &s.Callers.Key })},
+	{"callers", "key", "", false, "key file of the certificate", keyFile(func(s *Settings) *string { return &s.Callers.Key })},
 	{"callers", "ca", "", false, "file of the authorities whose client certificates name workspaces", file(func(s *Settings) *string { return &s.Callers.CA })},
 
 	{"peers", "addr", "0.0.0.0:8081", false, "where other routers connect", addr(func(s *Settings) *string { return &s.Peers.Addr })},
-	{"peers", "advertise", "", false, "the address that other routers are told; empty is addr", addrOrNone(func(s *Settings) *string { return &s.Peers.Advertise })},
+	{"peers", "advertise", "", false, "the address that other routers are told; empty is addr", optionalAddr(func(s *Settings) *string { return &s.Peers.Advertise })},
 	{"peers", "cert", "", false, "certificate file; its common name must be the router's id; empty talks in clear text", file(func(s *Settings) *string { return &s.Peers.Cert })},
-	{"peers", "key", "", false, "key file of the certificate", secret(func(s *Settings) *string { return &s.Peers.Key })},
+	{"peers", "key", "", false, "key file of the certificate", keyFile(func(s *Settings) *string { return &s.Peers.Key })},
 	{"peers", "ca", "", false, "file of the authority that signs routers' certificates", file(func(s *Settings) *string { return &s.Peers.CA })},
 
 	{"admin", "addr", "127.0.0.1:8082", false, "where operators' commands, probes and metrics connect", addr(func(s *Settings) *string { return &s.Admin.Addr })},
 	{"admin", "cert", "", false, "certificate file; empty serves in clear text", file(func(s *Settings) *string { return &s.Admin.Cert })},
-	{"admin", "key", "", false, "key file of the certificate", secret(func(s *Settings) *string { return &s.Admin.Key })},
-
-	{"platform", "table", "", true, "base URL of the table service", base(func(s *Settings) *string { return &s.Platform.Table })},
-	{"platform", "object", "", true, "base URL of the object store", base(func(s *Settings) *string { return &s.Platform.Object })},
-	{"platform", "boxes", "", true, "base URL of the list of boxes", base(func(s *Settings) *string { return &s.Platform.Boxes })},
-	{"platform", "timeout", "2s", false, "how long one call to the platform may take", span(func(s *Settings) *time.Duration { return &s.Platform.Timeout }, time.Millisecond, time.Minute)},
-
-	{"limits", "body", "4194304", false, "largest request body, in bytes", whole(func(s *Settings) *int64 { return &s.Limits.Body }, 1, 1<<30)},
-	{"limits", "body_time", "30s", false, "how long a caller may take to send its body", span(func(s *Settings) *time.Duration { return &s.Limits.BodyTime }, time.Millisecond, time.Hour)},
-	{"limits", "header", "32768", false, "largest request header, in bytes", whole(func(s *Settings) *int { return &s.Limits.Header }, 1024, 1<<20)},
-	{"limits", "answer", "8388608", false, "largest whole answer of a target, in bytes", whole(func(s *Settings) *int64 { return &s.Limits.Answer }, 1, 1<<30)},
-	{"limits", "tries", "3", false, "how many attempts one request gets at most", whole(func(s *Settings) *int { return &s.Limits.Tries }, 1, 10)},
-	{"limits", "queue", "2000", false, "how many requests may wait for one shard of a pool", whole(func(s *Settings) *int { return &s.Limits.Queue }, 0, 1_000_000)},
-	{"limits", "queue_per_workspace", "500", false, "how many of them one workspace may have", whole(func(s *Settings) *int { return &s.Limits.PerWorkspace }, 0, 1_000_000)},
-	{"limits", "drain_delay", "3s", false, "how long a stopping router that is no longer ready still takes new requests", span(func(s *Settings) *time.Duration { return &s.Limits.DrainDelay }, 0, time.Hour)},
-	{"limits", "drain_time", "10m", false, "how long a stopping router waits for requests in flight", span(func(s *Settings) *time.Duration { return &s.Limits.DrainTime }, 0, 24*time.Hour)},
-
-	{"pace", "gossip", "1s", false, "time between two exchanges with other routers", span(func(s *Settings) *time.Duration { return &s.Pace.Gossip }, 10*time.Millisecond, time.Minute)},
-	{"pace", "list", "2s", false, "time between two readings of the list of boxes", span(func(s *Settings) *time.Duration { return &s.Pace.List }, 10*time.Millisecond, time.Minute)},
-	{"pace", "head", "5s", false, "time between two polls of the recorded configuration", span(func(s *Settings) *time.Duration { return &s.Pace.Head }, 10*time.Millisecond, time.Minute)},
-	{"pace", "report", "4s", false, "time between two reports of an engine to its home", span(func(s *Settings) *time.Duration { return &s.Pace.Report }, 10*time.Millisecond, time.Minute)},
-	{"pace", "lease", "10s", false, "how long a lease lasts without being renewed", span(func(s *Settings) *time.Duration { return &s.Pace.Lease }, 100*time.Millisecond, time.Hour)},
-	{"pace", "permit", "300ms", false, "how long a call to a home may take before the router decides alone", span(func(s *Settings) *time.Duration { return &s.Pace.Permit }, time.Millisecond, time.Minute)},
+	{"admin", "key", "", false, "key file of the certificate", keyFile(func(s *Settings) *string { return &s.Admin.Key })},
+
+	{"platform", "table", "", true, "base URL of the table service", baseURL(func(s *Settings) *string { return &s.Platform.Table })},
+	{"platform", "object", "", true, "base URL of the object store", baseURL(func(s *Settings) *string { return &s.Platform.Object })},
+	{"platform", "boxes", "", true, "base URL of the list of boxes", baseURL(func(s *Settings) *string { return &s.Platform.Boxes })},
+	{"platform", "timeout", "2s", false, "how long one call to the platform may take", duration(func(s *Settings) *time.Duration { return &s.Platform.Timeout }, time.Millisecond, time.Minute)},
+
+	{"limits", "body", "4194304", false, "largest request body, in bytes", integer(func(s *Settings) *int64 { return &s.Limits.Body }, 1, 1<<30)},
+	{"limits", "body_time", "30s", false, "how long a caller may take to send its body", duration(func(s *Settings) *time.Duration { return &s.Limits.BodyTime }, time.Millisecond, time.Hour)},
+	{"limits", "header", "32768", false, "largest request header, in bytes", integer(func(s *Settings) *int { return &s.Limits.Header }, 1024, 1<<20)},
+	{"limits", "answer", "8388608", false, "largest whole answer of a target, in bytes", integer(func(s *Settings) *int64 { return &s.Limits.Answer }, 1, 1<<30)},
+	{"limits", "tries", "3", false, "how many attempts one request gets at most", integer(func(s *Settings) *int { return &s.Limits.Tries }, 1, 10)},
+	{"limits", "queue", "2000", false, "how many requests may wait for one shard of a pool", integer(func(s *Settings) *int { return &s.Limits.Queue }, 0, 1_000_000)},
+	{"limits", "queue_per_workspace", "500", false, "how many of them one workspace may have", integer(func(s *Settings) *int { return &s.Limits.PerWorkspace }, 0, 1_000_000)},
+	{"limits", "drain_delay", "3s", false, "how long a stopping router that is no longer ready still takes new requests", duration(func(s *Settings) *time.Duration { return &s.Limits.DrainDelay }, 0, time.Hour)},
+	{"limits", "drain_time", "10m", false, "how long a stopping router waits for requests in flight", duration(func(s *Settings) *time.Duration { return &s.Limits.DrainTime }, 0, 24*time.Hour)},
+
+	{"pace", "gossip", "1s", false, "time between two exchanges with other routers", duration(func(s *Settings) *time.Duration { return &s.Pace.Gossip }, 10*time.Millisecond, time.Minute)},
+	{"pace", "list", "2s", false, "time between two readings of the list of boxes", duration(func(s *Settings) *time.Duration { return &s.Pace.List }, 10*time.Millisecond, time.Minute)},
+	{"pace", "head", "5s", false, "time between two polls of the recorded configuration", duration(func(s *Settings) *time.Duration { return &s.Pace.Head }, 10*time.Millisecond, time.Minute)},
+	{"pace", "report", "4s", false, "time between two reports of an engine to its home", duration(func(s *Settings) *time.Duration { return &s.Pace.Report }, 10*time.Millisecond, time.Minute)},
+	{"pace", "lease", "10s", false, "how long a lease lasts without being renewed", duration(func(s *Settings) *time.Duration { return &s.Pace.Lease }, 100*time.Millisecond, time.Hour)},
+	{"pace", "permit", "300ms", false, "how long a call to a home may take before the router decides alone", duration(func(s *Settings) *time.Duration { return &s.Pace.Permit }, time.Millisecond, time.Minute)},
 
 	{"keys", "resume", "", true, "keys that seal stream event ids, each 32 bytes in hexadecimal, by commas; the first seals, all open", resumeKeys},
-	{"log", "level", "info", false, "debug, info, warn or error", level},
+	{"log", "level", "info", false, "debug, info, warn or error", logLevel},
 }
 
-func text[T ~string](field func(*Settings) *T) func(*Settings, string) error {
+func identifier[T ~string](field func(*Settings) *T) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		if len(v) > 64 || strings.ContainsAny(v, " \t/") {
-			return errors.New("must be at most 64 characters without blanks or slashes")
+			return errors.New("must be at most 64 characters, without spaces, tabs or slashes")
 		}
 		*field(s) = T(v)
 		return nil
@@ -91,17 +91,17 @@
 			return errors.Errorf("%q is not IP:PORT", v)
 		}
 		if _, err := netip.ParseAddr(host); err != nil {
-			return errors.Errorf("%q is not an IP number", host)
+			return errors.Errorf("%q is not an IP address", host)
 		}
 		if _, err := strconv.ParseUint(port, 10, 16); err != nil {
-			return errors.Errorf("%q is not a port", port)
+			return errors.Errorf("%q is not a port number", port)
 		}
 		*field(s) = v
 		return nil
 	}
 }
 
-func addrOrNone(field func(*Settings) *string) func(*Settings, string) error {
+func optionalAddr(field func(*Settings) *string) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		if v == "" {
 			return nil
@@ -111,12 +111,12 @@
 }
 
 func seeds(s *Settings, v string) error {
-	for _, part := range parts(v) {
-		var one string
-		if err := addr(func(*Settings) *string { return &one })(s, part); err != nil {
+	for _, part := range splitList(v) {
+		var seed string
+		if err := addr(func(*Settings) *string { return &seed })(s, part); err != nil {
 			return err
 		}
-		s.Router.Seeds = append(s.Router.Seeds, one)
+		s.Router.Seeds = append(s.Router.Seeds, seed)
 	}
 	return nil
 }
@@ -133,8 +133,8 @@
 	}
 }
 
-// secret refuses key files that others on the box can read.
-func secret(field func(*Settings) *string) func(*Settings, string) error {
+// keyFile rejects key files that other users on the box can read.
+func keyFile(field func(*Settings) *string) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		if v == "" {
 			return nil
@@ -144,14 +144,14 @@
 			return errors.Errorf("cannot read the file: %v", err)
 		}
 		if info.Mode().Perm()&0o077 != 0 {
-			return errors.Errorf("the key file has mode %04o; others must not read it", info.Mode().Perm())
+			return errors.Errorf("the key file has mode %04o; group and others must have no access", info.Mode().Perm())
 		}
 		*field(s) = v
 		return nil
 	}
 }
 
-func base(field func(*Settings) *string) func(*Settings, string) error {
+func baseURL(field func(*Settings) *string) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		u, err := url.Parse(v)
 		if err != nil || (u.Scheme != "http" && u.Scheme != "https") || u.Host == "" {
@@ -162,42 +162,42 @@
 	}
 }
 
-func span(field func(*Settings) *time.Duration, low, high time.Duration) func(*Settings, string) error {
+func duration(field func(*Settings) *time.Duration, low, high time.Duration) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		d, err := time.ParseDuration(v)
 		if err != nil || d < low || d > high {
-			return errors.Errorf("%q is not a time from %s to %s, such as 30s", v, low, high)
+			return errors.Errorf("%q is not a duration from %s to %s, such as 30s", v, low, high)
 		}
 		*field(s) = d
 		return nil
 	}
 }
 
-func whole[T int | int64](field func(*Settings) *T, low, high T) func(*Settings, string) error {
+func integer[T int | int64](field func(*Settings) *T, low, high T) func(*Settings, string) error {
 	return func(s *Settings, v string) error {
 		n, err := strconv.ParseInt(v, 10, 64)
 		if err != nil || T(n) < low || T(n) > high {
-			return errors.Errorf("%q is not a whole number from %d to %d", v, low, high)
+			return errors.Errorf("%q is not an integer from %d to %d", v, low, high)
 		}
 		*field(s) = T(n)
 		return nil
 	}
 }
 
-const resumeKeySize = 32
+const resumeKeyBytes = 32
 
 func resumeKeys(s *Settings, v string) error {
-	for _, part := range parts(v) {
+	for _, part := range splitList(v) {
 		key, err := hex.DecodeString(part)
-		if err != nil || len(key) != resumeKeySize {
-			return errors.Errorf("a key is not %d bytes in hexadecimal", resumeKeySize)
+		if err != nil || len(key) != resumeKeyBytes {
+			return errors.Errorf("each key must be %d bytes in hexadecimal", resumeKeyBytes)
 		}
 		s.ResumeKeys = append(s.ResumeKeys, key)
 	}
 	return nil
 }
 
-func level(s *Settings, v string) error {
+func logLevel(s *Settings, v string) error {
 	switch v {
 	case "debug", "info", "warn", "error":
 		s.LogLevel = v
@@ -211,12 +211,12 @@
 	var hash policy.TokenHash
 	raw, err := hex.DecodeString(v)
 	if err != nil || len(raw) != len(hash) {
-		return hash, errors.New("not the SHA-256 of a token in hexadecimal")
+		return hash, errors.New("must be the SHA-256 of a token in hexadecimal")
 	}
 	return policy.TokenHash(raw), nil
 }
 
-func parts(v string) []string {
+func splitList(v string) []string {
 	var out []string
 	for _, part := range strings.Split(v, ",") {
 		if part = strings.TrimSpace(part); part != "" {
@@ -226,7 +226,7 @@
 	return out
 }
 
-// Help returns the settings page: every option with its default and meaning.
+// Help returns the settings page: every option with its default and description.
 func Help() string {
 	var out strings.Builder
 	section := ""
@@ -235,14 +235,14 @@
 			section = o.section
 			out.WriteString("\n## [" + section + "]\n\n| key | default | meaning |\n| --- | --- | --- |\n")
 		}
-		fallback := "`" + o.fallback + "`"
-		if o.fallback == "" {
-			fallback = "none"
+		defaultValue := "`" + o.defaultValue + "`"
+		if o.defaultValue == "" {
+			defaultValue = "none"
 		}
 		if o.required {
-			fallback = "must be set"
+			defaultValue = "must be set"
 		}
-		out.WriteString("| `" + o.key + "` | " + fallback + " | " + o.doc + " |\n")
+		out.WriteString("| `" + o.key + "` | " + defaultValue + " | " + o.description + " |\n")
 	}
 	out.WriteString("\n## [operators]\n\nOne line an operator: the name, and the SHA-256 of the token in hexadecimal.\n")
 	return out.String()
--- a/internal/oper/conf/settings.go
+++ b/internal/oper/conf/settings.go
@@ -15,20 +15,20 @@
 	"valescale/internal/rule/policy"
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 const (
-	// Unreadable means that the file cannot be read as INI.
+	// Unreadable is the kind of a file that cannot be read as INI.
 	Unreadable Kind = "unreadable"
-	// Invalid means that at least one setting is wrong.
+	// Invalid is the kind of a file with at least one invalid setting.
 	Invalid Kind = "invalid"
 )
 
-// Error is this package's error type.
+// Error is the error type of this package.
 type Error = fault.Error[Kind]
 
-// Settings are what a router needs to start.
+// Settings are the settings of a router.
 type Settings struct {
 	Router   Router
 	Callers  Listener
@@ -37,34 +37,34 @@
 	Platform Platform
 	Limits   Limits
 	Pace     Pace
-	// ResumeKeys seal the ids of stream events; the first seals, all open.
+	// ResumeKeys seal the ids of stream events; the first key seals, and all keys can open.
 	ResumeKeys relay.Keys
-	// Operators are the hashes of operators' tokens with their names.
+	// Operators maps the hashes of operators' tokens to their names.
 	Operators map[policy.TokenHash]string
 	LogLevel  string
 }
 
-// Router says which box this is.
+// Router identifies this router and its box.
 type Router struct {
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
-	// Seeds are addresses of other routers to try while none is known.
+	// Seeds are addresses of other routers to try while the membership view has none.
 	Seeds []string
 }
 
-// Listener is an address with its keys.
+// Listener is the address and the TLS files of a listener.
 type Listener struct {
 	Addr string
-	// Advertise is the address that other boxes are told, if not Addr.
+	// Advertise is the address published to other boxes, if it is not Addr.
 	Advertise string
 	Cert      string
 	Key       string
-	// CA signs the certificates that the other side must show; empty asks for none.
+	// CA signs the certificates that clients present; if it is empty, none is requested.
 	CA string
 }
 
-// Platform says where the platform's services are.
+// Platform holds the base URLs of the platform's services and the timeout of their calls.
 type Platform struct {
 	Table   string
 	Object  string
@@ -72,7 +72,7 @@
 	Timeout time.Duration
 }
 
-// Limits bound what callers can ask of a router.
+// Limits bound the resources that requests of callers can use.
 type Limits struct {
 	Body         int64
 	BodyTime     time.Duration
@@ -85,18 +85,18 @@
 	DrainTime    time.Duration
 }
 
-// Pace is how often a router does what nobody asked for.
+// Pace holds the intervals of periodic tasks and the timeouts of leases and permit requests.
 type Pace struct {
 	Gossip time.Duration
 	List   time.Duration
 	Head   time.Duration
 	Report time.Duration
 	Lease  time.Duration
-	// Permit bounds a call to a home, waiting not counted.
+	// Permit limits the time of a call to a home, without the time in its queue.
 	Permit time.Duration
 }
 
-// Load reads and checks a file; every mistake is named with its line.
+// Load reads and validates a file. The error lists every invalid setting with its line.
 func Load(path string) (Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -105,32 +105,32 @@
 	return Parse(path, data)
 }
 
-// Parse reads and checks settings from a file's text.
+// Parse reads and validates settings from the text of a file.
 func Parse(source string, data []byte) (Settings, error) {
 	const op = "conf.Parse"
 	file, err := ini.LoadSources(ini.LoadOptions{AllowShadows: true, IgnoreInlineComment: false}, data)
 	if err != nil {
 		return Settings{}, fault.Newf(op, Unreadable, "%s: %v", source, err)
 	}
-	lines := locate(data)
-	var mistakes []string
-	note := func(section, key string, err error) {
-		mistakes = append(mistakes, fmt.Sprintf("%s:%d: [%s] %s: %v", source, lines.of(section, key), section, key, err))
+	lines := indexLines(data)
+	var invalid []string
+	report := func(section, key string, err error) {
+		invalid = append(invalid, fmt.Sprintf("%s:%d: [%s] %s: %v", source, lines.of(section, key), section, key, err))
 	}
 	s := Settings{Operators: map[policy.TokenHash]string{}}
 	known := map[string]bool{}
 	for _, o := range options {
 		known[o.section+"/"+o.key] = true
-		value := o.fallback
+		value := o.defaultValue
 		if file.Section(o.section).HasKey(o.key) {
 			value = file.Section(o.section).Key(o.key).String()
 		}
 		if value == "" && o.required {
-			note(o.section, o.key, errors.New("is missing"))
+			report(o.section, o.key, errors.New("required setting is missing"))
 			continue
 		}
 		if err := o.set(&s, value); err != nil {
-			note(o.section, o.key, err)
+			report(o.section, o.key, err)
 		}
 	}
 	for _, section := range file.Sections() {
@@ -138,23 +138,23 @@
 			switch {
 			case section.Name() == operatorsSection:
 				if err := s.addOperator(key.Name(), key.String()); err != nil {
-					note(section.Name(), key.Name(), err)
+					report(section.Name(), key.Name(), err)
 				}
 			case !known[section.Name()+"/"+key.Name()]:
-				note(section.Name(), key.Name(), errors.New("no such setting"))
+				report(section.Name(), key.Name(), errors.New("unknown setting"))
 			}
 		}
 	}
 	for _, problem := range s.check() {
-		note(problem.section, problem.key, problem.err)
+		report(problem.section, problem.key, problem.err)
 	}
-	if len(mistakes) > 0 {
-		return Settings{}, fault.New(op, Invalid, errors.New(strings.Join(mistakes, "\n")))
+	if len(invalid) > 0 {
+		return Settings{}, fault.New(op, Invalid, errors.New(strings.Join(invalid, "\n")))
 	}
 	return s, nil
 }
 
-// operatorsSection maps operators' names to the hashes of their tokens.
+// operatorsSection is the section that maps operators' names to the hashes of their tokens.
 const operatorsSection = "operators"
 
 func (s *Settings) addOperator(name, value string) error {
@@ -163,7 +163,7 @@
 		return err
 	}
 	if other, taken := s.Operators[hash]; taken {
-		return errors.Errorf("the token is also of %s", other)
+		return errors.Errorf("the token is already assigned to operator %s", other)
 	}
 	s.Operators[hash] = name
 	return nil
@@ -175,31 +175,31 @@
 	err     error
 }
 
-// check finds settings that do not go together.
+// check returns the conflicts between settings.
 func (s *Settings) check() []problem {
 	var out []problem
 	listeners := []struct {
 		section string
 		l       Listener
 	}{{"callers", s.Callers}, {"peers", s.Peers}, {"admin", s.Admin}}
-	for _, at := range listeners {
-		if (at.l.Cert == "") != (at.l.Key == "") {
-			out = append(out, problem{at.section, "cert", errors.New("cert and key must both be set or both not")})
+	for _, listener := range listeners {
+		if (listener.l.Cert == "") != (listener.l.Key == "") {
+			out = append(out, problem{listener.section, "cert", errors.New("cert and key must be set together")})
 		}
-		if at.l.CA != "" && at.l.Cert == "" {
-			out = append(out, problem{at.section, "ca", errors.New("needs cert and key")})
+		if listener.l.CA != "" && listener.l.Cert == "" {
+			out = append(out, problem{listener.section, "ca", errors.New("requires cert and key")})
 		}
 	}
 	if s.Peers.Cert != "" && s.Peers.CA == "" {
-		out = append(out, problem{"peers", "ca", errors.New("routers with certificates must check each other's")})
+		out = append(out, problem{"peers", "ca", errors.New("required with cert: routers verify each other's certificates")})
 	}
 	return out
 }
 
-// lineIndex finds the line of a key in a file.
+// lineIndex maps "section/key", and "section/" for a section itself, to a line number.
 type lineIndex map[string]int
 
-// of returns the line of a key, or of its section, or the first.
+// of returns the line of a key, else the line of its section, else 1.
 func (l lineIndex) of(section, key string) int {
 	if n, ok := l[section+"/"+key]; ok {
 		return n
@@ -207,7 +207,8 @@
 	return max(l[section+"/"], 1)
 }
 
-func locate(data []byte) lineIndex {
+// indexLines returns the line numbers of the sections and keys of a file.
+func indexLines(data []byte) lineIndex {
 	index := lineIndex{}
 	section := ini.DefaultSection
 	for i, line := range strings.Split(string(data), "\n") {
@@ -224,13 +225,13 @@
 	return index
 }
 
-// Default returns the settings of a file that sets nothing; what must be set is empty.
+// Default returns the default settings; required settings are empty.
 func Default() Settings {
 	s := Settings{Operators: map[policy.TokenHash]string{}}
 	for _, o := range options {
-		if o.fallback != "" {
-			// The defaults are checked by a test.
-			_ = o.set(&s, o.fallback)
+		if o.defaultValue != "" {
+			// A test checks that all defaults are valid, so the error is ignored.
+			_ = o.set(&s, o.defaultValue)
 		}
 	}
 	return s
