--- a/internal/oper/admin/service.go
+++ b/internal/oper/admin/service.go
@@ -18,8 +18,8 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Views gives access to the membership view of this router.
-type Views interface {
+// Membership gives access to the membership view of this router.
+type Membership interface {
 	// Read calls a function with the membership view.
 	Read(read func(*peer.View))
 	// Tell exchanges gossip digests with several peers at once.
@@ -44,16 +44,16 @@
 
 // Parts are the dependencies of the service.
 type Parts struct {
-	Self      ident.Router
-	Operators map[policy.TokenHash]string
-	Keeper    *config.Keeper
-	Recorder  *config.Recorder
-	Follower  *config.Follower
-	Views     Views
-	Shadow    *Shadow
-	Claims    claim.Store
-	Clock     ident.Clock
-	Status    func() Status
+	Self       ident.Router
+	Operators  map[policy.TokenHash]string
+	Keeper     *config.Keeper
+	Recorder   *config.Recorder
+	Follower   *config.Follower
+	Membership Membership
+	Shadow     *Shadow
+	Claims     claim.Store
+	Clock      ident.Clock
+	Status     func() Status
 }
 
 // Service implements the RPC service for operators' commands.
@@ -126,7 +126,7 @@
 		if s.Keeper.Install([]config.Change{out.Change}) != nil {
 			_ = s.Follower.Poll(ctx)
 		}
-		s.Views.Tell(ctx)
+		s.Membership.Tell(ctx)
 	}
 	return connect.NewResponse(reply), nil
 }
@@ -160,7 +160,7 @@
 	}
 	s.mu.Unlock()
 	if due {
-		s.Views.Tell(ctx)
+		s.Membership.Tell(ctx)
 	}
 }
 
@@ -168,7 +168,7 @@
 func (s *Service) Accepted(ctx context.Context, req *connect.Request[peerpb.AcceptedRequest]) (*connect.Response[peerpb.AcceptedReply], error) {
 	reply := &peerpb.AcceptedReply{}
 	revision := ident.Revision(req.Msg.GetRevision())
-	s.Views.Read(func(v *peer.View) {
+	s.Membership.Read(func(v *peer.View) {
 		for _, id := range v.Outstanding(revision) {
 			reply.Outstanding = append(reply.Outstanding, string(id))
 		}
@@ -238,7 +238,7 @@
 	reply := &peerpb.StatusReply{
 		Router: string(s.Self), Revision: uint64(s.Keeper.InForce().Revision), Ready: status.Ready, StoreUp: status.StoreUp,
 	}
-	s.Views.Read(func(v *peer.View) {
+	s.Membership.Read(func(v *peer.View) {
 		for _, m := range v.Members() {
 			reply.Members = append(reply.Members, &peerpb.MemberStatus{
 				Member: peer.EncodeMember(m), Revision: uint64(v.RevisionOf(m.ID)),
--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -124,7 +124,7 @@
 	}, frontLimits)
 	d.admin = admin.New(admin.Parts{
 		Self: s.Router.ID, Operators: s.Operators, Keeper: d.keeper, Recorder: d.recorder, Follower: d.follower,
-		Views: d.node, Shadow: shadow, Claims: d.table, Clock: d.clock, Status: d.status,
+		Membership: d.node, Shadow: shadow, Claims: d.table, Clock: d.clock, Status: d.status,
 	})
 	return nil
 }
