--- a/internal/oper/conf/options.go
+++ b/internal/oper/conf/options.go
@@ -28,49 +28,49 @@
 }
 
 var options = []option{
-	{"router", "id", "", true, "this router's name, unlike that of any other box", identifier(func(s *Settings) *ident.Router { return &s.Router.ID })},
+	{"router", "id", "", true, "the id of this router, unique in the fleet", identifier(func(s *Settings) *ident.Router { return &s.Router.ID })},
 	{"router", "zone", "", true, "the availability zone of this box", identifier(func(s *Settings) *ident.Zone { return &s.Router.Zone })},
 	{"router", "region", "", true, "the region of this box", identifier(func(s *Settings) *ident.Region { return &s.Router.Region })},
-	{"router", "seeds", "", false, "addresses of other routers, by commas, to try while the list of boxes cannot be read", seeds},
+	{"router", "seeds", "", false, "comma-separated addresses of other routers, used while the list of boxes cannot be read", seeds},
 
-	{"callers", "addr", "0.0.0.0:8080", false, "where callers connect", addr(func(s *Settings) *string { return &s.Callers.Addr })},
+	{"callers", "addr", "0.0.0.0:8080", false, "listen address for callers", addr(func(s *Settings) *string { return &s.Callers.Addr })},
 	{"callers", "cert", "", false, "certificate file; empty serves in clear text", file(func(s *Settings) *string { return &s.Callers.Cert })},
 	{"callers", "key", "", false, "key file of the certificate", keyFile(func(s *Settings) *string { return &s.Callers.Key })},
-	{"callers", "ca", "", false, "file of the authorities whose client certificates name workspaces", file(func(s *Settings) *string { return &s.Callers.CA })},
+	{"callers", "ca", "", false, "file of the certificate authorities for client certificates that identify workspaces", file(func(s *Settings) *string { return &s.Callers.CA })},
 
-	{"peers", "addr", "0.0.0.0:8081", false, "where other routers connect", addr(func(s *Settings) *string { return &s.Peers.Addr })},
-	{"peers", "advertise", "", false, "the address that other routers are told; empty is addr", optionalAddr(func(s *Settings) *string { return &s.Peers.Advertise })},
-	{"peers", "cert", "", false, "certificate file; its common name must be the router's id; empty talks in clear text", file(func(s *Settings) *string { return &s.Peers.Cert })},
+	{"peers", "addr", "0.0.0.0:8081", false, "listen address for other routers", addr(func(s *Settings) *string { return &s.Peers.Addr })},
+	{"peers", "advertise", "", false, "the address published to other routers; empty uses addr", optionalAddr(func(s *Settings) *string { return &s.Peers.Advertise })},
+	{"peers", "cert", "", false, "certificate file; its common name must be the router's id; empty uses clear text", file(func(s *Settings) *string { return &s.Peers.Cert })},
 	{"peers", "key", "", false, "key file of the certificate", keyFile(func(s *Settings) *string { return &s.Peers.Key })},
-	{"peers", "ca", "", false, "file of the authority that signs routers' certificates", file(func(s *Settings) *string { return &s.Peers.CA })},
+	{"peers", "ca", "", false, "file of the certificate authority that signs the routers' certificates", file(func(s *Settings) *string { return &s.Peers.CA })},
 
-	{"admin", "addr", "127.0.0.1:8082", false, "where operators' commands, probes and metrics connect", addr(func(s *Settings) *string { return &s.Admin.Addr })},
+	{"admin", "addr", "127.0.0.1:8082", false, "listen address for operators' commands, health checks and metrics", addr(func(s *Settings) *string { return &s.Admin.Addr })},
 	{"admin", "cert", "", false, "certificate file; empty serves in clear text", file(func(s *Settings) *string { return &s.Admin.Cert })},
 	{"admin", "key", "", false, "key file of the certificate", keyFile(func(s *Settings) *string { return &s.Admin.Key })},
 
 	{"platform", "table", "", true, "base URL of the table service", baseURL(func(s *Settings) *string { return &s.Platform.Table })},
 	{"platform", "object", "", true, "base URL of the object store", baseURL(func(s *Settings) *string { return &s.Platform.Object })},
 	{"platform", "boxes", "", true, "base URL of the list of boxes", baseURL(func(s *Settings) *string { return &s.Platform.Boxes })},
-	{"platform", "timeout", "2s", false, "how long one call to the platform may take", duration(func(s *Settings) *time.Duration { return &s.Platform.Timeout }, time.Millisecond, time.Minute)},
-
-	{"limits", "body", "4194304", false, "largest request body, in bytes", integer(func(s *Settings) *int64 { return &s.Limits.Body }, 1, 1<<30)},
-	{"limits", "body_time", "30s", false, "how long a caller may take to send its body", duration(func(s *Settings) *time.Duration { return &s.Limits.BodyTime }, time.Millisecond, time.Hour)},
-	{"limits", "header", "32768", false, "largest request header, in bytes", integer(func(s *Settings) *int { return &s.Limits.Header }, 1024, 1<<20)},
-	{"limits", "answer", "8388608", false, "largest whole answer of a target, in bytes", integer(func(s *Settings) *int64 { return &s.Limits.Answer }, 1, 1<<30)},
-	{"limits", "tries", "3", false, "how many attempts one request gets at most", integer(func(s *Settings) *int { return &s.Limits.Tries }, 1, 10)},
-	{"limits", "queue", "2000", false, "how many requests may wait for one shard of a pool", integer(func(s *Settings) *int { return &s.Limits.Queue }, 0, 1_000_000)},
-	{"limits", "queue_per_workspace", "500", false, "how many of them one workspace may have", integer(func(s *Settings) *int { return &s.Limits.PerWorkspace }, 0, 1_000_000)},
-	{"limits", "drain_delay", "3s", false, "how long a stopping router that is no longer ready still takes new requests", duration(func(s *Settings) *time.Duration { return &s.Limits.DrainDelay }, 0, time.Hour)},
-	{"limits", "drain_time", "10m", false, "how long a stopping router waits for requests in flight", duration(func(s *Settings) *time.Duration { return &s.Limits.DrainTime }, 0, 24*time.Hour)},
-
-	{"pace", "gossip", "1s", false, "time between two exchanges with other routers", duration(func(s *Settings) *time.Duration { return &s.Pace.Gossip }, 10*time.Millisecond, time.Minute)},
-	{"pace", "list", "2s", false, "time between two readings of the list of boxes", duration(func(s *Settings) *time.Duration { return &s.Pace.List }, 10*time.Millisecond, time.Minute)},
-	{"pace", "head", "5s", false, "time between two polls of the recorded configuration", duration(func(s *Settings) *time.Duration { return &s.Pace.Head }, 10*time.Millisecond, time.Minute)},
-	{"pace", "report", "4s", false, "time between two reports of an engine to its home", duration(func(s *Settings) *time.Duration { return &s.Pace.Report }, 10*time.Millisecond, time.Minute)},
-	{"pace", "lease", "10s", false, "how long a lease lasts without being renewed", duration(func(s *Settings) *time.Duration { return &s.Pace.Lease }, 100*time.Millisecond, time.Hour)},
-	{"pace", "permit", "300ms", false, "how long a call to a home may take before the router decides alone", duration(func(s *Settings) *time.Duration { return &s.Pace.Permit }, time.Millisecond, time.Minute)},
-
-	{"keys", "resume", "", true, "keys that seal stream event ids, each 32 bytes in hexadecimal, by commas; the first seals, all open", resumeKeys},
+	{"platform", "timeout", "2s", false, "timeout of one call to the platform", duration(func(s *Settings) *time.Duration { return &s.Platform.Timeout }, time.Millisecond, time.Minute)},
+
+	{"limits", "body", "4194304", false, "maximum size of a request body, in bytes", integer(func(s *Settings) *int64 { return &s.Limits.Body }, 1, 1<<30)},
+	{"limits", "body_time", "30s", false, "timeout for receiving a request body", duration(func(s *Settings) *time.Duration { return &s.Limits.BodyTime }, time.Millisecond, time.Hour)},
+	{"limits", "header", "32768", false, "maximum size of a request header, in bytes", integer(func(s *Settings) *int { return &s.Limits.Header }, 1024, 1<<20)},
+	{"limits", "answer", "8388608", false, "maximum size of a target's buffered response, in bytes", integer(func(s *Settings) *int64 { return &s.Limits.Answer }, 1, 1<<30)},
+	{"limits", "tries", "3", false, "maximum number of attempts per request", integer(func(s *Settings) *int { return &s.Limits.Tries }, 1, 10)},
+	{"limits", "queue", "2000", false, "maximum number of requests that wait for one shard of a pool", integer(func(s *Settings) *int { return &s.Limits.Queue }, 0, 1_000_000)},
+	{"limits", "queue_per_workspace", "500", false, "maximum number of these requests per workspace", integer(func(s *Settings) *int { return &s.Limits.PerWorkspace }, 0, 1_000_000)},
+	{"limits", "drain_delay", "3s", false, "how long a draining router that is no longer ready still accepts new requests", duration(func(s *Settings) *time.Duration { return &s.Limits.DrainDelay }, 0, time.Hour)},
+	{"limits", "drain_time", "10m", false, "how long a draining router waits for requests in flight", duration(func(s *Settings) *time.Duration { return &s.Limits.DrainTime }, 0, 24*time.Hour)},
+
+	{"pace", "gossip", "1s", false, "interval of gossip with other routers", duration(func(s *Settings) *time.Duration { return &s.Pace.Gossip }, 10*time.Millisecond, time.Minute)},
+	{"pace", "list", "2s", false, "interval of reads of the list of boxes", duration(func(s *Settings) *time.Duration { return &s.Pace.List }, 10*time.Millisecond, time.Minute)},
+	{"pace", "head", "5s", false, "interval of polls of the recorded configuration", duration(func(s *Settings) *time.Duration { return &s.Pace.Head }, 10*time.Millisecond, time.Minute)},
+	{"pace", "report", "4s", false, "interval at which the home of a shard reads its engines' reports", duration(func(s *Settings) *time.Duration { return &s.Pace.Report }, 10*time.Millisecond, time.Minute)},
+	{"pace", "lease", "10s", false, "duration of a lease that is not renewed", duration(func(s *Settings) *time.Duration { return &s.Pace.Lease }, 100*time.Millisecond, time.Hour)},
+	{"pace", "permit", "300ms", false, "timeout of a permit request, after which the router places the request itself", duration(func(s *Settings) *time.Duration { return &s.Pace.Permit }, time.Millisecond, time.Minute)},
+
+	{"keys", "resume", "", true, "comma-separated keys for sealing stream event ids, each 32 bytes in hexadecimal; the first key seals, all keys open", resumeKeys},
 	{"log", "level", "info", false, "debug, info, warn or error", logLevel},
 }
 
@@ -244,6 +244,6 @@
 		}
 		out.WriteString("| `" + o.key + "` | " + defaultValue + " | " + o.description + " |\n")
 	}
-	out.WriteString("\n## [operators]\n\nOne line an operator: the name, and the SHA-256 of the token in hexadecimal.\n")
+	out.WriteString("\n## [operators]\n\nOne line per operator: the name and the SHA-256 of the token in hexadecimal.\n")
 	return out.String()
 }
