--- a/internal/oper/cmds/explain.go
+++ b/internal/oper/cmds/explain.go
@@ -65,30 +65,30 @@
 
 // story prints one request's story.
 func (e *explainCommand) story(sources []trace.Source) error {
-	story, err := trace.Tell(sources, trace.RequestID(e.Request))
+	story, err := trace.ReadTimeline(sources, trace.RequestID(e.Request))
 	if err != nil {
 		return err
 	}
-	if len(story.Steps) == 0 {
-		e.console.fail(Failure, "no line names request %s; %d lines could not be read", e.Request, story.Bad.Count)
+	if len(story.Events) == 0 {
+		e.console.fail(Failure, "no line names request %s; %d lines could not be read", e.Request, story.BadLines.Count)
 		return nil
 	}
 	if e.JSON {
 		return e.console.print(story)
 	}
-	for _, s := range story.Steps {
+	for _, s := range story.Events {
 		e.console.say("%s %s %s  %s", s.Time.Format(time.RFC3339Nano), s.Router, s.Message, strings.Join(s.Fields, " "))
 	}
 	if story.Omitted > 0 {
 		e.console.say("%d more lines", story.Omitted)
 	}
-	e.bad(story.Bad)
+	e.bad(story.BadLines)
 	return nil
 }
 
 // losses prints what was lost.
 func (e *explainCommand) losses(sources []trace.Source) error {
-	losses, err := trace.Sum(sources, trace.Terms{Weights: e.Weights, Objectives: e.Objectives})
+	losses, err := trace.Summarize(sources, trace.Criteria{Weights: e.Weights, Objectives: e.Objectives})
 	if err != nil {
 		return err
 	}
@@ -107,7 +107,7 @@
 	e.table("router", losses.Routers)
 	e.table("target", losses.Targets)
 	e.seconds(losses.Seconds)
-	e.bad(losses.Bad)
+	e.bad(losses.BadLines)
 	return nil
 }
 
@@ -143,7 +143,7 @@
 }
 
 // bad prints which lines could not be read.
-func (e *explainCommand) bad(bad trace.Bad) {
+func (e *explainCommand) bad(bad trace.BadLines) {
 	if bad.Count == 0 {
 		return
 	}
--- a/internal/oper/trace/doc.go
+++ b/internal/oper/trace/doc.go
@@ -1,7 +1,7 @@
-// Package trace reads the JSON lines that routers log and tells what became of requests:
-// one request's story across all routers, or how many requests were lost, by cause, kind
-// of request, second, router and target.
+// Package trace analyzes the JSON log lines of routers. It extracts the timeline of one
+// request across all routers, or summarizes the lost requests by cause, route, workspace,
+// router, target and second.
 //
-// Memory is bounded by what is asked for, whatever the length of the logs: a story keeps
-// its own lines, a summary counts.
+// Memory use does not depend on the length of the logs: a timeline keeps a bounded number of
+// log lines of its request, and a summary keeps counters for a bounded number of keys.
 package trace
--- a/internal/oper/trace/line.go
+++ b/internal/oper/trace/line.go
@@ -11,19 +11,19 @@
 	"valescale/internal/plat/fault"
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
-// Unreadable means that a log could not be read to its end, or a figure not be drawn.
+// Unreadable is the kind of errors from reading a log or drawing a plot.
 const Unreadable Kind = "unreadable"
 
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// RequestID is a caller's id of one request.
+// RequestID is the caller's id of a request.
 type RequestID string
 
-// Line is what a log line says, as far as stories and summaries use it.
+// Line contains the fields of a log line that timelines and summaries use.
 type Line struct {
 	Time      time.Time `json:"ts"`
 	Router    string    `json:"router"`
@@ -33,56 +33,61 @@
 	Workspace string    `json:"workspace"`
 	Target    string    `json:"target"`
 	Reason    string    `json:"reason"`
-	// Status is what the caller got, zero without an answer.
+	// Status is the HTTP status sent to the caller, or zero if no answer was sent.
 	Status int `json:"status"`
-	// FoundMS and FirstMS are the milliseconds until a target was found and until the
-	// answer's first byte.
+	// FoundMS is the time until a target was found, FirstMS the time until the first byte
+	// of the answer, both in milliseconds from the start of the request.
 	FoundMS int64 `json:"found_ms"`
 	FirstMS int64 `json:"first_ms"`
-	// text is the line as it was logged.
+	// text is the JSON object as it was logged.
 	text []byte
 }
 
 const (
-	// requestEnded is the message of the one line that each request gets at its end.
-	requestEnded = "request"
-	// maxLine bounds one line, in bytes; routers write some hundred.
-	maxLine = 1 << 20
-	// badKept is how many bad lines are named; the others are counted.
-	badKept = 5
+	// requestMessage is the message of the log line that is written once per request, when
+	// the request ends.
+	requestMessage = "request"
+	// maxLineBytes is the maximum length of a log line. Routers write lines of some hundred
+	// bytes.
+	maxLineBytes = 1 << 20
+	// maxListedBadLines is the number of bad lines listed with their error. Further bad lines
+	// are only counted.
+	maxListedBadLines = 5
 )
 
-// BadLine names a line that is no log line of a router.
+// BadLine is the position of a line that could not be parsed as a router's log line, with the
+// error.
 type BadLine struct {
 	Source string `json:"source"`
 	Line   int    `json:"line"`
 	Error  string `json:"error"`
 }
 
-// Bad are the lines that could not be read.
-type Bad struct {
+// BadLines counts the lines that could not be parsed and lists the first of them.
+type BadLines struct {
 	Count int       `json:"count"`
 	First []BadLine `json:"first,omitempty"`
 }
 
-func (b *Bad) add(source string, line int, err error) {
+func (b *BadLines) add(source string, line int, err error) {
 	b.Count++
-	if len(b.First) < badKept {
+	if len(b.First) < maxListedBadLines {
 		b.First = append(b.First, BadLine{Source: source, Line: line, Error: err.Error()})
 	}
 }
 
-// Source is one log, of one router or of several.
+// Source is a log of one or more routers.
 type Source struct {
 	Name   string
 	Reader io.Reader
 }
 
-// Read passes the lines of logs on, and counts those that are no log lines. What stands
-// before a line's first brace, such as a collector's time and host, is skipped.
-func Read(sources []Source, take func(Line)) (Bad, error) {
+// Read calls visit for each log line of the sources and returns the lines that could not be
+// parsed. Text before the first brace of a line is skipped: log collectors may prefix lines with
+// a time and a host name.
+func Read(sources []Source, visit func(Line)) (BadLines, error) {
 	const op = "trace.Read"
-	var bad Bad
+	var bad BadLines
 	for _, s := range sources {
 		reader := bufio.NewReader(s.Reader)
 		for number := 1; ; number++ {
@@ -93,25 +98,25 @@
 			if err != nil && err != io.EOF {
 				return bad, fault.New(op, Unreadable, fmt.Errorf("%s: %w", s.Name, err))
 			}
-			line, problem := parse(text)
+			line, parseErr := parse(text)
 			switch {
-			case problem != nil:
-				bad.add(s.Name, number, problem)
+			case parseErr != nil:
+				bad.add(s.Name, number, parseErr)
 			case line.Message != "":
-				take(line)
+				visit(line)
 			}
 		}
 	}
 	return bad, nil
 }
 
-// readLine returns the next line without its end. Of a line that is too long the rest is
-// skipped, so that it cannot be parsed.
+// readLine returns the next line without its line ending. Input beyond maxLineBytes is
+// discarded, so that a line that is too long fails to parse.
 func readLine(r *bufio.Reader) ([]byte, error) {
 	var line []byte
 	for {
 		part, err := r.ReadSlice('\n')
-		if len(line)+len(part) <= maxLine {
+		if len(line)+len(part) <= maxLineBytes {
 			line = append(line, part...)
 		}
 		if err != bufio.ErrBufferFull {
@@ -120,7 +125,7 @@
 	}
 }
 
-// parse reads one line. An empty one is neither a line nor a mistake.
+// parse decodes a log line. For a blank line it returns the zero Line and no error.
 func parse(text []byte) (Line, error) {
 	var line Line
 	if len(bytes.TrimSpace(text)) == 0 {
--- a/internal/oper/trace/losses.go
+++ b/internal/oper/trace/losses.go
@@ -8,84 +8,84 @@
 	"time"
 )
 
-// Terms say what requests are worth and when an answer is late.
-type Terms struct {
-	// Weights are the worth of one request by route; others count one.
+// Criteria defines the weights of requests and the latency above which an answer is late.
+type Criteria struct {
+	// Weights contains the weight of a request by route. The default is 1.
 	Weights map[string]float64
-	// Objectives are the longest times to an answer's first byte by route that are in
-	// time; without one no answer is late.
+	// Objectives contains the maximum time to first byte by route. Answers of a route
+	// without an objective are never late.
 	Objectives map[string]time.Duration
 }
 
-func (t Terms) weight(route string) float64 {
-	if w, ok := t.Weights[route]; ok {
+func (c Criteria) weight(route string) float64 {
+	if w, ok := c.Weights[route]; ok {
 		return w
 	}
 	return 1
 }
 
 const (
-	// fine is the cause of a request that was answered in time.
-	fine = ""
-	// lateFound means that finding a target took most of a late answer's time, lateTarget
-	// that the target did.
-	lateFound  = "late_found"
-	lateTarget = "late_target"
-	// failedAnswer means that the target answered with a failure of its own.
-	failedAnswer = "target_failed"
-	// served is the reason of the requests that got a target's answer.
-	served = "served"
-	// failureFrom is the lowest status that tells of a target's failure.
-	failureFrom = 500
+	// causeNone is the cause of a request that is not lost: it was answered in time.
+	causeNone = ""
+	// causeLateFound is the cause of a late answer if finding a target took more than half of
+	// the time to first byte. causeLateTarget is the cause of any other late answer.
+	causeLateFound  = "late_found"
+	causeLateTarget = "late_target"
+	// causeTargetFailed is the cause of a request that the target answered with a server error.
+	causeTargetFailed = "target_failed"
+	// reasonServed is the logged reason of requests that were answered by a target.
+	reasonServed = "served"
+	// minFailureStatus is the lowest HTTP status that counts as a failure of the target.
+	minFailureStatus = 500
 )
 
-// cause says why a request was lost, or nothing if it was not.
-func (t Terms) cause(line Line) string {
-	if line.Reason != served {
+// cause returns why a request was lost, or causeNone if it was not lost.
+func (c Criteria) cause(line Line) string {
+	if line.Reason != reasonServed {
 		return line.Reason
 	}
-	if line.Status >= failureFrom {
-		return failedAnswer
+	if line.Status >= minFailureStatus {
+		return causeTargetFailed
 	}
-	objective, known := t.Objectives[line.Route]
+	objective, ok := c.Objectives[line.Route]
 	first := time.Duration(line.FirstMS) * time.Millisecond
 	switch {
-	case !known || first <= objective:
-		return fine
+	case !ok || first <= objective:
+		return causeNone
 	case 2*line.FoundMS > line.FirstMS:
-		return lateFound
+		return causeLateFound
 	default:
-		return lateTarget
+		return causeLateTarget
 	}
 }
 
-// maxKeys bounds the values that are told apart in one table; what comes later counts
-// under otherKey.
+// maxKeys is the maximum number of distinct keys in a table. Requests with further keys are
+// counted under overflowKey.
 const (
-	maxKeys  = 10_000
-	otherKey = "(others)"
+	maxKeys     = 10_000
+	overflowKey = "(others)"
 )
 
-// Row counts the requests with one value.
+// Row counts the requests that have the same key.
 type Row struct {
 	Key string `json:"key"`
-	// Ended counts all requests, Lost those that were lost, and Worth what the lost ones
-	// were worth.
+	// Ended counts all requests and Lost the lost ones. Worth is the sum of the weights of
+	// the lost requests.
 	Ended int     `json:"ended"`
 	Lost  int     `json:"lost"`
 	Worth float64 `json:"worth"`
 }
 
-// counter counts requests by some value.
-type counter map[string]*Row
+// lossTable counts requests by key.
+type lossTable map[string]*Row
 
-func (c counter) add(key string, lost bool, worth float64) {
-	row, known := c[key]
-	if !known && len(c) >= maxKeys {
-		key = otherKey
-		row, known = c[key]
+func (c lossTable) add(key string, lost bool, worth float64) {
+	row, ok := c[key]
+	if !ok && len(c) >= maxKeys {
+		key = overflowKey
+		row, ok = c[key]
 	}
-	if !known {
+	if !ok {
 		row = &Row{Key: key}
 		c[key] = row
 	}
@@ -96,8 +96,8 @@
 	}
 }
 
-// worst lists the rows with something lost, what was worth most first.
-func (c counter) worst() []Row {
+// rowsWithLosses returns the rows with lost requests, sorted by descending worth.
+func (c lossTable) rowsWithLosses() []Row {
 	out := []Row{}
 	for row := range maps.Values(c) {
 		if row.Lost > 0 {
@@ -108,39 +108,40 @@
 	return out
 }
 
-// Second is what ended in one second.
+// Second counts the requests that ended in one second. Good requests were answered in time.
 type Second struct {
 	Unix int64 `json:"unix"`
 	Good int   `json:"good"`
 	Lost int   `json:"lost"`
 }
 
-// Losses is what logs tell of lost requests.
+// Losses summarizes the lost requests found in logs.
 type Losses struct {
 	Ended int     `json:"ended"`
 	Lost  int     `json:"lost"`
 	Worth float64 `json:"worth"`
-	// Causes and the tables after them hold the rows with something lost, the worst first.
+	// Causes and the tables below contain the rows with lost requests, sorted by descending
+	// worth.
 	Causes     []Row `json:"causes"`
 	Routes     []Row `json:"routes"`
 	Workspaces []Row `json:"workspaces"`
 	Routers    []Row `json:"routers"`
 	Targets    []Row `json:"targets"`
-	// Seconds are in order of time.
-	Seconds []Second `json:"seconds"`
-	Bad     Bad      `json:"bad_lines"`
+	// Seconds are sorted by time.
+	Seconds  []Second `json:"seconds"`
+	BadLines BadLines `json:"bad_lines"`
 }
 
-// Sum reads logs and tells what was lost.
-func Sum(sources []Source, terms Terms) (Losses, error) {
+// Summarize reads logs and summarizes the lost requests.
+func Summarize(sources []Source, criteria Criteria) (Losses, error) {
 	var total Row
-	causes, routes, workspaces, routers, targets, seconds := counter{}, counter{}, counter{}, counter{}, counter{}, counter{}
+	causes, routes, workspaces, routers, targets, seconds := lossTable{}, lossTable{}, lossTable{}, lossTable{}, lossTable{}, lossTable{}
 	bad, err := Read(sources, func(line Line) {
-		if line.Message != requestEnded {
+		if line.Message != requestMessage {
 			return
 		}
-		cause, worth := terms.cause(line), terms.weight(line.Route)
-		lost := cause != fine
+		cause, worth := criteria.cause(line), criteria.weight(line.Route)
+		lost := cause != causeNone
 		total.Ended++
 		if lost {
 			total.Lost++
@@ -155,18 +156,18 @@
 	})
 	return Losses{
 		Ended: total.Ended, Lost: total.Lost, Worth: total.Worth,
-		Causes: causes.worst(), Routes: routes.worst(), Workspaces: workspaces.worst(), Routers: routers.worst(),
-		Targets: targets.worst(), Seconds: inOrder(seconds), Bad: bad,
+		Causes: causes.rowsWithLosses(), Routes: routes.rowsWithLosses(), Workspaces: workspaces.rowsWithLosses(), Routers: routers.rowsWithLosses(),
+		Targets: targets.rowsWithLosses(), Seconds: secondsInOrder(seconds), BadLines: bad,
 	}, err
 }
 
-// inOrder lists what was counted by second.
-func inOrder(c counter) []Second {
+// secondsInOrder converts a table keyed by Unix second to a list sorted by time.
+func secondsInOrder(c lossTable) []Second {
 	out := []Second{}
 	for key, row := range c {
 		unix, err := strconv.ParseInt(key, 10, 64)
 		if err != nil {
-			// Those beyond the most that are told apart belong to no second.
+			// The overflow row has no second.
 			continue
 		}
 		out = append(out, Second{Unix: unix, Good: row.Ended - row.Lost, Lost: row.Lost})
--- a/internal/oper/trace/plot.go
+++ b/internal/oper/trace/plot.go
@@ -15,19 +15,19 @@
 	plotHeight = 4 * vg.Inch
 )
 
-// Colours that are told apart in print and by most eyes.
+// The colours are distinguishable in print and with most kinds of colour blindness.
 var (
 	goodColour = color.RGBA{0x00, 0x72, 0xb2, 0xff}
 	lostColour = color.RGBA{0xd5, 0x5e, 0x00, 0xff}
 )
 
-// Plot draws the requests that were answered in time and those that were lost, by second.
-// The file's ending says which kind of picture it is.
+// Plot draws the requests answered in time and the lost requests by second. The extension of
+// the file name selects the image format.
 func (l Losses) Plot(file string) error {
 	const op = "trace.Plot"
 	p := plot.New()
-	p.Title.Text = "Requests by the second of their end"
-	p.X.Label.Text = "seconds since the first"
+	p.Title.Text = "Requests by end time"
+	p.X.Label.Text = "seconds since the first request ended"
 	p.Y.Label.Text = "requests / s"
 	var good, lost plotter.XYs
 	for _, s := range l.Seconds {
@@ -36,7 +36,7 @@
 		lost = append(lost, plotter.XY{X: x, Y: float64(s.Lost)})
 	}
 	if len(good) == 0 {
-		return fault.Newf(op, Unreadable, "no request has ended")
+		return fault.Newf(op, Unreadable, "no requests to plot")
 	}
 	for _, series := range []struct {
 		name   string
--- a/internal/oper/trace/story.go
+++ b/internal/oper/trace/story.go
@@ -8,58 +8,61 @@
 	"time"
 )
 
-// maxStory bounds the lines of one request's story: a request has an end and a few attempts.
-const maxStory = 200
+// maxTimelineEvents is the maximum number of events in a timeline. A request has a log line for
+// its end and for each of a few attempts.
+const maxTimelineEvents = 200
 
-// shown are the fields of a line that stand elsewhere in its place in a story.
-var shown = []string{"ts", "router", "msg", "request", "level"}
+// promotedFields lists the fields that Event.Fields does not contain: Event and Timeline have
+// them as fields of their own, except for the level, which is omitted.
+var promotedFields = []string{"ts", "router", "msg", "request", "level"}
 
-// Step is one line of a request's story.
-type Step struct {
+// Event is a log line of the request.
+type Event struct {
 	Time    time.Time `json:"ts"`
 	Router  string    `json:"router"`
 	Message string    `json:"msg"`
-	// Fields are the line's other fields in order of name, as name=value.
+	// Fields contains the remaining fields as name=value, sorted by name.
 	Fields []string `json:"fields"`
 }
 
-// Story is all that routers logged of one request.
-type Story struct {
+// Timeline contains the log lines of one request from all routers.
+type Timeline struct {
 	Request RequestID `json:"request"`
-	Steps   []Step    `json:"steps"`
-	// Omitted counts the lines beyond the most that are kept.
-	Omitted int `json:"omitted,omitempty"`
-	Bad     Bad `json:"bad_lines"`
+	Events  []Event   `json:"steps"`
+	// Omitted counts the log lines beyond maxTimelineEvents.
+	Omitted  int      `json:"omitted,omitempty"`
+	BadLines BadLines `json:"bad_lines"`
 }
 
-// Tell reads logs and returns one request's story, in order of time.
-func Tell(sources []Source, request RequestID) (Story, error) {
-	story := Story{Request: request, Steps: []Step{}}
+// ReadTimeline reads logs and returns the events of one request, sorted by time.
+func ReadTimeline(sources []Source, request RequestID) (Timeline, error) {
+	timeline := Timeline{Request: request, Events: []Event{}}
 	bad, err := Read(sources, func(line Line) {
 		if line.Request != request {
 			return
 		}
-		if len(story.Steps) == maxStory {
-			story.Omitted++
+		if len(timeline.Events) == maxTimelineEvents {
+			timeline.Omitted++
 			return
 		}
-		story.Steps = append(story.Steps, Step{Time: line.Time, Router: line.Router, Message: line.Message, Fields: fields(line)})
+		timeline.Events = append(timeline.Events, Event{Time: line.Time, Router: line.Router, Message: line.Message, Fields: fields(line)})
 	})
-	slices.SortStableFunc(story.Steps, func(a, b Step) int { return a.Time.Compare(b.Time) })
-	story.Bad = bad
-	return story, err
+	slices.SortStableFunc(timeline.Events, func(a, b Event) int { return a.Time.Compare(b.Time) })
+	timeline.BadLines = bad
+	return timeline, err
 }
 
-// fields lists a line's fields that are not shown elsewhere.
+// fields returns the fields of a line that are not in promotedFields, as name=value and sorted by
+// name.
 func fields(line Line) []string {
 	var values map[string]json.RawMessage
 	if err := json.Unmarshal(line.text, &values); err != nil {
-		// The line has been read as an object before.
+		// Unreachable: parse has already decoded the text as an object.
 		return nil
 	}
 	var out []string
 	for name, value := range values {
-		if !slices.Contains(shown, name) {
+		if !slices.Contains(promotedFields, name) {
 			out = append(out, fmt.Sprintf("%s=%s", name, strings.Trim(string(value), `"`)))
 		}
 	}
--- a/internal/oper/trace/trace_test.go
+++ b/internal/oper/trace/trace_test.go
@@ -32,18 +32,18 @@
 	return []Source{{"a.log", strings.NewReader(routerA)}, {"b.log", strings.NewReader(routerB)}}
 }
 
-var bad = Bad{Count: 2, First: []BadLine{
+var bad = BadLines{Count: 2, First: []BadLine{
 	{Source: "b.log", Line: 2, Error: "no JSON object"},
 	{Source: "b.log", Line: 6, Error: "no msg"},
 }}
 
-func TestStoryAcrossRouters(t *testing.T) {
-	got, err := Tell(logs(), "r1")
+func TestTimelineAcrossRouters(t *testing.T) {
+	got, err := ReadTimeline(logs(), "r1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	at := func(ms int) time.Time { return time.Date(2026, 12, 2, 10, 0, 0, ms*1e6, time.UTC) }
-	want := Story{Request: "r1", Bad: bad, Steps: []Step{
+	want := Timeline{Request: "r1", BadLines: bad, Events: []Event{
 		{at(0), "b", "request", []string{"first_ms=0", "found_ms=2", "reason=answer_lost", "route=chat", "status=502", "target=t1", "workspace=w"}},
 		{at(100), "a", "attempt failed", []string{"next=again", "step=3", "target=t1"}},
 		{at(1000), "a", "request", []string{"first_ms=90", "found_ms=3", "reason=served", "route=chat", "status=200", "target=t2", "workspace=w"}},
@@ -54,14 +54,14 @@
 }
 
 func TestLosses(t *testing.T) {
-	terms := Terms{Weights: map[string]float64{"chat": 2}, Objectives: map[string]time.Duration{"plain": 100 * time.Millisecond}}
-	got, err := Sum(logs(), terms)
+	criteria := Criteria{Weights: map[string]float64{"chat": 2}, Objectives: map[string]time.Duration{"plain": 100 * time.Millisecond}}
+	got, err := Summarize(logs(), criteria)
 	if err != nil {
 		t.Fatal(err)
 	}
 	first := time.Date(2026, 12, 2, 10, 0, 0, 0, time.UTC).Unix()
 	want := Losses{
-		Ended: 5, Lost: 4, Worth: 6, Bad: bad,
+		Ended: 5, Lost: 4, Worth: 6, BadLines: bad,
 		Causes:     []Row{{"answer_lost", 1, 1, 2}, {"overloaded", 1, 1, 2}, {"late_found", 1, 1, 1}, {"target_failed", 1, 1, 1}},
 		Routes:     []Row{{"chat", 3, 2, 4}, {"plain", 2, 2, 2}},
 		Workspaces: []Row{{"w", 3, 2, 4}, {"v", 2, 2, 2}},
@@ -76,37 +76,38 @@
 		t.Error(err)
 	}
 	if err := (Losses{}).Plot("none.png"); err == nil {
-		t.Error("a plot of nothing is drawn")
+		t.Error("an empty plot was drawn without an error")
 	}
 }
 
-// However long the logs, and whatever they hold, what is kept is bounded.
-func TestWhatIsKeptIsBounded(t *testing.T) {
+// Memory would grow with the logs if the number of keys in a table, the events of a timeline or
+// the length of a line had no limit.
+func TestMemoryIsBounded(t *testing.T) {
 	const line = `{"ts":"2026-12-02T10:00:00Z","msg":"request","request":"r","route":"r-%d","reason":"overloaded"}` + "\n"
 	var log strings.Builder
 	for i := range maxKeys + 10 {
 		fmt.Fprintf(&log, line, i)
 	}
-	log.WriteString(`{"msg":"` + strings.Repeat("x", 2*maxLine) + "\"}\n")
-	losses, err := Sum([]Source{{"long", strings.NewReader(log.String())}}, Terms{})
+	log.WriteString(`{"msg":"` + strings.Repeat("x", 2*maxLineBytes) + "\"}\n")
+	losses, err := Summarize([]Source{{"long", strings.NewReader(log.String())}}, Criteria{})
 	if err != nil {
 		t.Fatal(err)
 	}
-	if len(losses.Routes) != maxKeys+1 || losses.Routes[0].Key != otherKey || losses.Routes[0].Lost != 10 {
-		t.Errorf("%d rows, first %+v", len(losses.Routes), losses.Routes[0])
+	if len(losses.Routes) != maxKeys+1 || losses.Routes[0].Key != overflowKey || losses.Routes[0].Lost != 10 {
+		t.Errorf("got %d rows, the first is %+v", len(losses.Routes), losses.Routes[0])
 	}
-	if losses.Bad.Count != 1 {
-		t.Errorf("%d bad lines, want the one that is too long", losses.Bad.Count)
+	if losses.BadLines.Count != 1 {
+		t.Errorf("got %d bad lines, want only the line that is too long", losses.BadLines.Count)
 	}
-	story, err := Tell([]Source{{"long", strings.NewReader(log.String())}}, "r")
-	if err != nil || len(story.Steps) != maxStory || story.Omitted != maxKeys+10-maxStory {
-		t.Errorf("%d steps, %d omitted, %v", len(story.Steps), story.Omitted, err)
+	timeline, err := ReadTimeline([]Source{{"long", strings.NewReader(log.String())}}, "r")
+	if err != nil || len(timeline.Events) != maxTimelineEvents || timeline.Omitted != maxKeys+10-maxTimelineEvents {
+		t.Errorf("got %d events, %d omitted, error %v", len(timeline.Events), timeline.Omitted, err)
 	}
 }
 
-func TestLogThatCannotBeRead(t *testing.T) {
-	_, err := Sum([]Source{{"broken", io.MultiReader(strings.NewReader(routerA), iotest.ErrReader(errors.New("gone")))}}, Terms{})
+func TestReadErrorNamesLog(t *testing.T) {
+	_, err := Summarize([]Source{{"broken", io.MultiReader(strings.NewReader(routerA), iotest.ErrReader(errors.New("gone")))}}, Criteria{})
 	if err == nil || !strings.Contains(err.Error(), "broken") {
-		t.Errorf("got %v, want an error that names the log", err)
+		t.Errorf("got %v, want an error with the name of the log", err)
 	}
 }
