--- a/internal/oper/telem/doc.go
+++ b/internal/oper/telem/doc.go
@@ -1,2 +1,2 @@
-// Package telem turns what a router does into metrics and JSON log lines.
+// Package telem provides the metrics and the JSON logger of a router.
 package telem
--- a/internal/oper/telem/lines.go
+++ b/internal/oper/telem/lines.go
@@ -11,28 +11,28 @@
 	"github.com/go-kit/log"
 )
 
-// lineLogger writes each record as one JSON object on a line, its members in the order in
-// which they are given. Writing members as they come costs a third of the processor time
-// of the library's JSON logger, which builds a map and encodes it: 1.7 instead of 5.5 us
-// for a request's line (BenchmarkRequestLine). Under overload most lines are refusals, on
-// boxes that have little time for them.
-type lineLogger struct {
+// jsonLogger writes each record as a JSON object on a line of its own, with the members in the
+// order of the arguments. It encodes the members directly, which takes a third of the CPU time of
+// go-kit's JSON logger, which builds a map first: 1.7 instead of 5.5 us for the log line of a
+// request (BenchmarkRequestLine). Under overload most lines are about rejected requests, and CPU
+// time is scarce.
+type jsonLogger struct {
 	out io.Writer
-	// buffers are reused from line to line.
+	// buffers contains line buffers for reuse, as *[]byte.
 	buffers sync.Pool
 }
 
-// lineSize is what most lines fit in, in bytes.
-const lineSize = 512
+// initialLineBytes is the initial capacity of a line buffer. Most lines fit in it.
+const initialLineBytes = 512
 
-// newLineLogger returns a logger that writes whole lines in single calls; out must bear
-// calls at the same time.
-func newLineLogger(out io.Writer) log.Logger {
-	return &lineLogger{out: out, buffers: sync.Pool{New: func() any { return new(make([]byte, 0, lineSize)) }}}
+// newJSONLogger returns a logger that writes each line with a single call of out.Write. The
+// writer must be safe for concurrent use.
+func newJSONLogger(out io.Writer) log.Logger {
+	return &jsonLogger{out: out, buffers: sync.Pool{New: func() any { return new(make([]byte, 0, initialLineBytes)) }}}
 }
 
 // Log implements log.Logger.
-func (l *lineLogger) Log(keyvals ...any) error {
+func (l *jsonLogger) Log(keyvals ...any) error {
 	buffer := l.buffers.Get().(*[]byte)
 	defer l.buffers.Put(buffer)
 	line := append((*buffer)[:0], '{')
@@ -50,18 +50,18 @@
 	return err
 }
 
-// appendValue appends a value as JSON: numbers and truth values as such, what can describe
-// itself as text, and anything else as the standard library encodes it.
+// appendValue appends a value as JSON. Errors and Stringers are appended as strings, numbers and
+// booleans as JSON numbers and booleans, and other types as encoding/json encodes them.
 func appendValue(line []byte, value any) []byte {
 	v := reflect.ValueOf(value)
 	if !v.IsValid() || v.Kind() == reflect.Pointer && v.IsNil() {
 		return append(line, "null"...)
 	}
-	switch described := value.(type) {
+	switch typed := value.(type) {
 	case error:
-		return appendText(line, described.Error())
+		return appendText(line, typed.Error())
 	case fmt.Stringer:
-		return appendText(line, described.String())
+		return appendText(line, typed.String())
 	}
 	switch v.Kind() {
 	case reflect.String:
@@ -80,13 +80,14 @@
 	return append(line, encoded...)
 }
 
-// appendText appends a JSON string. Most texts need no escapes.
+// appendText appends a JSON string. Text without characters to escape, the common case, is copied
+// without a call of encoding/json.
 func appendText(line []byte, text string) []byte {
 	for i := range len(text) {
 		if c := text[i]; c < ' ' || c >= 0x7f || c == '"' || c == '\\' {
 			encoded, err := json.Marshal(text)
 			if err != nil {
-				// A string can always be encoded.
+				// Unreachable: json.Marshal does not fail for strings.
 				panic(err)
 			}
 			return append(line, encoded...)
--- a/internal/oper/telem/lines_test.go
+++ b/internal/oper/telem/lines_test.go
@@ -15,8 +15,8 @@
 	"valescale/internal/plat/ident"
 )
 
-// A line holds what the library's JSON logger would write, value for value.
-func TestLines(t *testing.T) {
+// A value that is encoded differently from go-kit's JSON logger would break readers of the logs.
+func TestJSONLoggerMatchesLibrary(t *testing.T) {
 	var missing *ident.Pool
 	records := [][]any{
 		{"msg", "request", "router", ident.Router("r-1"), "sends", 2, "key", uint64(math.MaxUint64), "warm", true},
@@ -24,14 +24,14 @@
 		{"nothing", nil, "no pool", missing, "list", []string{"a", "b"}},
 	}
 	for _, record := range records {
-		var ours, library bytes.Buffer
-		if err := newLineLogger(&ours).Log(record...); err != nil {
+		var got, want bytes.Buffer
+		if err := newJSONLogger(&got).Log(record...); err != nil {
 			t.Fatal(err)
 		}
-		if err := log.NewJSONLogger(&library).Log(record...); err != nil {
+		if err := log.NewJSONLogger(&want).Log(record...); err != nil {
 			t.Fatal(err)
 		}
-		if diff := cmp.Diff(decode(t, library.Bytes()), decode(t, ours.Bytes())); diff != "" {
+		if diff := cmp.Diff(decode(t, want.Bytes()), decode(t, got.Bytes())); diff != "" {
 			t.Errorf("%v: %s", record, diff)
 		}
 	}
@@ -50,7 +50,7 @@
 	for _, c := range []struct {
 		name   string
 		logger log.Logger
-	}{{"own", newLineLogger(io.Discard)}, {"library", log.NewJSONLogger(io.Discard)}} {
+	}{{"own", newJSONLogger(io.Discard)}, {"library", log.NewJSONLogger(io.Discard)}} {
 		b.Run(c.name, func(b *testing.B) {
 			for b.Loop() {
 				_ = c.logger.Log("ts", "2026-12-02T18:00:00Z", "router", "edge-1", "level", "info", "msg", "request",
--- a/internal/oper/telem/log.go
+++ b/internal/oper/telem/log.go
@@ -9,9 +9,10 @@
 	"valescale/internal/plat/ident"
 )
 
-// NewLogger returns a logger of JSON lines from a level on, each with the router's id.
-func NewLogger(w io.Writer, from string, router ident.Router) log.Logger {
-	logger := newLineLogger(log.NewSyncWriter(w))
+// NewLogger returns a logger that writes JSON lines of at least the given level to w. Each line
+// contains the time and the id of the router. An unknown level is treated as info.
+func NewLogger(w io.Writer, minLevel string, router ident.Router) log.Logger {
+	logger := newJSONLogger(log.NewSyncWriter(w))
 	logger = log.With(logger, "ts", log.DefaultTimestampUTC, "router", string(router))
-	return level.NewFilter(logger, level.Allow(level.ParseDefault(from, level.InfoValue())))
+	return level.NewFilter(logger, level.Allow(level.ParseDefault(minLevel, level.InfoValue())))
 }
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -10,12 +10,13 @@
 	"valescale/internal/rule/policy"
 )
 
-// Comparer is told of each decision, to compare a candidate policy with it.
+// Comparer receives each policy decision and compares it with that of a candidate policy.
 type Comparer interface {
 	Compare(w policy.Workspace, request *policy.Request, decision policy.Decision)
 }
 
-// Gauges are read when metrics are collected.
+// Gauges contains the functions that are called when metrics are collected. A metric whose
+// function is nil is not registered.
 type Gauges struct {
 	Revision   func() float64
 	StoreUp    func() float64
@@ -32,26 +33,26 @@
 	Asked      func() float64
 }
 
-// Metrics holds a router's metrics.
+// Metrics contains the metrics of a router.
 type Metrics struct {
-	registry  *prometheus.Registry
-	requests  *prometheus.CounterVec
-	waited    *prometheus.HistogramVec
-	firstByte *prometheus.HistogramVec
-	warm      *prometheus.CounterVec
-	tries     prometheus.Counter
-	faulty    prometheus.Counter
-	comparer  Comparer
+	registry     *prometheus.Registry
+	requests     *prometheus.CounterVec
+	waitTime     *prometheus.HistogramVec
+	firstByte    *prometheus.HistogramVec
+	placements   *prometheus.CounterVec
+	retries      prometheus.Counter
+	policyFaults prometheus.Counter
+	comparer     Comparer
 }
 
-// New returns metrics; the comparer may be nil.
+// New returns metrics that read the values of g. The comparer may be nil.
 func New(comparer Comparer, g Gauges) *Metrics {
 	m := &Metrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valescale_requests_total", Help: "Requests by service, outcome and error code.",
 		}, []string{"service", "outcome", "code"}),
-		waited: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		waitTime: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "valescale_wait_seconds", Help: "Time until a target was found.",
 			Buckets: prometheus.ExponentialBuckets(0.0005, 2, 18),
 		}, []string{"service"}),
@@ -59,14 +60,14 @@
 			Name: "valescale_first_byte_seconds", Help: "Time until the caller got the answer's first byte.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service"}),
-		warm: prometheus.NewCounterVec(prometheus.CounterOpts{
+		placements: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valescale_placements_total", Help: "Requests placed, by whether the chat ran there before.",
 		}, []string{"service", "warm"}),
-		tries:    prometheus.NewCounter(prometheus.CounterOpts{Name: "valescale_retries_total", Help: "Attempts after the first."}),
-		faulty:   prometheus.NewCounter(prometheus.CounterOpts{Name: "valescale_policy_faults_total", Help: "Decisions for which a policy's program failed and the strictest value was used."}),
-		comparer: comparer,
+		retries:      prometheus.NewCounter(prometheus.CounterOpts{Name: "valescale_retries_total", Help: "Attempts after the first."}),
+		policyFaults: prometheus.NewCounter(prometheus.CounterOpts{Name: "valescale_policy_faults_total", Help: "Decisions for which a policy's program failed and the strictest value was used."}),
+		comparer:     comparer,
 	}
-	m.registry.MustRegister(m.requests, m.waited, m.firstByte, m.warm, m.tries, m.faulty)
+	m.registry.MustRegister(m.requests, m.waitTime, m.firstByte, m.placements, m.retries, m.policyFaults)
 	m.gauge("valescale_revision", "Configuration revision in force.", g.Revision)
 	m.gauge("valescale_store_up", "Whether the latest call to the table service was answered.", g.StoreUp)
 	m.gauge("valescale_ready", "Whether this router wants requests.", g.Ready)
@@ -95,37 +96,37 @@
 	}
 }
 
-// Finished counts one request's end.
+// Finished updates the metrics with a request that has ended.
 func (m *Metrics) Finished(f front.Finished) {
 	service := string(f.Service)
 	m.requests.WithLabelValues(service, string(f.Outcome), string(f.Code)).Inc()
 	if f.Tries > 1 {
-		m.tries.Add(float64(f.Tries - 1))
+		m.retries.Add(float64(f.Tries - 1))
 	}
 	if f.Waited > 0 {
-		m.waited.WithLabelValues(service).Observe(f.Waited.Seconds())
+		m.waitTime.WithLabelValues(service).Observe(f.Waited.Seconds())
 		warm := "no"
 		if f.Warm {
 			warm = "yes"
 		}
-		m.warm.WithLabelValues(service, warm).Inc()
+		m.placements.WithLabelValues(service, warm).Inc()
 	}
 	if f.FirstByte > 0 {
 		m.firstByte.WithLabelValues(service).Observe(f.FirstByte.Seconds())
 	}
 }
 
-// Decided counts one decision and passes it on for comparison.
+// Decided counts a decision if its policy failed, and passes it to the comparer.
 func (m *Metrics) Decided(w policy.Workspace, request *policy.Request, decision policy.Decision) {
 	if decision.Faulty {
-		m.faulty.Inc()
+		m.policyFaults.Inc()
 	}
 	if m.comparer != nil {
 		m.comparer.Compare(w, request, decision)
 	}
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler of the metrics endpoint.
 func (m *Metrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -10,49 +10,49 @@
 	"valescale/internal/edge/entry"
 )
 
-// Routed holds the metrics of a router that serves by routes.
+// Routed contains the metrics of a router that serves requests by routes.
 type Routed struct {
-	registry *prometheus.Registry
-	requests *prometheus.CounterVec
-	sends    *prometheus.CounterVec
-	found    *prometheus.HistogramVec
-	first    *prometheus.HistogramVec
-	whole    *prometheus.HistogramVec
+	registry  *prometheus.Registry
+	requests  *prometheus.CounterVec
+	sends     *prometheus.CounterVec
+	findTime  *prometheus.HistogramVec
+	firstByte *prometheus.HistogramVec
+	duration  *prometheus.HistogramVec
 }
 
-// Reading is a named figure that is read when metrics are collected.
+// Reading is a metric whose value is read from a function when metrics are collected.
 type Reading struct {
 	Name string
 	Help string
-	// Counts says that the figure only grows.
+	// Counts is true for a counter and false for a gauge.
 	Counts bool
-	// Read returns the figure as it is now.
+	// Read returns the current value.
 	Read func() float64
 }
 
-// Flag is the value of a figure that says yes or no.
-func Flag(yes bool) float64 {
-	if yes {
+// Flag returns 1 for true and 0 for false.
+func Flag(value bool) float64 {
+	if value {
 		return 1
 	}
 	return 0
 }
 
 const (
-	// leastBucket is the first bound of the histograms of times, in seconds: less than a
-	// round trip between availability zones.
-	leastBucket = 0.001
-	// bucketFactor is the ratio of two bounds that follow each other.
+	// minBucketSeconds is the upper bound of the first bucket of the latency histograms: less than
+	// a round trip between availability zones.
+	minBucketSeconds = 0.001
+	// bucketFactor is the ratio between the bounds of consecutive bucketCount.
 	bucketFactor = 2
-	// buckets is the number of bounds; with these the last is 16 seconds.
-	buckets = 15
+	// bucketCount is the number of bucketCount of a latency histogram. The last bound is 16 seconds.
+	bucketCount = 15
 )
 
-// NewRouted returns metrics with some figures read from elsewhere.
+// NewRouted returns the metrics, including those that are read from functions.
 func NewRouted(readings []Reading) *Routed {
 	histogram := func(name, help string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{
-			Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(leastBucket, bucketFactor, buckets),
+			Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(minBucketSeconds, bucketFactor, bucketCount),
 		}, []string{"service"})
 	}
 	m := &Routed{
@@ -63,18 +63,18 @@
 		sends: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valescale_routed_sends_total", Help: "Attempts that reached a target.",
 		}, []string{"service"}),
-		found: histogram("valescale_routed_found_seconds", "Time until a target was found."),
-		first: histogram("valescale_routed_first_byte_seconds", "Time until the caller got the answer's first byte."),
-		whole: histogram("valescale_routed_whole_seconds", "Time until the request's end."),
+		findTime:  histogram("valescale_routed_found_seconds", "Time until a target was found."),
+		firstByte: histogram("valescale_routed_first_byte_seconds", "Time until the caller got the answer's first byte."),
+		duration:  histogram("valescale_routed_whole_seconds", "Time until the request's end."),
 	}
-	m.registry.MustRegister(m.requests, m.sends, m.found, m.first, m.whole)
+	m.registry.MustRegister(m.requests, m.sends, m.findTime, m.firstByte, m.duration)
 	for _, r := range readings {
 		m.registry.MustRegister(r.collector())
 	}
 	return m
 }
 
-// collector is the reading as the registry takes it.
+// collector returns the Prometheus collector of the reading.
 func (r Reading) collector() prometheus.Collector {
 	if r.Counts {
 		return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: r.Name, Help: r.Help}, r.Read)
@@ -82,21 +82,21 @@
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: r.Name, Help: r.Help}, r.Read)
 }
 
-// Ended counts one request's end.
+// Ended updates the metrics with a request that has ended.
 func (m *Routed) Ended(e entry.End) {
 	service := string(e.Service)
 	m.requests.WithLabelValues(service, string(e.Reason), strconv.Itoa(e.Status)).Inc()
 	m.sends.WithLabelValues(service).Add(float64(e.Sends))
 	if e.Found > 0 {
-		m.found.WithLabelValues(service).Observe(e.Found.Seconds())
+		m.findTime.WithLabelValues(service).Observe(e.Found.Seconds())
 	}
 	if e.First > 0 {
-		m.first.WithLabelValues(service).Observe(e.First.Seconds())
+		m.firstByte.WithLabelValues(service).Observe(e.First.Seconds())
 	}
-	m.whole.WithLabelValues(service).Observe(e.Whole.Seconds())
+	m.duration.WithLabelValues(service).Observe(e.Whole.Seconds())
 }
 
-// Handler serves the metrics.
+// Handler returns the HTTP handler of the metrics endpoint.
 func (m *Routed) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
--- a/internal/oper/telem/writer.go
+++ b/internal/oper/telem/writer.go
@@ -10,47 +10,49 @@
 	"valescale/internal/plat/ident"
 )
 
-// Volume bounds what a log writer takes.
-type Volume struct {
-	// Queue is how many lines may wait to be written.
+// WriterLimits limits the rate and the queue of a log writer.
+type WriterLimits struct {
+	// Queue is the maximum number of lines waiting to be written.
 	Queue int
-	// PerSecond is how many lines a second are written on average, Burst how many at once.
+	// PerSecond is the average rate and Burst the size of the token bucket, in lines.
 	PerSecond int
 	Burst     int
 }
 
-// DefaultVolume is a few times what a router writes in a busy second: two lines for
-// each of some hundred requests.
-var DefaultVolume = Volume{Queue: 4096, PerSecond: 2000, Burst: 4000}
+// DefaultVolume allows a few times the rate at which a busy router logs, which is two lines for
+// each of some hundred requests per second.
+var DefaultVolume = WriterLimits{Queue: 4096, PerSecond: 2000, Burst: 4000}
 
-// Writer writes log lines in the background and never makes the caller wait: lines
-// beyond its volume are left out, counted, and the count is logged.
+// Writer writes log lines in the background and never blocks the caller. It drops lines beyond
+// its limits, counts them and logs the count.
 type Writer struct {
 	out    io.Writer
-	volume Volume
+	limits WriterLimits
 	clock  ident.Clock
 	lines  chan []byte
 	done   chan struct{}
 
 	mu     sync.Mutex
 	closed bool
-	// tokens are the lines that may be written now, as of filled.
-	tokens  float64
-	filled  time.Time
-	dropped uint64
+	// tokens is the number of lines in the token bucket at the time refilledAt.
+	tokens     float64
+	refilledAt time.Time
+	dropped    uint64
 }
 
-// NewWriter returns a writer and the function that writes what waits and ends it.
-func NewWriter(out io.Writer, volume Volume, clock ident.Clock) (*Writer, func()) {
+// NewWriter returns a writer and its close function, which writes the queued lines and stops the
+// writer.
+func NewWriter(out io.Writer, limits WriterLimits, clock ident.Clock) (*Writer, func()) {
 	w := &Writer{
-		out: out, volume: volume, clock: clock, lines: make(chan []byte, volume.Queue), done: make(chan struct{}),
-		tokens: float64(volume.Burst), filled: clock(),
+		out: out, limits: limits, clock: clock, lines: make(chan []byte, limits.Queue), done: make(chan struct{}),
+		tokens: float64(limits.Burst), refilledAt: clock(),
 	}
 	go w.run()
 	return w, w.close
 }
 
-// Write queues one line or leaves it out.
+// Write queues a line, or drops it if the writer is closed or beyond its limits. It never returns
+// an error.
 func (w *Writer) Write(line []byte) (int, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -66,19 +68,19 @@
 	return len(line), nil
 }
 
-// Dropped is the number of lines left out so far.
+// Dropped returns the number of dropped lines.
 func (w *Writer) Dropped() uint64 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.dropped
 }
 
-// admit takes one token; the caller holds the lock.
+// admit takes a token and reports whether there was one. The caller holds w.mu.
 func (w *Writer) admit() bool {
 	now := w.clock()
-	passed := now.Sub(w.filled).Seconds()
-	w.filled = now
-	w.tokens = min(w.tokens+max(passed, 0)*float64(w.volume.PerSecond), float64(w.volume.Burst))
+	elapsed := now.Sub(w.refilledAt).Seconds()
+	w.refilledAt = now
+	w.tokens = min(w.tokens+max(elapsed, 0)*float64(w.limits.PerSecond), float64(w.limits.Burst))
 	if w.tokens < 1 {
 		return false
 	}
@@ -86,7 +88,7 @@
 	return true
 }
 
-// close writes what waits and ends the writer; later lines count as left out.
+// close writes the queued lines and stops the writer. Lines written later count as dropped.
 func (w *Writer) close() {
 	w.mu.Lock()
 	if !w.closed {
@@ -97,41 +99,42 @@
 	<-w.done
 }
 
-// maxBatch is the size from which a write to the output takes no more lines, in bytes:
-// some hundred lines, so that a busy router makes few system calls for its log.
-const maxBatch = 32 << 10
+// maxBatchBytes is the batch size at which no more lines are added to a write: some hundred lines,
+// so that a busy router makes few system calls for its log.
+const maxBatchBytes = 32 << 10
 
-// tellEvery is how often at most it is told that lines were left out: once a second says as
-// much as once a batch, of which a pressed router writes hundreds.
-const tellEvery = time.Second
+// droppedReportInterval is the minimum interval between log lines that report dropped lines. An
+// overloaded router writes hundreds of batches per second, and a report per batch would add no
+// information.
+const droppedReportInterval = time.Second
 
-// run writes lines until the writer is closed and nothing waits.
+// run writes lines in batches until the writer is closed and the queue is empty.
 func (w *Writer) run() {
 	defer close(w.done)
-	var told uint64
-	var toldAt time.Time
+	var reported uint64
+	var reportedAt time.Time
 	for line := range w.lines {
-		batch := w.gather(line)
-		if dropped := w.Dropped(); dropped > told && w.clock().Sub(toldAt) >= tellEvery {
-			batch = appendLeftOut(batch, dropped-told)
-			told, toldAt = dropped, w.clock()
+		batch := w.collectBatch(line)
+		if dropped := w.Dropped(); dropped > reported && w.clock().Sub(reportedAt) >= droppedReportInterval {
+			batch = appendDropped(batch, dropped-reported)
+			reported, reportedAt = dropped, w.clock()
 		}
-		// There is nobody to tell that logs cannot be written.
+		// The error is ignored: a failure of the log output cannot be logged.
 		_, _ = w.out.Write(batch)
 	}
-	if dropped := w.Dropped(); dropped > told {
-		_, _ = w.out.Write(appendLeftOut(nil, dropped-told))
+	if dropped := w.Dropped(); dropped > reported {
+		_, _ = w.out.Write(appendDropped(nil, dropped-reported))
 	}
 }
 
-// appendLeftOut appends the line that tells how many lines were left out.
-func appendLeftOut(batch []byte, lines uint64) []byte {
+// appendDropped appends a log line with the number of dropped lines.
+func appendDropped(batch []byte, lines uint64) []byte {
 	return fmt.Appendf(batch, `{"level":"warn","msg":"log lines left out","lines":%d}`+"\n", lines)
 }
 
-// gather adds the lines that wait already to a first one.
-func (w *Writer) gather(batch []byte) []byte {
-	for len(batch) < maxBatch {
+// collectBatch appends the lines that are already queued to the batch, up to maxBatchBytes.
+func (w *Writer) collectBatch(batch []byte) []byte {
+	for len(batch) < maxBatchBytes {
 		select {
 		case line, ok := <-w.lines:
 			if !ok {
--- a/internal/oper/telem/writer_test.go
+++ b/internal/oper/telem/writer_test.go
@@ -11,25 +11,26 @@
 	"valescale/internal/oper/telem"
 )
 
-// stuck is an output that takes nothing until it is let go.
-type stuck struct {
+// blockedWriter is an output whose writes block until release is closed.
+type blockedWriter struct {
 	release chan struct{}
 	mu      sync.Mutex
-	got     bytes.Buffer
+	written bytes.Buffer
 }
 
-func (s *stuck) Write(p []byte) (int, error) {
+func (s *blockedWriter) Write(p []byte) (int, error) {
 	<-s.release
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.got.Write(p)
+	return s.written.Write(p)
 }
 
-// A stuck output never holds up who logs; what does not fit is left out and counted.
+// A blocked log output, such as a full pipe, would block every request that logs a line. Lines
+// beyond the queue are dropped and counted instead.
 func TestWriterNeverBlocks(t *testing.T) {
-	out := &stuck{release: make(chan struct{})}
+	out := &blockedWriter{release: make(chan struct{})}
 	now := time.Unix(1000, 0)
-	w, flush := telem.NewWriter(out, telem.Volume{Queue: 10, PerSecond: 1000, Burst: 1000}, func() time.Time { return now })
+	w, flush := telem.NewWriter(out, telem.WriterLimits{Queue: 10, PerSecond: 1000, Burst: 1000}, func() time.Time { return now })
 	for i := range 100 {
 		if _, err := fmt.Fprintf(w, "line %d\n", i); err != nil {
 			t.Fatal(err)
@@ -37,23 +38,23 @@
 	}
 	dropped := w.Dropped()
 	if dropped < 80 {
-		t.Errorf("%d of 100 lines are left out with room for 10", dropped)
+		t.Errorf("dropped %d of 100 lines with a queue of 10, want at least 80", dropped)
 	}
 	close(out.release)
 	flush()
-	text := out.got.String()
-	if got := strings.Count(text, "line "); uint64(got) != 100-dropped {
-		t.Errorf("%d lines are written and %d left out of 100", got, dropped)
+	text := out.written.String()
+	if lines := strings.Count(text, "line "); uint64(lines) != 100-dropped {
+		t.Errorf("wrote %d lines and dropped %d of 100", lines, dropped)
 	}
 	if !strings.Contains(text, fmt.Sprintf(`"lines":%d`, dropped)) {
-		t.Errorf("the lines left out are not told of in %q", text)
+		t.Errorf("no report of the dropped lines in %q", text)
 	}
 }
 
-func TestWriterBoundsItsRate(t *testing.T) {
+func TestWriterLimitsItsRate(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
-	w, flush := telem.NewWriter(&out, telem.Volume{Queue: 1000, PerSecond: 10, Burst: 20}, func() time.Time { return now })
+	w, flush := telem.NewWriter(&out, telem.WriterLimits{Queue: 1000, PerSecond: 10, Burst: 20}, func() time.Time { return now })
 	write := func(n int) {
 		for range n {
 			_, _ = fmt.Fprintln(w, "line")
@@ -63,7 +64,7 @@
 	now = now.Add(time.Second)
 	write(50)
 	flush()
-	if got := strings.Count(out.String(), "line\n"); got != 30 {
-		t.Errorf("%d lines are written, want 20 at once and 10 after a second", got)
+	if lines := strings.Count(out.String(), "line\n"); lines != 30 {
+		t.Errorf("wrote %d lines, want 30: 20 at once and 10 after a second", lines)
 	}
 }
