--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -39,7 +39,7 @@
 	requests     *prometheus.CounterVec
 	waitTime     *prometheus.HistogramVec
 	firstByte    *prometheus.HistogramVec
-	placements   *prometheus.CounterVec
+	warm         *prometheus.CounterVec
 	retries      prometheus.Counter
 	policyFaults prometheus.Counter
 	comparer     Comparer
@@ -60,14 +60,14 @@
 			Name: "valescale_first_byte_seconds", Help: "Time until the caller got the answer's first byte.",
 			Buckets: prometheus.ExponentialBuckets(0.001, 2, 16),
 		}, []string{"service"}),
-		placements: prometheus.NewCounterVec(prometheus.CounterOpts{
+		warm: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valescale_placements_total", Help: "Requests placed, by whether the chat ran there before.",
 		}, []string{"service", "warm"}),
 		retries:      prometheus.NewCounter(prometheus.CounterOpts{Name: "valescale_retries_total", Help: "Attempts after the first."}),
 		policyFaults: prometheus.NewCounter(prometheus.CounterOpts{Name: "valescale_policy_faults_total", Help: "Decisions for which a policy's program failed and the strictest value was used."}),
 		comparer:     comparer,
 	}
-	m.registry.MustRegister(m.requests, m.waitTime, m.firstByte, m.placements, m.retries, m.policyFaults)
+	m.registry.MustRegister(m.requests, m.waitTime, m.firstByte, m.warm, m.retries, m.policyFaults)
 	m.gauge("valescale_revision", "Configuration revision in force.", g.Revision)
 	m.gauge("valescale_store_up", "Whether the latest call to the table service was answered.", g.StoreUp)
 	m.gauge("valescale_ready", "Whether this router wants requests.", g.Ready)
@@ -109,7 +109,7 @@
 		if f.Warm {
 			warm = "yes"
 		}
-		m.placements.WithLabelValues(service, warm).Inc()
+		m.warm.WithLabelValues(service, warm).Inc()
 	}
 	if f.FirstByte > 0 {
 		m.firstByte.WithLabelValues(service).Observe(f.FirstByte.Seconds())
--- a/internal/oper/telem/writer_test.go
+++ b/internal/oper/telem/writer_test.go
@@ -43,8 +43,8 @@
 	close(out.release)
 	flush()
 	text := out.written.String()
-	if lines := strings.Count(text, "line "); uint64(lines) != 100-dropped {
-		t.Errorf("wrote %d lines and dropped %d of 100", lines, dropped)
+	if written := strings.Count(text, "line "); uint64(written) != 100-dropped {
+		t.Errorf("wrote %d lines and dropped %d of 100", written, dropped)
 	}
 	if !strings.Contains(text, fmt.Sprintf(`"lines":%d`, dropped)) {
 		t.Errorf("no report of the dropped lines in %q", text)
