--- a/internal/oper/cmds/change.go
+++ b/internal/oper/cmds/change.go
@@ -14,34 +14,34 @@
 	"valescale/internal/share/peerpb"
 )
 
-// paths are the files of a command that reads documents.
-type paths struct {
-	Paths []string `positional-arg-name:"FILE" required:"1" description:"INI files, or directories of them"`
+// documentArgs contains the arguments of commands that read documents.
+type documentArgs struct {
+	Paths []string `positional-arg-name:"FILE" required:"1" description:"INI files, or directories with .ini files"`
 }
 
-// problemLine is a mistake as scripts see it.
+// problemLine is the JSON output for an invalid document.
 type problemLine struct {
 	Document string `json:"document"`
 	Message  string `json:"message"`
 }
 
-// showProblems prints mistakes and sets the exit status.
-func (r *remote) showProblems(problems []*peerpb.Problem) error {
+// printProblems prints the problems of documents and sets the exit status to ExitInvalid.
+func (r *routerOptions) printProblems(problems []*peerpb.Problem) error {
 	for _, p := range problems {
 		if r.JSON {
-			if err := r.console.print(problemLine{p.GetDocument(), p.GetMessage()}); err != nil {
+			if err := r.console.printJSON(problemLine{p.GetDocument(), p.GetMessage()}); err != nil {
 				return err
 			}
 			continue
 		}
-		r.console.say("%s", p.GetMessage())
+		r.console.printLine("%s", p.GetMessage())
 	}
-	r.console.fail(Mistakes, "%d mistakes; nothing was changed", len(problems))
+	r.console.fail(ExitInvalid, "%d errors found; nothing was changed", len(problems))
 	return nil
 }
 
-// force returns what is in force.
-func force(ctx context.Context, client peerpb.AdminServiceClient) ([]policy.Document, uint64, error) {
+// currentDocuments returns the documents in force and their revision.
+func currentDocuments(ctx context.Context, client peerpb.AdminServiceClient) ([]policy.Document, uint64, error) {
 	reply, err := client.Show(ctx, connect.NewRequest(&peerpb.ShowRequest{}))
 	if err != nil {
 		return nil, 0, fault.New("cmds.force", Refused, err)
@@ -49,18 +49,18 @@
 	return admin.DecodeDocuments(reply.Msg.GetDocuments()), reply.Msg.GetRevision(), nil
 }
 
-// checkCommand checks documents.
+// checkCommand validates documents.
 type checkCommand struct {
-	remote
-	Offline bool  `long:"offline" description:"check the documents by themselves, without a router"`
-	Args    paths `positional-args:"yes" required:"yes"`
+	routerOptions
+	Offline bool         `long:"offline" description:"check the documents alone, without a router"`
+	Args    documentArgs `positional-args:"yes" required:"yes"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (c *checkCommand) Execute([]string) error {
 	documents, err := readDocuments(c.Args.Paths)
 	if err != nil {
-		c.console.status = Mistakes
+		c.console.status = ExitInvalid
 		return err
 	}
 	if c.Offline {
@@ -85,30 +85,30 @@
 
 func (c *checkCommand) report(problems []*peerpb.Problem, documents int) error {
 	if len(problems) > 0 {
-		return c.showProblems(problems)
+		return c.printProblems(problems)
 	}
-	c.console.say("%d documents are right", documents)
+	c.console.printLine("%d documents are valid", documents)
 	return nil
 }
 
 // diffCommand compares documents with those in force.
 type diffCommand struct {
-	remote
-	Prune bool  `long:"prune" description:"also show what is in force and not in the files"`
-	Args  paths `positional-args:"yes" required:"yes"`
+	routerOptions
+	Prune bool         `long:"prune" description:"also show documents that are in force but not in the files"`
+	Args  documentArgs `positional-args:"yes" required:"yes"`
 }
 
-// diffLine is a difference as scripts see it.
+// diffLine is the JSON output for a changed document.
 type diffLine struct {
 	Document string   `json:"document"`
 	Lines    []string `json:"lines"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (d *diffCommand) Execute([]string) error {
 	documents, err := readDocuments(d.Args.Paths)
 	if err != nil {
-		d.console.status = Mistakes
+		d.console.status = ExitInvalid
 		return err
 	}
 	client, ctx, cancel, err := d.client()
@@ -116,48 +116,48 @@
 		return err
 	}
 	defer cancel()
-	now, _, err := force(ctx, client)
+	current, _, err := currentDocuments(ctx, client)
 	if err != nil {
 		return err
 	}
-	changed := changes(documents, now, d.Prune)
+	changed := changedDocuments(documents, current, d.Prune)
 	if len(changed) > 0 {
-		d.console.status = Differs
+		d.console.status = ExitDiffers
 	}
-	return d.show(changed, now)
+	return d.printChanges(changed, current)
 }
 
-// show prints what changes would do to the documents in force.
-func (r *remote) show(changed, now []policy.Document) error {
+// printChanges prints the line differences between the documents in force and the changed ones.
+func (r *routerOptions) printChanges(changed, current []policy.Document) error {
 	before := map[policy.ID]string{}
-	for _, d := range now {
+	for _, d := range current {
 		before[d.ID] = d.Text
 	}
 	for _, d := range changed {
 		lines := lineDiff(before[d.ID], d.Text)
 		if r.JSON {
-			if err := r.console.print(diffLine{d.ID.String(), lines}); err != nil {
+			if err := r.console.printJSON(diffLine{d.ID.String(), lines}); err != nil {
 				return err
 			}
 			continue
 		}
-		r.console.say("[%s %s]\n%s", d.ID.Kind, d.ID.Name, strings.Join(lines, "\n"))
+		r.console.printLine("[%s %s]\n%s", d.ID.Kind, d.ID.Name, strings.Join(lines, "\n"))
 	}
 	return nil
 }
 
-// applyCommand puts documents in force.
+// applyCommand records documents and waits until they are in force.
 type applyCommand struct {
-	remote
-	Prune    bool          `long:"prune" description:"delete what is in force and not in the files"`
-	Note     string        `long:"note" description:"why, for the audit trail"`
-	ChangeID string        `long:"change-id" description:"id of the change; the same id again never changes twice"`
-	Base     uint64        `long:"base" description:"revision that the change was made against; default is the one in force"`
-	Wait     time.Duration `long:"wait" default:"20s" description:"how long to wait until every router has it in force"`
-	Args     paths         `positional-args:"yes" required:"yes"`
+	routerOptions
+	Prune    bool          `long:"prune" description:"delete documents that are in force but not in the files"`
+	Note     string        `long:"note" description:"reason for the change, recorded in the audit trail"`
+	ChangeID string        `long:"change-id" description:"id of the change; a repeated change with the same id is applied only once"`
+	Base     uint64        `long:"base" description:"revision that the change is based on; default is the revision in force"`
+	Wait     time.Duration `long:"wait" default:"20s" description:"maximum time to wait until the change is in force on every router"`
+	Args     documentArgs  `positional-args:"yes" required:"yes"`
 }
 
-// applyLine is an applied change as scripts see it.
+// applyLine is the JSON output for an applied change.
 type applyLine struct {
 	Revision    uint64   `json:"revision"`
 	ChangeID    string   `json:"change_id"`
@@ -165,11 +165,11 @@
 	Outstanding []string `json:"outstanding,omitempty"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (a *applyCommand) Execute([]string) error {
 	documents, err := readDocuments(a.Args.Paths)
 	if err != nil {
-		a.console.status = Mistakes
+		a.console.status = ExitInvalid
 		return err
 	}
 	client, ctx, cancel, err := a.client()
@@ -177,7 +177,7 @@
 		return err
 	}
 	defer cancel()
-	now, revision, err := force(ctx, client)
+	current, revision, err := currentDocuments(ctx, client)
 	if err != nil {
 		return err
 	}
@@ -187,36 +187,37 @@
 	if a.ChangeID == "" {
 		a.ChangeID = string(claim.NewAttempt())
 	}
-	changed := changes(documents, now, a.Prune)
+	changed := changedDocuments(documents, current, a.Prune)
 	if len(changed) == 0 {
-		a.console.say("nothing differs from revision %d", revision)
+		a.console.printLine("no differences from revision %d", revision)
 		return nil
 	}
 	reply, err := client.Apply(ctx, connect.NewRequest(&peerpb.ApplyRequest{
 		Documents: admin.EncodeDocuments(changed), Base: a.Base, ChangeId: a.ChangeID, Note: a.Note,
 	}))
 	if err != nil {
-		return fault.Newf("cmds.apply", Refused, "%v; if in doubt, run it again with --change-id %s", err, a.ChangeID)
+		return fault.Newf("cmds.apply", Refused, "%v; to retry safely, repeat the command with --change-id %s", err, a.ChangeID)
 	}
 	m := reply.Msg
 	switch {
 	case len(m.GetProblems()) > 0:
-		return a.showProblems(m.GetProblems())
+		return a.printProblems(m.GetProblems())
 	case m.GetConflict():
-		a.console.fail(Conflicted, "changed since revision %d; this is how they stand at %d:", a.Base, m.GetHead())
-		return a.show(changed, admin.DecodeDocuments(m.GetTheirs()))
+		a.console.fail(ExitConflict, "documents changed since revision %d; differences from revision %d:", a.Base, m.GetHead())
+		return a.printChanges(changed, admin.DecodeDocuments(m.GetTheirs()))
 	}
-	return a.await(ctx, client, m.GetRevision())
+	return a.awaitAccepted(ctx, client, m.GetRevision())
 }
 
-// pollAccepted is how often the command asks whether a change is accepted.
-const pollAccepted = 100 * time.Millisecond
+// acceptedPollInterval is the interval at which the command checks whether a change is accepted.
+const acceptedPollInterval = 100 * time.Millisecond
 
-// await waits until a revision is in force on every router.
-func (a *applyCommand) await(ctx context.Context, client peerpb.AdminServiceClient, revision uint64) error {
+// awaitAccepted waits until a revision is in force on every router, or until the wait time is
+// over, and prints the result.
+func (a *applyCommand) awaitAccepted(ctx context.Context, client peerpb.AdminServiceClient, revision uint64) error {
 	ctx, cancel := context.WithTimeout(ctx, a.Wait)
 	defer cancel()
-	ticker := time.NewTicker(pollAccepted)
+	ticker := time.NewTicker(acceptedPollInterval)
 	defer ticker.Stop()
 	line := applyLine{Revision: revision, ChangeID: a.ChangeID}
 	for {
@@ -229,19 +230,19 @@
 		}
 		select {
 		case <-ctx.Done():
-			a.console.status = NotAccepted
+			a.console.status = ExitNotAccepted
 		case <-ticker.C:
 			continue
 		}
 		break
 	}
 	if a.JSON {
-		return a.console.print(line)
+		return a.console.printJSON(line)
 	}
 	if line.Accepted {
-		a.console.say("revision %d is in force on every router", revision)
+		a.console.printLine("revision %d is in force on every router", revision)
 		return nil
 	}
-	a.console.say("revision %d is recorded; outstanding: %s", revision, strings.Join(line.Outstanding, ", "))
+	a.console.printLine("revision %d is recorded; outstanding routers: %s", revision, strings.Join(line.Outstanding, ", "))
 	return nil
 }
--- a/internal/oper/cmds/client.go
+++ b/internal/oper/cmds/client.go
@@ -17,8 +17,9 @@
 	"valescale/internal/share/peerpb"
 )
 
-// client returns the client of the router and a context for the whole command.
-func (r *remote) client() (peerpb.AdminServiceClient, context.Context, context.CancelFunc, error) {
+// client returns an admin client for the router, and a context with the timeout of the command.
+// The token is read from the token file, or else from VALESCALE_TOKEN.
+func (r *routerOptions) client() (peerpb.AdminServiceClient, context.Context, context.CancelFunc, error) {
 	token := os.Getenv("VALESCALE_TOKEN")
 	if r.TokenFile != "" {
 		data, err := os.ReadFile(r.TokenFile)
@@ -36,7 +37,7 @@
 		}
 		roots := x509.NewCertPool()
 		if !roots.AppendCertsFromPEM(data) {
-			return nil, nil, nil, fault.Newf("cmds.client", Unreadable, "%s holds no certificate", r.CA)
+			return nil, nil, nil, fault.Newf("cmds.client", Unreadable, "%s contains no PEM certificate", r.CA)
 		}
 		scheme = "https"
 		transport.TLSClientConfig = &tls.Config{MinVersion: tls.VersionTLS13, RootCAs: roots}
@@ -52,7 +53,8 @@
 	return c, ctx, cancel, nil
 }
 
-// readDocuments reads files, and the .ini files of directories.
+// readDocuments reads the documents of files and of the .ini files in directories. It fails if a
+// document is defined twice or if there are no documents.
 func readDocuments(paths []string) ([]policy.Document, error) {
 	var files []string
 	for _, path := range paths {
@@ -82,8 +84,8 @@
 			return nil, err
 		}
 		for _, d := range documents {
-			if other, twice := seen[d.ID]; twice {
-				return nil, fault.Newf("cmds.readDocuments", Unreadable, "%s stands in %s and in %s", d.ID, other, file)
+			if other, duplicate := seen[d.ID]; duplicate {
+				return nil, fault.Newf("cmds.readDocuments", Unreadable, "%s is defined in %s and in %s", d.ID, other, file)
 			}
 			seen[d.ID] = file
 		}
@@ -95,23 +97,23 @@
 	return out, nil
 }
 
-// changes returns the documents that differ from those in force; with prune also
-// the deletion of those that are in force and not given.
-func changes(given, force []policy.Document, prune bool) []policy.Document {
-	before := map[policy.ID]string{}
-	for _, d := range force {
-		before[d.ID] = d.Text
+// changedDocuments returns the given documents that differ from the current ones. With prune it
+// also returns deletions of the current documents that are not given.
+func changedDocuments(given, current []policy.Document, prune bool) []policy.Document {
+	currentText := map[policy.ID]string{}
+	for _, d := range current {
+		currentText[d.ID] = d.Text
 	}
 	var out []policy.Document
-	kept := map[policy.ID]bool{}
+	isGiven := map[policy.ID]bool{}
 	for _, d := range given {
-		kept[d.ID] = true
-		if text, ok := before[d.ID]; !ok || text != d.Text {
+		isGiven[d.ID] = true
+		if text, ok := currentText[d.ID]; !ok || text != d.Text {
 			out = append(out, d)
 		}
 	}
-	for _, d := range force {
-		if prune && !kept[d.ID] {
+	for _, d := range current {
+		if prune && !isGiven[d.ID] {
 			out = append(out, policy.Document{ID: d.ID, Deleted: true})
 		}
 	}
@@ -119,19 +121,19 @@
 	return out
 }
 
-// lineDiff returns the lines that differ, the old ones with a minus. Documents are
-// lines of key and value, so lines are compared as sets.
+// lineDiff returns the removed lines, prefixed with a minus sign, and the added lines, prefixed with
+// a plus sign. Documents consist of lines of a key and a value, so lines are compared as sets.
 func lineDiff(before, after string) []string {
-	old := strings.Split(strings.TrimSpace(before), "\n")
-	fresh := strings.Split(strings.TrimSpace(after), "\n")
+	oldLines := strings.Split(strings.TrimSpace(before), "\n")
+	newLines := strings.Split(strings.TrimSpace(after), "\n")
 	var out []string
-	for _, line := range old {
-		if line != "" && !slices.Contains(fresh, line) {
+	for _, line := range oldLines {
+		if line != "" && !slices.Contains(newLines, line) {
 			out = append(out, "- "+line)
 		}
 	}
-	for _, line := range fresh {
-		if line != "" && !slices.Contains(old, line) {
+	for _, line := range newLines {
+		if line != "" && !slices.Contains(oldLines, line) {
 			out = append(out, "+ "+line)
 		}
 	}
--- a/internal/oper/cmds/doc.go
+++ b/internal/oper/cmds/doc.go
@@ -1,3 +1,4 @@
-// Package cmds is the command line: it runs a router, and calls a router for the
-// operators' commands. Exit statuses are listed in exit.go and in the man page.
+// Package cmds implements the command line. It runs a router, and provides the operator commands,
+// which call the admin service of a router. Exit statuses are listed in exit.go and in the man
+// page.
 package cmds
--- a/internal/oper/cmds/exit.go
+++ b/internal/oper/cmds/exit.go
@@ -6,29 +6,29 @@
 
 // Exit statuses.
 const (
-	// Success means that what was asked for is done.
-	Success = 0
-	// Failure means that it could not be done.
-	Failure = 1
-	// Usage means that the command line is wrong.
-	Usage = 2
-	// Conflicted means that somebody else changed the same documents first.
-	Conflicted = 3
-	// NotAccepted means that a change is recorded but not in force everywhere yet.
-	NotAccepted = 4
-	// Mistakes means that documents or settings have mistakes; nothing was changed.
-	Mistakes = 5
-	// Differs means that documents differ from those in force.
-	Differs = 6
+	// ExitSuccess means that the command succeeded.
+	ExitSuccess = 0
+	// ExitFailure means that the command failed.
+	ExitFailure = 1
+	// ExitUsage means that the command line is invalid.
+	ExitUsage = 2
+	// ExitConflict means that the same documents were changed by another change first.
+	ExitConflict = 3
+	// ExitNotAccepted means that a change is recorded but not yet in force on every router.
+	ExitNotAccepted = 4
+	// ExitInvalid means that documents or settings are invalid. Nothing was changed.
+	ExitInvalid = 5
+	// ExitDiffers means that documents differ from those in force.
+	ExitDiffers = 6
 )
 
-// Kind tells this package's errors apart.
+// Kind classifies the errors of this package.
 type Kind string
 
 const (
-	// Unreadable means that a file cannot be read.
+	// Unreadable is the kind of errors from files that cannot be read or have invalid content.
 	Unreadable Kind = "unreadable"
-	// Refused means that the router did not do what was asked.
+	// Refused is the kind of errors from calls to a router that failed or were rejected.
 	Refused Kind = "refused"
 )
 
--- a/internal/oper/cmds/explain.go
+++ b/internal/oper/cmds/explain.go
@@ -10,22 +10,22 @@
 	"valescale/internal/plat/fault"
 )
 
-// explainCommand tells from logs what became of requests.
+// explainCommand prints the timeline of a request, or a summary of the lost requests, from logs.
 type explainCommand struct {
-	Request    string                   `long:"request" value-name:"ID" description:"tell this request's story instead of what was lost"`
-	Weights    map[string]float64       `long:"weight" value-name:"ROUTE:WORTH" description:"what a request of a route is worth; others count one"`
-	Objectives map[string]time.Duration `long:"objective" value-name:"ROUTE:TIME" description:"how long an answer of a route may take to its first byte"`
-	Plot       string                   `long:"plot" value-name:"FILE" description:"draw the requests answered in time and lost by second (.png, .svg or .pdf)"`
-	Most       int                      `long:"most" default:"10" description:"how many rows of each table are printed"`
+	Request    string                   `long:"request" value-name:"ID" description:"print the log lines of this request instead of a summary of lost requests"`
+	Weights    map[string]float64       `long:"weight" value-name:"ROUTE:WORTH" description:"weight of a lost request of a route; default is 1"`
+	Objectives map[string]time.Duration `long:"objective" value-name:"ROUTE:TIME" description:"maximum time to first byte of answers of a route"`
+	Plot       string                   `long:"plot" value-name:"FILE" description:"plot requests answered in time and lost requests by second (.png, .svg or .pdf)"`
+	MaxRows    int                      `long:"most" default:"10" description:"maximum number of rows of each table"`
 	JSON       bool                     `long:"json" description:"print JSON"`
 	Args       struct {
-		Files []string `positional-arg-name:"FILE" description:"logs of any number of routers; none reads standard input"`
+		Files []string `positional-arg-name:"FILE" description:"logs of one or more routers; default is standard input"`
 	} `positional-args:"yes"`
 
 	console *console
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (e *explainCommand) Execute([]string) error {
 	sources, closeAll, err := openLogs(e.Args.Files)
 	if err != nil {
@@ -33,12 +33,13 @@
 	}
 	defer closeAll()
 	if e.Request != "" {
-		return e.story(sources)
+		return e.timeline(sources)
 	}
 	return e.losses(sources)
 }
 
-// openLogs opens files, or standard input without any, and returns what closes them.
+// openLogs opens the files, or returns standard input if there are none. The returned function
+// closes the files.
 func openLogs(files []string) ([]trace.Source, func(), error) {
 	if len(files) == 0 {
 		return []trace.Source{{Name: "standard input", Reader: os.Stdin}}, func() {}, nil
@@ -47,7 +48,7 @@
 	var open []io.Closer
 	closeAll := func() {
 		for _, f := range open {
-			// It was only read.
+			// An error is of no consequence: the file was opened for reading only.
 			_ = f.Close()
 		}
 	}
@@ -63,30 +64,30 @@
 	return sources, closeAll, nil
 }
 
-// story prints one request's story.
-func (e *explainCommand) story(sources []trace.Source) error {
-	story, err := trace.ReadTimeline(sources, trace.RequestID(e.Request))
+// timeline prints the log lines of one request, sorted by time.
+func (e *explainCommand) timeline(sources []trace.Source) error {
+	timeline, err := trace.ReadTimeline(sources, trace.RequestID(e.Request))
 	if err != nil {
 		return err
 	}
-	if len(story.Events) == 0 {
-		e.console.fail(Failure, "no line names request %s; %d lines could not be read", e.Request, story.BadLines.Count)
+	if len(timeline.Events) == 0 {
+		e.console.fail(ExitFailure, "no log line for request %s; %d lines could not be parsed", e.Request, timeline.BadLines.Count)
 		return nil
 	}
 	if e.JSON {
-		return e.console.print(story)
+		return e.console.printJSON(timeline)
 	}
-	for _, s := range story.Events {
-		e.console.say("%s %s %s  %s", s.Time.Format(time.RFC3339Nano), s.Router, s.Message, strings.Join(s.Fields, " "))
+	for _, s := range timeline.Events {
+		e.console.printLine("%s %s %s  %s", s.Time.Format(time.RFC3339Nano), s.Router, s.Message, strings.Join(s.Fields, " "))
 	}
-	if story.Omitted > 0 {
-		e.console.say("%d more lines", story.Omitted)
+	if timeline.Omitted > 0 {
+		e.console.printLine("%d more lines", timeline.Omitted)
 	}
-	e.bad(story.BadLines)
+	e.badLines(timeline.BadLines)
 	return nil
 }
 
-// losses prints what was lost.
+// losses prints a summary of the lost requests.
 func (e *explainCommand) losses(sources []trace.Source) error {
 	losses, err := trace.Summarize(sources, trace.Criteria{Weights: e.Weights, Objectives: e.Objectives})
 	if err != nil {
@@ -98,57 +99,57 @@
 		}
 	}
 	if e.JSON {
-		return e.console.print(losses)
+		return e.console.printJSON(losses)
 	}
-	e.console.say("%d requests ended, %d lost, worth %.1f", losses.Ended, losses.Lost, losses.Worth)
+	e.console.printLine("%d requests ended, %d lost, worth %.1f", losses.Ended, losses.Lost, losses.Worth)
 	e.table("cause", losses.Causes)
 	e.table("route", losses.Routes)
 	e.table("workspace", losses.Workspaces)
 	e.table("router", losses.Routers)
 	e.table("target", losses.Targets)
 	e.seconds(losses.Seconds)
-	e.bad(losses.BadLines)
+	e.badLines(losses.BadLines)
 	return nil
 }
 
-// table prints the worst rows.
+// table prints the rows of a table, up to the maximum number of rows.
 func (e *explainCommand) table(name string, rows []trace.Row) {
 	if len(rows) == 0 {
 		return
 	}
-	e.console.say("\n%-28s %8s %8s %10s", name, "ended", "lost", "worth")
-	for _, row := range rows[:min(len(rows), e.Most)] {
+	e.console.printLine("\n%-28s %8s %8s %10s", name, "ended", "lost", "worth")
+	for _, row := range rows[:min(len(rows), e.MaxRows)] {
 		key := row.Key
 		if key == "" {
 			key = "(none)"
 		}
-		e.console.say("%-28s %8d %8d %10.1f", key, row.Ended, row.Lost, row.Worth)
+		e.console.printLine("%-28s %8d %8d %10.1f", key, row.Ended, row.Lost, row.Worth)
 	}
-	if more := len(rows) - e.Most; more > 0 {
-		e.console.say("%d more", more)
+	if remaining := len(rows) - e.MaxRows; remaining > 0 {
+		e.console.printLine("%d more rows", remaining)
 	}
 }
 
-// seconds prints each second in which something was lost.
+// seconds prints the seconds in which requests were lost.
 func (e *explainCommand) seconds(all []trace.Second) {
 	if len(all) == 0 {
 		return
 	}
-	e.console.say("\n%-28s %8s %8s", "second", "in time", "lost")
+	e.console.printLine("\n%-28s %8s %8s", "second", "in time", "lost")
 	for _, s := range all {
 		if s.Lost > 0 {
-			e.console.say("%-28s %8d %8d", time.Unix(s.Unix, 0).UTC().Format(time.RFC3339), s.Good, s.Lost)
+			e.console.printLine("%-28s %8d %8d", time.Unix(s.Unix, 0).UTC().Format(time.RFC3339), s.Good, s.Lost)
 		}
 	}
 }
 
-// bad prints which lines could not be read.
-func (e *explainCommand) bad(bad trace.BadLines) {
-	if bad.Count == 0 {
+// badLines prints the lines that could not be parsed.
+func (e *explainCommand) badLines(badLines trace.BadLines) {
+	if badLines.Count == 0 {
 		return
 	}
-	e.console.say("\n%d lines could not be read, the first:", bad.Count)
-	for _, b := range bad.First {
-		e.console.say("%s:%d: %s", b.Source, b.Line, b.Error)
+	e.console.printLine("\n%d lines could not be parsed, the first:", badLines.Count)
+	for _, b := range badLines.First {
+		e.console.printLine("%s:%d: %s", b.Source, b.Line, b.Error)
 	}
 }
--- a/internal/oper/cmds/look.go
+++ b/internal/oper/cmds/look.go
@@ -12,29 +12,29 @@
 	"valescale/internal/share/peerpb"
 )
 
-// message prints an answer as one line of JSON in snake case.
-func (c *console) message(m proto.Message) error {
+// printMessage prints a message as one line of JSON, with the field names of the proto file.
+func (c *console) printMessage(m proto.Message) error {
 	data, err := protojson.MarshalOptions{UseProtoNames: true, EmitUnpopulated: true}.Marshal(m)
 	if err != nil {
 		return fault.New("cmds.message", Refused, err)
 	}
-	c.say("%s", data)
+	c.printLine("%s", data)
 	return nil
 }
 
-// when is a time as people read it.
-func when(unixMS int64) string { return time.UnixMilli(unixMS).UTC().Format(time.RFC3339) }
+// formatTime formats a Unix time in milliseconds as RFC 3339 in UTC.
+func formatTime(unixMS int64) string { return time.UnixMilli(unixMS).UTC().Format(time.RFC3339) }
 
-// showCommand shows documents in force.
+// showCommand prints documents in force.
 type showCommand struct {
-	remote
+	routerOptions
 	Args struct {
 		Kind string `positional-arg-name:"KIND" description:"service, workspace or policy"`
 		Name string `positional-arg-name:"NAME"`
 	} `positional-args:"yes"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (s *showCommand) Execute([]string) error {
 	client, ctx, cancel, err := s.client()
 	if err != nil {
@@ -46,23 +46,23 @@
 		return fault.New("cmds.show", Refused, err)
 	}
 	if s.JSON {
-		return s.console.message(reply.Msg)
+		return s.console.printMessage(reply.Msg)
 	}
-	s.console.say("; revision %d", reply.Msg.GetRevision())
+	s.console.printLine("; revision %d", reply.Msg.GetRevision())
 	for _, d := range admin.DecodeDocuments(reply.Msg.GetDocuments()) {
-		s.console.say("[%s %s]\n%s", d.ID.Kind, d.ID.Name, d.Text)
+		s.console.printLine("[%s %s]\n%s", d.ID.Kind, d.ID.Name, d.Text)
 	}
 	return nil
 }
 
-// historyCommand lists changes.
+// historyCommand lists recorded changes.
 type historyCommand struct {
-	remote
+	routerOptions
 	Before uint64 `long:"before" description:"only changes before this revision"`
-	Limit  uint32 `long:"limit" default:"20" description:"how many at most"`
+	Limit  uint32 `long:"limit" default:"20" description:"maximum number of changes"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (h *historyCommand) Execute([]string) error {
 	client, ctx, cancel, err := h.client()
 	if err != nil {
@@ -75,24 +75,24 @@
 	}
 	for _, c := range reply.Msg.GetChanges() {
 		if h.JSON {
-			if err := h.console.message(c); err != nil {
+			if err := h.console.printMessage(c); err != nil {
 				return err
 			}
 			continue
 		}
-		h.console.say("%d  %s  %s  %d documents  %s", c.GetRevision(), when(c.GetUnixMs()), c.GetOperator(), len(c.GetDocuments()), c.GetNote())
+		h.console.printLine("%d  %s  %s  %d documents  %s", c.GetRevision(), formatTime(c.GetUnixMs()), c.GetOperator(), len(c.GetDocuments()), c.GetNote())
 	}
 	return nil
 }
 
-// auditCommand lists who changed what.
+// auditCommand lists the audit trail: the change of each document with its operator.
 type auditCommand struct {
-	remote
+	routerOptions
 	Before uint64 `long:"before" description:"only changes before this revision"`
-	Limit  uint32 `long:"limit" default:"20" description:"how many rows at most"`
+	Limit  uint32 `long:"limit" default:"20" description:"maximum number of rows"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (a *auditCommand) Execute([]string) error {
 	client, ctx, cancel, err := a.client()
 	if err != nil {
@@ -105,23 +105,23 @@
 	}
 	for _, row := range reply.Msg.GetRows() {
 		if a.JSON {
-			if err := a.console.message(row); err != nil {
+			if err := a.console.printMessage(row); err != nil {
 				return err
 			}
 			continue
 		}
-		a.console.say("%d  %s  %s  %s  %s", row.GetRevision(), when(row.GetUnixMs()), row.GetOperator(), row.GetDocument(), row.GetNote())
+		a.console.printLine("%d  %s  %s  %s  %s", row.GetRevision(), formatTime(row.GetUnixMs()), row.GetOperator(), row.GetDocument(), row.GetNote())
 		for _, line := range lineDiff(row.GetBefore(), row.GetAfter()) {
-			a.console.say("    %s", line)
+			a.console.printLine("    %s", line)
 		}
 	}
 	return nil
 }
 
-// statusCommand shows a router's state.
-type statusCommand struct{ remote }
+// statusCommand prints the state of a router and its membership view.
+type statusCommand struct{ routerOptions }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (s *statusCommand) Execute([]string) error {
 	client, ctx, cancel, err := s.client()
 	if err != nil {
@@ -134,18 +134,18 @@
 	}
 	m := reply.Msg
 	if s.JSON {
-		return s.console.message(m)
+		return s.console.printMessage(m)
 	}
-	s.console.say("router %s  revision %d  ready %v  store up %v", m.GetRouter(), m.GetRevision(), m.GetReady(), m.GetStoreUp())
+	s.console.printLine("router %s  revision %d  ready %v  store up %v", m.GetRouter(), m.GetRevision(), m.GetReady(), m.GetStoreUp())
 	for _, a := range m.GetAlarms() {
-		s.console.say("ALARM %s", a)
+		s.console.printLine("ALARM %s", a)
 	}
 	for _, member := range m.GetMembers() {
-		s.console.say("  router %s  %s  %s  %s  revision %d", member.GetMember().GetId(), member.GetMember().GetZone(),
+		s.console.printLine("  router %s  %s  %s  %s  revision %d", member.GetMember().GetId(), member.GetMember().GetZone(),
 			member.GetMember().GetAddr(), stateName(member.GetMember().GetState()), member.GetRevision())
 	}
 	for _, e := range m.GetEngines() {
-		s.console.say("  target %s  %s  %s  %s  in flight %d", e.GetId(), e.GetPool(), e.GetZone(), e.GetState(), e.GetInFlight())
+		s.console.printLine("  target %s  %s  %s  %s  in flight %d", e.GetId(), e.GetPool(), e.GetZone(), e.GetState(), e.GetInFlight())
 	}
 	return nil
 }
@@ -165,22 +165,22 @@
 	}
 }
 
-// shadowCommand compares a candidate with what is in force.
+// shadowCommand compares the decisions of candidate documents with those in force.
 type shadowCommand struct {
-	remote
-	Stop bool `long:"stop" description:"end the comparison after printing its counts"`
+	routerOptions
+	Stop bool `long:"stop" description:"stop the comparison after printing its counts"`
 	Args struct {
-		Paths []string `positional-arg-name:"FILE" description:"candidate documents; none prints the counts so far"`
+		Paths []string `positional-arg-name:"FILE" description:"candidate documents; without any, print the counts so far"`
 	} `positional-args:"yes"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (s *shadowCommand) Execute([]string) error {
 	request := &peerpb.ShadowRequest{Stop: s.Stop}
 	if len(s.Args.Paths) > 0 {
 		documents, err := readDocuments(s.Args.Paths)
 		if err != nil {
-			s.console.status = Mistakes
+			s.console.status = ExitInvalid
 			return err
 		}
 		request.Documents = admin.EncodeDocuments(documents)
@@ -195,27 +195,27 @@
 		return fault.New("cmds.shadow", Refused, err)
 	}
 	if s.JSON {
-		return s.console.message(reply.Msg)
+		return s.console.printMessage(reply.Msg)
 	}
-	s.console.say("%d of %d decisions differ on this router", reply.Msg.GetDiffering(), reply.Msg.GetDecisions())
+	s.console.printLine("%d of %d decisions differ on this router", reply.Msg.GetDiffering(), reply.Msg.GetDecisions())
 	for _, e := range reply.Msg.GetExamples() {
-		s.console.say("  %s", e)
+		s.console.printLine("  %s", e)
 	}
 	return nil
 }
 
-// claimCommand shows a claim or gives it back.
+// claimCommand prints or releases the claim of a request.
 type claimCommand struct {
-	remote
-	GiveBack bool   `long:"give-back" description:"give the claim back; only when it is known that the request did not run and never will"`
-	Note     string `long:"note" description:"why, for the audit trail"`
+	routerOptions
+	GiveBack bool   `long:"give-back" description:"release the claim; use only if the request certainly did not run and never will"`
+	Note     string `long:"note" description:"reason, recorded in the audit trail"`
 	Args     struct {
 		Workspace string `positional-arg-name:"WORKSPACE"`
 		Key       string `positional-arg-name:"KEY" description:"the caller's idempotency key"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (c *claimCommand) Execute([]string) error {
 	client, ctx, cancel, err := c.client()
 	if err != nil {
@@ -229,8 +229,8 @@
 		return fault.New("cmds.claim", Refused, err)
 	}
 	if c.JSON {
-		return c.console.message(reply.Msg)
+		return c.console.printMessage(reply.Msg)
 	}
-	c.console.say("%s  %s  attempt %s", reply.Msg.GetState(), when(reply.Msg.GetUnixMs()), reply.Msg.GetAttempt())
+	c.console.printLine("%s  %s  attempt %s", reply.Msg.GetState(), formatTime(reply.Msg.GetUnixMs()), reply.Msg.GetAttempt())
 	return nil
 }
--- a/internal/oper/cmds/main_test.go
+++ b/internal/oper/cmds/main_test.go
@@ -15,7 +15,7 @@
 	"valescale/internal/oper/conf"
 )
 
-// run runs a command line and returns what it printed and its exit status.
+// run runs a command line and returns its output, standard error included, and its exit status.
 func run(t *testing.T, args ...string) (string, int) {
 	t.Helper()
 	var out bytes.Buffer
@@ -32,7 +32,7 @@
 	return path
 }
 
-const first = `
+const firstDocuments = `
 [service judge]
 kind = engine
 [policy runs]
@@ -41,7 +41,7 @@
 policy = runs
 `
 
-func TestOperatorsDay(t *testing.T) {
+func TestOperatorCommands(t *testing.T) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	fast := 50 * time.Millisecond
@@ -57,35 +57,35 @@
 	}
 	t.Setenv("VALESCALE_TOKEN", fleet.OperatorToken)
 	t.Setenv("VALESCALE_ROUTER", f.Routers[0].AdminAddr())
-	file := write(t, first)
-	second := write(t, strings.Replace(first, "kind = engine", "kind = engine\nslots = 3", 1))
-	broken := write(t, strings.Replace(first, `"judge"`, `"jugde"`, 1))
+	firstFile := write(t, firstDocuments)
+	secondFile := write(t, strings.Replace(firstDocuments, "kind = engine", "kind = engine\nslots = 3", 1))
+	brokenFile := write(t, strings.Replace(firstDocuments, `"judge"`, `"jugde"`, 1))
 	steps := []struct {
 		name   string
 		args   []string
 		status int
 		want   string
 	}{
-		{"wrong mistakes", []string{"check", broken}, cmds.Mistakes, `gives "jugde", which does not exist`},
-		{"check", []string{"check", file}, cmds.Success, "3 documents are right"},
-		{"offline", []string{"check", "--offline", broken}, cmds.Mistakes, "jugde"},
-		{"apply mistakes", []string{"apply", broken}, cmds.Mistakes, "nothing was changed"},
-		{"apply", []string{"apply", "--note", "first", file}, cmds.Success, "revision 1 is in force on every router"},
-		{"apply again", []string{"apply", file}, cmds.Success, "nothing differs"},
-		{"diff", []string{"diff", second}, cmds.Differs, "+ slots = 3"},
-		{"shadow", []string{"shadow", second}, cmds.Success, "0 of 0 decisions differ"},
-		{"apply second", []string{"apply", "--json", second}, cmds.Success, `"revision":2`},
-		{"conflict", []string{"apply", "--base", "1", file}, cmds.Conflicted, "- slots = 3"},
-		{"show", []string{"show", "service", "judge"}, cmds.Success, "slots = 3"},
-		{"history", []string{"history"}, cmds.Success, "ana"},
-		{"audit", []string{"audit"}, cmds.Success, "+ slots = 3"},
-		{"status", []string{"status", "--json"}, cmds.Success, `"revision":"2"`},
-		{"no claim", []string{"claim", "bogota", "nothing"}, cmds.Failure, "there is no claim"},
-		{"prune", []string{"diff", "--prune", write(t, "[service other]\nkind = plain\n")}, cmds.Differs, "- policy = runs"},
-		{"no file", []string{"apply", "/nonexistent.ini"}, cmds.Mistakes, "nonexistent"},
-		{"usage", []string{"apply"}, cmds.Usage, "required"},
-		{"settings", []string{"settings"}, cmds.Success, "## [router]"},
-		{"man", []string{"man"}, cmds.Success, ".TH valescale"},
+		{"check mistakes", []string{"check", brokenFile}, cmds.ExitInvalid, `gives "jugde", which does not exist`},
+		{"check", []string{"check", firstFile}, cmds.ExitSuccess, "3 documents are valid"},
+		{"offline", []string{"check", "--offline", brokenFile}, cmds.ExitInvalid, "jugde"},
+		{"apply mistakes", []string{"apply", brokenFile}, cmds.ExitInvalid, "nothing was changed"},
+		{"apply", []string{"apply", "--note", "first", firstFile}, cmds.ExitSuccess, "revision 1 is in force on every router"},
+		{"apply again", []string{"apply", firstFile}, cmds.ExitSuccess, "no differences from revision 1"},
+		{"diff", []string{"diff", secondFile}, cmds.ExitDiffers, "+ slots = 3"},
+		{"shadow", []string{"shadow", secondFile}, cmds.ExitSuccess, "0 of 0 decisions differ"},
+		{"apply second", []string{"apply", "--json", secondFile}, cmds.ExitSuccess, `"revision":2`},
+		{"conflict", []string{"apply", "--base", "1", firstFile}, cmds.ExitConflict, "- slots = 3"},
+		{"show", []string{"show", "service", "judge"}, cmds.ExitSuccess, "slots = 3"},
+		{"history", []string{"history"}, cmds.ExitSuccess, "ana"},
+		{"audit", []string{"audit"}, cmds.ExitSuccess, "+ slots = 3"},
+		{"status", []string{"status", "--json"}, cmds.ExitSuccess, `"revision":"2"`},
+		{"no claim", []string{"claim", "bogota", "nothing"}, cmds.ExitFailure, "there is no claim"},
+		{"prune", []string{"diff", "--prune", write(t, "[service other]\nkind = plain\n")}, cmds.ExitDiffers, "- policy = runs"},
+		{"no file", []string{"apply", "/nonexistent.ini"}, cmds.ExitInvalid, "nonexistent"},
+		{"usage", []string{"apply"}, cmds.ExitUsage, "required"},
+		{"settings", []string{"settings"}, cmds.ExitSuccess, "## [router]"},
+		{"man", []string{"man"}, cmds.ExitSuccess, ".TH valescale"},
 	}
 	for _, s := range steps {
 		out, status := run(t, s.args...)
@@ -94,7 +94,7 @@
 		}
 	}
 	t.Setenv("VALESCALE_TOKEN", "wrong")
-	if out, status := run(t, "show"); status != cmds.Failure || !strings.Contains(out, "no known operator") {
-		t.Errorf("a wrong token: status %d\n%s", status, out)
+	if out, status := run(t, "show"); status != cmds.ExitFailure || !strings.Contains(out, "no known operator") {
+		t.Errorf("show with an invalid token: status %d\n%s", status, out)
 	}
 }
--- a/internal/oper/cmds/serve.go
+++ b/internal/oper/cmds/serve.go
@@ -13,7 +13,7 @@
 	"valescale/internal/rule/policy"
 )
 
-// serveCommand runs a router.
+// serveCommand runs a router until SIGTERM or SIGINT.
 type serveCommand struct {
 	Check bool `long:"check" description:"only check the settings"`
 	Args  struct {
@@ -23,15 +23,15 @@
 	console *console
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (s *serveCommand) Execute([]string) error {
 	settings, err := conf.Load(s.Args.Settings)
 	if err != nil {
-		s.console.status = Mistakes
+		s.console.status = ExitInvalid
 		return err
 	}
 	if s.Check {
-		s.console.say("%s: the settings are right", s.Args.Settings)
+		s.console.printLine("%s: settings are valid", s.Args.Settings)
 		return nil
 	}
 	logger := telem.NewLogger(s.console.errors, settings.LogLevel, settings.Router.ID)
@@ -40,17 +40,17 @@
 		return err
 	}
 	defer closeDaemon()
-	ctx, cancel := untilSignal()
+	ctx, cancel := signalContext()
 	defer cancel()
 	return d.Run(ctx)
 }
 
-// settingsCommand describes the settings.
+// settingsCommand prints the settings with their descriptions and defaults.
 type settingsCommand struct{ console *console }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (s *settingsCommand) Execute([]string) error {
-	s.console.say("%s", conf.Help())
+	s.console.printLine("%s", conf.Help())
 	return nil
 }
 
@@ -60,23 +60,23 @@
 	parser  *flags.Parser
 }
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (m *manCommand) Execute([]string) error {
 	m.parser.WriteManPage(m.console.out)
 	return nil
 }
 
-// tokenCommand makes a token.
+// tokenCommand generates a token and its hash.
 type tokenCommand struct{ console *console }
 
 const tokenBytes = 32
 
-// Execute runs the command.
+// Execute implements flags.Commander.
 func (t *tokenCommand) Execute([]string) error {
 	raw := make([]byte, tokenBytes)
-	// The reader never fails.
+	// crypto/rand.Read never returns an error.
 	_, _ = rand.Read(raw)
 	token := hex.EncodeToString(raw)
-	t.console.say("token        %s\ntoken_sha256 %s", token, policy.HashToken(token))
+	t.console.printLine("token        %s\ntoken_sha256 %s", token, policy.HashToken(token))
 	return nil
 }
