--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -42,9 +42,9 @@
 	// minBucketSeconds is the upper bound of the first bucket of the latency histograms: less than
 	// a round trip between availability zones.
 	minBucketSeconds = 0.001
-	// bucketFactor is the ratio between the bounds of consecutive bucketCount.
+	// bucketFactor is the ratio between the bounds of consecutive buckets.
 	bucketFactor = 2
-	// bucketCount is the number of bucketCount of a latency histogram. The last bound is 16 seconds.
+	// bucketCount is the number of buckets of a latency histogram. The last bound is 16 seconds.
 	bucketCount = 15
 )
 
--- a/internal/oper/telem/writer.go
+++ b/internal/oper/telem/writer.go
@@ -12,16 +12,16 @@
 
 // WriterLimits limits the rate and the queue of a log writer.
 type WriterLimits struct {
-	// Queue is the maximum number of lines waiting to be written.
-	Queue int
-	// PerSecond is the average rate and Burst the size of the token bucket, in lines.
-	PerSecond int
-	Burst     int
+	// MaxQueuedLines is the maximum number of lines waiting to be written.
+	MaxQueuedLines int
+	// LinesPerSecond is the rate at which the token bucket is refilled, BurstLines its size.
+	LinesPerSecond int
+	BurstLines     int
 }
 
 // DefaultVolume allows a few times the rate at which a busy router logs, which is two lines for
 // each of some hundred requests per second.
-var DefaultVolume = WriterLimits{Queue: 4096, PerSecond: 2000, Burst: 4000}
+var DefaultVolume = WriterLimits{MaxQueuedLines: 4096, LinesPerSecond: 2000, BurstLines: 4000}
 
 // Writer writes log lines in the background and never blocks the caller. It drops lines beyond
 // its limits, counts them and logs the count.
@@ -44,8 +44,8 @@
 // writer.
 func NewWriter(out io.Writer, limits WriterLimits, clock ident.Clock) (*Writer, func()) {
 	w := &Writer{
-		out: out, limits: limits, clock: clock, lines: make(chan []byte, limits.Queue), done: make(chan struct{}),
-		tokens: float64(limits.Burst), refilledAt: clock(),
+		out: out, limits: limits, clock: clock, lines: make(chan []byte, limits.MaxQueuedLines), done: make(chan struct{}),
+		tokens: float64(limits.BurstLines), refilledAt: clock(),
 	}
 	go w.run()
 	return w, w.close
@@ -80,7 +80,7 @@
 	now := w.clock()
 	elapsed := now.Sub(w.refilledAt).Seconds()
 	w.refilledAt = now
-	w.tokens = min(w.tokens+max(elapsed, 0)*float64(w.limits.PerSecond), float64(w.limits.Burst))
+	w.tokens = min(w.tokens+max(elapsed, 0)*float64(w.limits.LinesPerSecond), float64(w.limits.BurstLines))
 	if w.tokens < 1 {
 		return false
 	}
--- a/internal/oper/telem/writer_test.go
+++ b/internal/oper/telem/writer_test.go
@@ -30,7 +30,7 @@
 func TestWriterNeverBlocks(t *testing.T) {
 	out := &blockedWriter{release: make(chan struct{})}
 	now := time.Unix(1000, 0)
-	w, flush := telem.NewWriter(out, telem.WriterLimits{Queue: 10, PerSecond: 1000, Burst: 1000}, func() time.Time { return now })
+	w, flush := telem.NewWriter(out, telem.WriterLimits{MaxQueuedLines: 10, LinesPerSecond: 1000, BurstLines: 1000}, func() time.Time { return now })
 	for i := range 100 {
 		if _, err := fmt.Fprintf(w, "line %d\n", i); err != nil {
 			t.Fatal(err)
@@ -54,7 +54,7 @@
 func TestWriterLimitsItsRate(t *testing.T) {
 	var out bytes.Buffer
 	now := time.Unix(1000, 0)
-	w, flush := telem.NewWriter(&out, telem.WriterLimits{Queue: 1000, PerSecond: 10, Burst: 20}, func() time.Time { return now })
+	w, flush := telem.NewWriter(&out, telem.WriterLimits{MaxQueuedLines: 1000, LinesPerSecond: 10, BurstLines: 20}, func() time.Time { return now })
 	write := func(n int) {
 		for range n {
 			_, _ = fmt.Fprintln(w, "line")
