--- a/internal/fake/asleep/asleep.go
+++ b/internal/fake/asleep/asleep.go
@@ -5,12 +5,13 @@
 	"unsafe"
 )
 
-// second is a second of the time of day in the first word of a time.Time with a steady reading: 30 bits
-// of nanoseconds come below it.
-const second = 1 << 30
+// wallSecond is one wallSecond in the first word of a time.Time that has a monotonic reading: the word's
+// low 30 bits hold the nanoseconds of the wall clock.
+const wallSecond = 1 << 30
 
-// For returns what a clock reads that read t before a suspension of some whole seconds.
+// For returns the time that a clock reads after a suspension of the given number of whole seconds, if it
+// read t before. The wall clock of t has to be paired with a monotonic reading.
 func For(t time.Time, seconds uint64) time.Time {
-	*(*uint64)(unsafe.Pointer(&t)) += seconds * second
+	*(*uint64)(unsafe.Pointer(&t)) += seconds * wallSecond
 	return t
 }
--- a/internal/fake/asleep/doc.go
+++ b/internal/fake/asleep/doc.go
@@ -1,3 +1,3 @@
-// Package asleep makes the times that a box reads after it has been suspended: the time of day has moved
-// on, the steady clock has not. No function of the standard library gives such a time.
+// Package asleep returns the times that a box reads after it has been suspended: the wall clock has
+// advanced, the monotonic clock has not. No function of the standard library returns such a time.
 package asleep
--- a/internal/fake/listen/doc.go
+++ b/internal/fake/listen/doc.go
@@ -1,2 +1,2 @@
-// Package listen serves a test's connections one by one, byte by byte.
+// Package listen provides TCP listeners for tests that control individual connections and their bytes.
 package listen
--- a/internal/fake/listen/mute.go
+++ b/internal/fake/listen/mute.go
@@ -7,40 +7,41 @@
 	"testing"
 )
 
-// Mute passes connections on to a server. Once severed, the open ones bring nothing more,
-// without a reset, while new ones work.
-type Mute struct {
-	// Addr is where it listens.
+// StallingProxy is a TCP proxy whose connections can be made to stall: they stay open without a reset
+// and deliver nothing more, while new connections work.
+type StallingProxy struct {
+	// Addr is the address that the proxy listens on.
 	Addr string
-	// severed counts how often the connections open at the time were severed.
-	severed atomic.Int64
+	// stalls is the number of calls to Sever. A connection stalls once it differs from the number at
+	// which the connection was accepted.
+	stalls atomic.Int64
 }
 
-// NewMute returns a Mute before a server until the test ends.
-func NewMute(t *testing.T, to string) *Mute {
+// NewMute returns a StallingProxy to the server at an address. It accepts connections until the test ends.
+func NewMute(t *testing.T, to string) *StallingProxy {
 	t.Helper()
-	m := &Mute{}
-	m.Addr = Conns(t, func(from net.Conn) { m.pass(from, to) })
-	return m
+	p := &StallingProxy{}
+	p.Addr = Conns(t, func(from net.Conn) { p.proxy(from, to) })
+	return p
 }
 
-// Sever has the connections that are open now fall silent for good.
-func (m *Mute) Sever() { m.severed.Add(1) }
+// Sever stalls all connections that are open now for good.
+func (p *StallingProxy) Sever() { p.stalls.Add(1) }
 
-// pass carries one connection's bytes both ways.
-func (m *Mute) pass(from net.Conn, to string) {
-	born := m.severed.Load()
+// proxy forwards the bytes of one connection in both directions.
+func (p *StallingProxy) proxy(from net.Conn, to string) {
+	generation := p.stalls.Load()
 	server, err := net.Dial("tcp", to)
 	if err != nil {
 		_ = from.Close()
 		return
 	}
-	go m.copy(server, from, born)
-	m.copy(from, server, born)
+	go p.copy(server, from, generation)
+	p.copy(from, server, generation)
 }
 
-// copy carries bytes one way until the connection is severed or ends.
-func (m *Mute) copy(to, from net.Conn, born int64) {
+// copy forwards bytes in one direction until the connection stalls or is closed.
+func (p *StallingProxy) copy(to, from net.Conn, generation int64) {
 	buffer := make([]byte, 4096)
 	for {
 		n, err := from.Read(buffer)
@@ -48,8 +49,8 @@
 			_ = to.Close()
 			return
 		}
-		if m.severed.Load() != born {
-			// The bytes are lost, and nobody is told.
+		if p.stalls.Load() != generation {
+			// The bytes are dropped, and neither end gets a reset.
 			_, _ = io.Copy(io.Discard, from)
 			return
 		}
--- a/internal/fake/scarce/doc.go
+++ b/internal/fake/scarce/doc.go
@@ -1,2 +1,2 @@
-// Package scarce takes from a test's own process what a router may run out of.
+// Package scarce exhausts resources of a test's own process that a router can run out of.
 package scarce
--- a/internal/fake/sched/doc.go
+++ b/internal/fake/sched/doc.go
@@ -1,3 +1,3 @@
-// Package sched walks tests through random schedules: the same few in CI, many
-// with SCHEDULES set in the environment.
+// Package sched runs tests with random schedules: the same few in CI, and as many as the environment
+// variable SCHEDULES states if it is set.
 package sched
--- a/internal/fake/sched/sched.go
+++ b/internal/fake/sched/sched.go
@@ -10,10 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// perCheck is how many schedules one check of the library stands for by default.
-const perCheck = 100
+// schedulesPerCheck is the number of iterations that rapid.Check runs by default.
+const schedulesPerCheck = 100
 
-// Main runs a package's tests with the same schedules every time, unless a seed is asked for.
+// Main runs a package's tests. The schedules are the same in every run unless the flag rapid.seed sets a seed.
 func Main(m *testing.M) {
 	flag.Parse()
 	if seed := flag.Lookup("rapid.seed"); seed.Value.String() == "0" {
@@ -22,25 +22,24 @@
 	os.Exit(m.Run())
 }
 
-// wanted is how many schedules SCHEDULES asks for, zero if it says nothing.
-func wanted() int {
-	// What is no number asks for nothing.
+// schedulesFromEnv returns the number of schedules that SCHEDULES states, or zero if it is unset or not a number.
+func schedulesFromEnv() int {
 	n, _ := strconv.Atoi(os.Getenv("SCHEDULES"))
 	return n
 }
 
-// Seeds is how many seeds of a model to play: as many as SCHEDULES says, or the usual number.
-func Seeds(usual int) uint64 { return uint64(cmp.Or(wanted(), usual)) }
+// Seeds returns the number of seeds to run a model with: the value of SCHEDULES, or defaultCount if it is unset.
+func Seeds(defaultCount int) uint64 { return uint64(cmp.Or(schedulesFromEnv(), defaultCount)) }
 
-// Walk walks schedules: as many as SCHEDULES says, or a hundred.
-func Walk(t *testing.T, walk func(*rapid.T)) {
-	times := max(wanted()/perCheck, 1)
-	walked := 0
+// Walk runs a test with as many schedules as SCHEDULES states, in whole hundreds, and at least a hundred.
+func Walk(t *testing.T, run func(*rapid.T)) {
+	perIteration := max(schedulesFromEnv()/schedulesPerCheck, 1)
+	ran := 0
 	rapid.Check(t, func(r *rapid.T) {
-		for range times {
-			walked++
-			walk(r)
+		for range perIteration {
+			ran++
+			run(r)
 		}
 	})
-	t.Logf("walked %d schedules", walked)
+	t.Logf("ran %d schedules", ran)
 }
--- a/internal/fake/store/client.go
+++ b/internal/fake/store/client.go
@@ -9,49 +9,50 @@
 	"valescale/internal/plat/table"
 )
 
-// Client is one router's client of a stand-in: like the client over HTTP it hears of the store's era with
-// the answers that it gets.
+// Client is one router's client of a fake store. Like the client over HTTP, it receives the store's era
+// with each response.
 type Client struct {
 	*table.Eras
 	store *Store
 }
 
-// NewClient returns a client that has heard nothing yet.
+// NewClient returns a client that has not received an era yet.
 func NewClient(s *Store) *Client {
 	return &Client{Eras: table.NewEras(log.NewNopLogger()), store: s}
 }
 
-// Commit applies a transaction.
+// Commit applies a transaction atomically.
 func (c *Client) Commit(ctx context.Context, txn table.Txn) error {
-	began := c.Now()
+	before := c.Now()
 	err := c.store.Commit(ctx, txn)
-	c.hear(began, err)
+	c.observeEra(before, err)
 	return err
 }
 
-// Get reads one row.
+// Get returns one row.
 func (c *Client) Get(ctx context.Context, name table.Name, key table.Key) (table.Row, error) {
-	began := c.Now()
+	before := c.Now()
 	row, err := c.store.Get(ctx, name, key)
-	row.Era = c.hear(began, err)
+	row.Era = c.observeEra(before, err)
 	return row, err
 }
 
-// Scan reads rows in key order.
+// Scan returns rows in key order.
 func (c *Client) Scan(ctx context.Context, r table.Range) ([]table.Row, error) {
-	began := c.Now()
+	before := c.Now()
 	rows, err := c.store.Scan(ctx, r)
-	era := c.hear(began, err)
+	era := c.observeEra(before, err)
 	for i := range rows {
 		rows[i].Era = era
 	}
 	return rows, err
 }
 
-// hear takes in an answer's era. A call that was not answered tells none.
-func (c *Client) hear(began table.Era, err error) table.Era {
+// observeEra records the era of a response and returns it. A call without a response has no era: the one from
+// before the call is returned.
+func (c *Client) observeEra(before table.Era, err error) table.Era {
 	if kind := table.KindOf(err); kind == table.Unavailable || kind == table.Unknown {
-		return began
+		return before
 	}
-	return c.Of(strconv.FormatUint(uint64(c.store.Era()), 10), began)
+	return c.Of(strconv.FormatUint(uint64(c.store.Era()), 10), before)
 }
--- a/internal/fake/store/http.go
+++ b/internal/fake/store/http.go
@@ -12,10 +12,10 @@
 	"valescale/internal/plat/table"
 )
 
-// maxBody bounds a request to the stand-in, in bytes.
-const maxBody = 64 << 20
+// maxBodyBytes is the maximum size of a request's body, in bytes.
+const maxBodyBytes = 64 << 20
 
-// Handler serves the platform's protocols over HTTP.
+// Handler serves the platform's protocols over HTTP. Each response includes the store's era.
 func (s *Store) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/commit", s.serveCommit)
@@ -32,16 +32,16 @@
 
 func (s *Store) serveCommit(w http.ResponseWriter, r *http.Request) {
 	var txn table.Txn
-	if err := json.NewDecoder(io.LimitReader(r.Body, maxBody)).Decode(&txn); err != nil {
+	if err := json.NewDecoder(io.LimitReader(r.Body, maxBodyBytes)).Decode(&txn); err != nil {
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	reply(w, struct{}{}, s.Commit(r.Context(), txn))
+	writeResult(w, struct{}{}, s.Commit(r.Context(), txn))
 }
 
 func (s *Store) serveRow(w http.ResponseWriter, r *http.Request) {
 	row, err := s.Get(r.Context(), table.Name(r.FormValue("table")), table.Key(r.FormValue("key")))
-	reply(w, row, err)
+	writeResult(w, row, err)
 }
 
 func (s *Store) serveScan(w http.ResponseWriter, r *http.Request) {
@@ -51,7 +51,7 @@
 		From:  table.Key(r.FormValue("from")),
 		Limit: limit,
 	})
-	reply(w, rows, err)
+	writeResult(w, rows, err)
 }
 
 func (s *Store) serveBoxes(w http.ResponseWriter, r *http.Request) {
@@ -75,7 +75,7 @@
 }
 
 func (s *Store) servePutObject(w http.ResponseWriter, r *http.Request) {
-	data, err := io.ReadAll(io.LimitReader(r.Body, maxBody))
+	data, err := io.ReadAll(io.LimitReader(r.Body, maxBodyBytes))
 	if err != nil {
 		w.WriteHeader(http.StatusBadRequest)
 		return
@@ -103,7 +103,7 @@
 	}
 }
 
-func reply(w http.ResponseWriter, value any, err error) {
+func writeResult(w http.ResponseWriter, value any, err error) {
 	switch table.KindOf(err) {
 	case table.Conflict:
 		w.WriteHeader(http.StatusConflict)
--- a/internal/fake/store/store.go
+++ b/internal/fake/store/store.go
@@ -16,73 +16,77 @@
 	key   table.Key
 }
 
-// Store is the stand-in; its methods match those of the platform's clients.
+// Store is a fake of the platform. Its methods match those of the platform's clients.
 type Store struct {
 	mu      sync.Mutex
 	rows    map[rowKey]table.Row
 	objects map[string][]byte
 	boxes   []boxes.Box
 	down    bool
-	// downAfter is how many more commits take effect before the store goes down; negative never.
-	downAfter int
-	lose      int
-	frozen    map[rowKey]table.Row
-	commits   int
-	puts      int
-	beforeTx  func(table.Txn)
-	// era rises each time the store comes back from an older copy.
+	// commitsUntilDown is the number of commits that still take effect before the store goes down; if it is
+	// negative, the store stays up.
+	commitsUntilDown int
+	// responsesToLose is the number of commits that still take effect but return Unknown.
+	responsesToLose int
+	// frozenRows, if it is not nil, is the state that reads return.
+	frozenRows   map[rowKey]table.Row
+	commits      int
+	rowWrites    int
+	beforeCommit func(table.Txn)
+	// era is incremented each time the store is restored from an older snapshot.
 	era table.Era
 }
 
 // New returns an empty store that is up.
 func New() *Store {
-	return &Store{rows: map[rowKey]table.Row{}, objects: map[string][]byte{}, downAfter: -1, era: 1}
+	return &Store{rows: map[rowKey]table.Row{}, objects: map[string][]byte{}, commitsUntilDown: -1, era: 1}
 }
 
-// DownAfterCommits lets n more commits take effect and then takes the store down.
+// DownAfterCommits makes the store go down after n more commits have taken effect.
 func (s *Store) DownAfterCommits(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.downAfter = n
+	s.commitsUntilDown = n
 }
 
-// SetDown makes every call fail without effect, or stops that.
+// SetDown makes every call fail without effect if down is set, and succeed again otherwise.
 func (s *Store) SetDown(down bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.down = down
 }
 
-// LoseAnswers makes the next n commits take effect and then answer Unknown.
+// LoseAnswers makes the next n commits take effect and return Unknown, as if their responses were lost.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.lose = n
+	s.responsesToLose = n
 }
 
-// FreezeReads makes reads answer from the present state until thawed, as a stale replica would.
+// FreezeReads makes reads return the current state, as a stale replica would, until it is called with
+// freeze unset.
 func (s *Store) FreezeReads(freeze bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.frozen = nil
+	s.frozenRows = nil
 	if !freeze {
 		return
 	}
-	s.frozen = maps.Clone(s.rows)
+	s.frozenRows = maps.Clone(s.rows)
 }
 
-// Copy is the rows of a store at one moment.
+// Copy is a snapshot of a store's rows.
 type Copy map[rowKey]table.Row
 
-// Copy returns the present rows, for the store to come back from.
+// Copy returns a snapshot of the rows, from which SetBack can restore the store.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.rows)
 }
 
-// SetBack has the store come back from a copy: what was written since is lost, versions are given out
-// again, and the era rises.
+// SetBack restores the store from a snapshot: later writes are lost, their versions are assigned again,
+// and the era is incremented.
 func (s *Store) SetBack(to Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -90,18 +94,18 @@
 	s.era++
 }
 
-// Era is the store's era.
+// Era returns the store's era.
 func (s *Store) Era() table.Era {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.era
 }
 
-// BeforeCommit sets a hook that runs ahead of each commit, outside the lock.
+// BeforeCommit sets a hook that runs before each commit, without holding the lock.
 func (s *Store) BeforeCommit(hook func(table.Txn)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.beforeTx = hook
+	s.beforeCommit = hook
 }
 
 // SetBoxes replaces the list of boxes.
@@ -111,18 +115,18 @@
 	s.boxes = append([]boxes.Box(nil), list...)
 }
 
-// Writes returns the numbers of transactions and of rows written.
+// Writes returns the number of committed transactions and the number of rows that they put or deleted.
 func (s *Store) Writes() (commits, rows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.commits, s.puts
+	return s.commits, s.rowWrites
 }
 
-// Commit applies a transaction all or none.
+// Commit applies a transaction atomically. It returns Conflict if a check does not match.
 func (s *Store) Commit(_ context.Context, txn table.Txn) error {
 	const op = "store.Commit"
 	s.mu.Lock()
-	hook := s.beforeTx
+	hook := s.beforeCommit
 	s.mu.Unlock()
 	if hook != nil {
 		hook(txn)
@@ -141,19 +145,19 @@
 		s.put(p)
 	}
 	s.commits++
-	if s.downAfter > 0 {
-		s.downAfter--
-		s.down = s.down || s.downAfter == 0
+	if s.commitsUntilDown > 0 {
+		s.commitsUntilDown--
+		s.down = s.down || s.commitsUntilDown == 0
 	}
-	if s.lose > 0 {
-		s.lose--
+	if s.responsesToLose > 0 {
+		s.responsesToLose--
 		return fault.New(op, table.Unknown, nil)
 	}
 	return nil
 }
 
 func (s *Store) put(p table.Put) {
-	s.puts++
+	s.rowWrites++
 	k := rowKey{p.Table, p.Key}
 	if p.Delete {
 		delete(s.rows, k)
@@ -163,7 +167,7 @@
 	s.rows[k] = table.Row{Table: p.Table, Key: p.Key, Version: s.rows[k].Version + 1, Value: value}
 }
 
-// Get reads one row.
+// Get returns one row.
 func (s *Store) Get(_ context.Context, name table.Name, key table.Key) (table.Row, error) {
 	const op = "store.Get"
 	s.mu.Lock()
@@ -171,14 +175,14 @@
 	if s.down {
 		return table.Row{}, fault.New(op, table.Unavailable, nil)
 	}
-	row, ok := s.readable()[rowKey{name, key}]
+	row, ok := s.visibleRows()[rowKey{name, key}]
 	if !ok {
 		return table.Row{}, fault.New(op, table.Missing, nil)
 	}
 	return row, nil
 }
 
-// Scan reads rows in key order.
+// Scan returns rows in key order.
 func (s *Store) Scan(_ context.Context, r table.Range) ([]table.Row, error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -186,7 +190,7 @@
 		return nil, fault.New("store.Scan", table.Unavailable, nil)
 	}
 	var out []table.Row
-	for k, row := range s.readable() {
+	for k, row := range s.visibleRows() {
 		if k.table == r.Table && k.key >= r.From {
 			out = append(out, row)
 		}
@@ -198,9 +202,9 @@
 	return out, nil
 }
 
-func (s *Store) readable() map[rowKey]table.Row {
-	if s.frozen != nil {
-		return s.frozen
+func (s *Store) visibleRows() map[rowKey]table.Row {
+	if s.frozenRows != nil {
+		return s.frozenRows
 	}
 	return s.rows
 }
