--- a/internal/fake/fleet/backoff_test.go
+++ b/internal/fake/fleet/backoff_test.go
@@ -34,12 +34,12 @@
 	if refusing.Counts().Served == 0 {
 		t.Fatal("the engine got nothing before it was refusing")
 	}
-	refusing.BackOff(backoff)
+	refusing.SetBackoff(backoff)
 	ask("during", 30)
-	if got := refusing.Counts().Refused; got != 1 {
+	if got := refusing.Counts().Rejected; got != 1 {
 		t.Errorf("%d requests reached an engine that asked for %v of backoff, want the one that it turned away", got, backoff)
 	}
-	refusing.BackOff(0)
+	refusing.SetBackoff(0)
 	<-time.After(backoff)
 	before := refusing.Counts().Served
 	ask("after", 30)
--- a/internal/fake/fleet/caller.go
+++ b/internal/fake/fleet/caller.go
@@ -23,23 +23,23 @@
 	"valescale/internal/share/peerpb"
 )
 
-var silent = stdlog.New(io.Discard, "", 0)
+var discardLog = stdlog.New(io.Discard, "", 0)
 
-// Caller sends requests as a workspace.
+// Caller sends requests with the token of a workspace.
 type Caller struct {
 	HTTP  *http.Client
 	Token string
 }
 
-// Result is what a caller got.
+// Result is the response that a caller received.
 type Result struct {
 	Status  int
 	Outcome retry.Outcome
 	Code    front.Code
 	Text    string
-	// Whole is set when the answer came to its end.
+	// Whole is set if the response was received completely.
 	Whole bool
-	// IDs are the ids of a stream's events.
+	// IDs contains the ids of a stream's events.
 	IDs []string
 	Err error
 }
@@ -67,7 +67,7 @@
 	} `json:"error"`
 }
 
-// Chat asks a question in a chat and reads the answer as a stream or whole.
+// Chat sends a question in a chat and reads the answer, as a stream of events or as one JSON body.
 func (c *Caller) Chat(ctx context.Context, addr, chat, question string, words int, stream bool) Result {
 	body, _ := json.Marshal(chatBody{Model: "m", Stream: stream, MaxTokens: words, Messages: []chatMessage{{"user", question}}})
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+front.ChatPath, bytes.NewReader(body))
@@ -79,7 +79,7 @@
 	return c.do(req)
 }
 
-// Resume goes on with a stream from an event's id on.
+// Resume continues a stream after the event with the id lastID.
 func (c *Caller) Resume(ctx context.Context, addr, lastID string) Result {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+front.ChatPath, nil)
 	if err != nil {
@@ -89,7 +89,7 @@
 	return c.do(req)
 }
 
-// Order sends an order that may not be repeated, under a key.
+// Order sends an order, which must not run twice, with an idempotency key.
 func (c *Caller) Order(ctx context.Context, addr, key, body string) Result {
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+addr+"/orders", strings.NewReader(body))
 	if err != nil {
@@ -99,7 +99,7 @@
 	return c.do(req)
 }
 
-// Get reads a page of a plain service.
+// Get reads a path of a plain service.
 func (c *Caller) Get(ctx context.Context, addr, path string) Result {
 	req, err := http.NewRequestWithContext(ctx, http.MethodGet, "http://"+addr+path, nil)
 	if err != nil {
@@ -120,12 +120,12 @@
 	}
 	data, err := io.ReadAll(resp.Body)
 	r := Result{Status: resp.StatusCode, Outcome: retry.Outcome(resp.Header.Get(front.OutcomeHeader)), Err: err, Whole: err == nil}
-	var parsed completion
-	if json.Unmarshal(data, &parsed) == nil {
-		r.Code = parsed.Error.Code
+	var decoded completion
+	if json.Unmarshal(data, &decoded) == nil {
+		r.Code = decoded.Error.Code
 	}
-	if len(parsed.Choices) > 0 {
-		r.Text = parsed.Choices[0].Message.Content
+	if len(decoded.Choices) > 0 {
+		r.Text = decoded.Choices[0].Message.Content
 	} else {
 		r.Text = string(data)
 	}
@@ -146,16 +146,16 @@
 		case line == "data: "+relay.EndMark:
 			r.Whole = true
 		case strings.HasPrefix(line, "data: "):
-			var parsed completion
-			if json.Unmarshal([]byte(line[len("data: "):]), &parsed) != nil {
+			var decoded completion
+			if json.Unmarshal([]byte(line[len("data: "):]), &decoded) != nil {
 				continue
 			}
 			if failed {
-				r.Code, r.Outcome = parsed.Error.Code, parsed.Error.Outcome
+				r.Code, r.Outcome = decoded.Error.Code, decoded.Error.Outcome
 				continue
 			}
-			if len(parsed.Choices) > 0 {
-				r.Text += parsed.Choices[0].Delta.Content
+			if len(decoded.Choices) > 0 {
+				r.Text += decoded.Choices[0].Delta.Content
 			}
 		}
 	}
@@ -166,17 +166,17 @@
 	return r
 }
 
-// Right reports whether a result is the whole answer to a question.
+// Right reports whether a result is the complete and correct answer to a question.
 func (r Result) Right(question string, words int) bool {
 	return r.Whole && r.Status == http.StatusOK && r.Text == target.Answer(question, words)
 }
 
-// Operator changes the fleet's configuration through any router.
+// Operator changes the fleet's configuration through the admin service of a router.
 type Operator struct {
 	Client peerpb.AdminServiceClient
 }
 
-// NewOperator returns an operator who talks to the router at an admin address.
+// NewOperator returns an operator whose client calls the router with the given admin address.
 func NewOperator(client *http.Client, addr string) *Operator {
 	auth := connect.UnaryInterceptorFunc(func(next connect.UnaryFunc) connect.UnaryFunc {
 		return func(ctx context.Context, req connect.AnyRequest) (connect.AnyResponse, error) {
@@ -187,7 +187,7 @@
 	return &Operator{Client: peerpb.NewAdminServiceClient(client, "http://"+addr, connect.WithInterceptors(auth))}
 }
 
-// Apply records documents and returns their revision.
+// Apply submits the documents in text as one change and returns its revision.
 func (o *Operator) Apply(ctx context.Context, id, text string) (ident.Revision, error) {
 	documents, err := policy.Split("fleet.ini", []byte(text))
 	if err != nil {
--- a/internal/fake/fleet/fatal_test.go
+++ b/internal/fake/fleet/fatal_test.go
@@ -47,7 +47,7 @@
 	ended := func() int {
 		count := 0
 		for _, e := range b.Engines {
-			if e.Ended() {
+			if e.Crashed() {
 				count++
 			}
 		}
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -24,80 +24,81 @@
 	"valescale/internal/rule/policy"
 )
 
-// Region is the only region of a small fleet.
+// Region is the region of all routers and targets.
 const Region ident.Region = "co-central"
 
-// Zones are its availability zones.
+// Zones are the availability zones of the fleet; routers and targets are spread over them in turn.
 var Zones = []ident.Zone{"zone-a", "zone-b", "zone-c"}
 
-// OperatorToken is the token of the fleet's operator.
+// OperatorToken is the token with which the operator authenticates.
 const OperatorToken = "operator-token"
 
-// Options say how large a fleet is.
+// Options configure a fleet.
 type Options struct {
 	Routers int
 	Engines int
 	Plain   int
 	Engine  target.EngineOptions
-	// PlainTime is how long a plain request takes.
+	// PlainTime is the duration of a request to a plain service.
 	PlainTime time.Duration
 	Log       io.Writer
-	// Pace overrides how often routers do what nobody asked for; zero fields keep the default.
+	// Pace overrides the intervals of the routers' background work; zero fields keep the default.
 	Pace conf.Pace
-	// Keys gives a router's keys for talking to others; nil talks in clear text.
+	// Keys returns the TLS keys that a router uses between routers; nil means clear text.
 	Keys func(ident.Router) conf.Listener
-	// CallerKeys are a router's keys towards callers; nil serves in clear text.
+	// CallerKeys returns the TLS keys that a router uses towards callers; nil means clear text.
 	CallerKeys func(ident.Router) conf.Listener
-	// DrainDelay is how long a stopping router still takes new requests.
+	// DrainDelay is the time for which a stopping router still accepts new requests.
 	DrainDelay time.Duration
-	// Fatal is a text that ends each engine that gets a request with it; empty ends none.
+	// Fatal is a text that crashes each engine which receives a request that contains it; empty disables
+	// crashes.
 	Fatal string
 }
 
-// Engine is one running engine.
+// Engine is a fake engine of the fleet.
 type Engine struct {
 	*target.Engine
 	ID   ident.Target
 	Zone ident.Zone
 	box  boxes.Box
 	stop func()
-	// ended is set once a fatal request has ended the engine.
-	ended atomic.Bool
+	// crashed is set once a request has crashed the engine.
+	crashed atomic.Bool
 }
 
-// Router is one running router.
+// Router is a router of the fleet.
 type Router struct {
 	*daemon.Daemon
 	ID     ident.Router
 	box    boxes.Box
 	cancel context.CancelFunc
 	done   chan struct{}
-	// onLeave is called as the router begins to stop.
+	// onLeave is called when the router begins to stop.
 	onLeave func()
 }
 
-// Fleet is what runs.
+// Fleet is a running fleet.
 type Fleet struct {
-	Store   *store.Store
-	Engines []*Engine
-	Plain   []*target.Plain
-	Routers []*Router
-	options Options
-	url     string
-	mu      sync.Mutex
-	list    []boxes.Box
-	stops   []func()
+	Store     *store.Store
+	Engines   []*Engine
+	Plain     []*target.Plain
+	Routers   []*Router
+	options   Options
+	url       string
+	mu        sync.Mutex
+	boxList   []boxes.Box
+	stopFuncs []func()
 }
 
-// New starts a fleet and returns the function that ends it.
+// New starts a fleet and returns it with the function that closes it.
 func New(options Options) (*Fleet, func(), error) {
 	f := &Fleet{Store: store.New(), options: options}
-	addr, stop, err := listen(f.Store.Handler())
+	addr, stop, err := serve(f.Store.Handler())
 	if err != nil {
 		return nil, nil, err
 	}
 	f.url = "http://" + addr
-	f.stops = append(f.stops, stop)
+	f.stopFuncs = append(f.stopFuncs, stop)
 	for i := range options.Engines {
 		if err := f.addEngine(i); err != nil {
 			f.Close()
@@ -119,7 +120,7 @@
 	return f, f.Close, nil
 }
 
-// Close stops everything.
+// Close stops the routers, and then the targets and the platform.
 func (f *Fleet) Close() {
 	for _, r := range f.Routers {
 		r.cancel()
@@ -127,14 +128,14 @@
 	for _, r := range f.Routers {
 		<-r.done
 	}
-	for i := len(f.stops) - 1; i >= 0; i-- {
-		f.stops[i]()
+	for i := len(f.stopFuncs) - 1; i >= 0; i-- {
+		f.stopFuncs[i]()
 	}
-	f.stops = nil
+	f.stopFuncs = nil
 }
 
-// listen serves a handler on a port from the kernel.
-func listen(handler http.Handler) (addr string, stop func(), err error) {
+// serve serves a handler on a free port of the loopback interface.
+func serve(handler http.Handler) (addr string, stop func(), err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", nil, err
@@ -142,7 +143,7 @@
 	protocols := &http.Protocols{}
 	protocols.SetHTTP1(true)
 	protocols.SetUnencryptedHTTP2(true)
-	s := &http.Server{Handler: handler, ErrorLog: silent, Protocols: protocols}
+	s := &http.Server{Handler: handler, ErrorLog: discardLog, Protocols: protocols}
 	go func() { _ = s.Serve(l) }()
 	return l.Addr().String(), func() { _ = s.Close() }, nil
 }
@@ -154,7 +155,7 @@
 	options.Name = ident.Target(fmt.Sprintf("engine-%02d", i))
 	options.Incarnation = 1
 	e := &Engine{Engine: target.NewEngine(options), ID: options.Name, Zone: f.zone(i)}
-	addr, stop, err := listen(e.mortal(f.options.Fatal))
+	addr, stop, err := serve(e.crashOnRequest(f.options.Fatal))
 	if err != nil {
 		return err
 	}
@@ -163,7 +164,7 @@
 		ID: string(e.ID), Role: boxes.TargetRole, Addr: addr, Service: "judge", Zone: e.Zone, Region: Region,
 		State: boxes.Live, Incarnation: 1,
 	}
-	f.stops = append(f.stops, stop)
+	f.stopFuncs = append(f.stopFuncs, stop)
 	f.Engines = append(f.Engines, e)
 	f.setBox(e.box)
 	return nil
@@ -171,11 +172,11 @@
 
 func (f *Fleet) addPlain(i int) error {
 	p := target.NewPlain(f.options.PlainTime)
-	addr, stop, err := listen(p.Handler())
+	addr, stop, err := serve(p.Handler())
 	if err != nil {
 		return err
 	}
-	f.stops = append(f.stops, stop)
+	f.stopFuncs = append(f.stopFuncs, stop)
 	f.Plain = append(f.Plain, p)
 	f.setBox(boxes.Box{
 		ID: fmt.Sprintf("board-%02d", i), Role: boxes.TargetRole, Addr: addr, Service: "board", Zone: f.zone(i),
@@ -184,7 +185,7 @@
 	return nil
 }
 
-// settings are those of one router of the fleet.
+// settings returns the settings of the router with index i.
 func (f *Fleet) settings(i int) conf.Settings {
 	key, _ := hex.DecodeString("000102030405060708090a0b0c0d0e0f101112131415161718191a1b1c1d1e1f")
 	base := conf.Default()
@@ -205,22 +206,22 @@
 	for _, r := range f.Routers {
 		base.Router.Seeds = append(base.Router.Seeds, r.PeerAddr())
 	}
-	override(&base.Pace.Gossip, f.options.Pace.Gossip)
-	override(&base.Pace.List, f.options.Pace.List)
-	override(&base.Pace.Head, f.options.Pace.Head)
-	override(&base.Pace.Report, f.options.Pace.Report)
-	override(&base.Pace.Lease, f.options.Pace.Lease)
-	override(&base.Pace.Permit, f.options.Pace.Permit)
+	setIfPositive(&base.Pace.Gossip, f.options.Pace.Gossip)
+	setIfPositive(&base.Pace.List, f.options.Pace.List)
+	setIfPositive(&base.Pace.Head, f.options.Pace.Head)
+	setIfPositive(&base.Pace.Report, f.options.Pace.Report)
+	setIfPositive(&base.Pace.Lease, f.options.Pace.Lease)
+	setIfPositive(&base.Pace.Permit, f.options.Pace.Permit)
 	return base
 }
 
-func override(into *time.Duration, value time.Duration) {
+func setIfPositive(field *time.Duration, value time.Duration) {
 	if value > 0 {
-		*into = value
+		*field = value
 	}
 }
 
-// AddRouter starts one router.
+// AddRouter starts the router with index i and adds it to the platform's list of boxes.
 func (f *Fleet) AddRouter(i int) (*Router, error) {
 	settings := f.settings(i)
 	logger := log.NewNopLogger()
@@ -246,14 +247,14 @@
 	return r, nil
 }
 
-// Kill ends a router at once, as a crash would: nothing is told to anybody.
+// Kill stops a router at once, as a crash would: it does not notify its peers.
 func (r *Router) Kill() { r.Daemon.Kill() }
 
-// OnLeave calls something once the router has begun to stop, as a balancer that
-// watches its readiness would.
-func (r *Router) OnLeave(call func()) { r.onLeave = call }
+// OnLeave sets a callback that runs once the router has begun to stop. It takes the role of a load balancer
+// that checks the router's readiness.
+func (r *Router) OnLeave(callback func()) { r.onLeave = callback }
 
-// Stop stops a router as planned and waits for its end.
+// Stop shuts a router down gracefully and waits until it has stopped.
 func (r *Router) Stop() {
 	r.cancel()
 	if r.onLeave != nil {
@@ -262,48 +263,49 @@
 	<-r.done
 }
 
-// setBox puts a box on the platform's list, or changes its line.
+// setBox adds a box to the platform's list, or replaces the entry with the same id.
 func (f *Fleet) setBox(b boxes.Box) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	for i := range f.list {
-		if f.list[i].ID == b.ID {
-			f.list[i] = b
-			f.Store.SetBoxes(f.list)
+	for i := range f.boxList {
+		if f.boxList[i].ID == b.ID {
+			f.boxList[i] = b
+			f.Store.SetBoxes(f.boxList)
 			return
 		}
 	}
-	f.list = append(f.list, b)
-	f.Store.SetBoxes(f.list)
+	f.boxList = append(f.boxList, b)
+	f.Store.SetBoxes(f.boxList)
 }
 
-// Unlist takes a box off the platform's list.
+// Unlist removes a box from the platform's list.
 func (f *Fleet) Unlist(id string) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	kept := f.list[:0]
-	for _, b := range f.list {
+	remaining := f.boxList[:0]
+	for _, b := range f.boxList {
 		if b.ID != id {
-			kept = append(kept, b)
+			remaining = append(remaining, b)
 		}
 	}
-	f.list = kept
-	f.Store.SetBoxes(f.list)
+	f.boxList = remaining
+	f.Store.SetBoxes(f.boxList)
 }
 
-// Addr is where the engine listens.
+// Addr returns the address that the engine listens on.
 func (e *Engine) Addr() string { return e.box.Addr }
 
-// mortal serves the engine's interfaces until a request with a fatal text ends it.
-func (e *Engine) mortal(fatal string) http.Handler {
+// crashOnRequest returns the engine's handler; a request that contains the given text crashes the
+// engine. Without a text the handler never does so.
+func (e *Engine) crashOnRequest(crashText string) http.Handler {
 	next := e.Handler()
-	if fatal == "" {
+	if crashText == "" {
 		return next
 	}
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		body, err := io.ReadAll(r.Body)
-		if err == nil && bytes.Contains(body, []byte(fatal)) {
-			e.ended.Store(true)
+		if err == nil && bytes.Contains(body, []byte(crashText)) {
+			e.crashed.Store(true)
 			e.Kill()
 			panic(http.ErrAbortHandler)
 		}
@@ -312,22 +314,22 @@
 	})
 }
 
-// Ended reports whether a fatal request has ended the engine.
-func (e *Engine) Ended() bool { return e.ended.Load() }
+// Crashed reports whether a request has crashed the engine.
+func (e *Engine) Crashed() bool { return e.crashed.Load() }
 
-// Kill ends an engine at once, with all its connections.
+// Kill stops an engine at once and closes all its connections.
 func (e *Engine) Kill() { e.stop() }
 
-// AwaitReady waits until all routers are ready and have a revision in force.
+// AwaitReady waits until all routers are ready and have at least the given revision in force.
 func (f *Fleet) AwaitReady(ctx context.Context, revision ident.Revision) error {
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
 	for {
-		all := true
+		ready := true
 		for _, r := range f.Routers {
-			all = all && r.Ready() && r.Revision() >= revision
+			ready = ready && r.Ready() && r.Revision() >= revision
 		}
-		if all {
+		if ready {
 			return nil
 		}
 		select {
--- a/internal/fake/target/chat.go
+++ b/internal/fake/target/chat.go
@@ -23,12 +23,12 @@
 	} `json:"messages"`
 }
 
-// words returns the question, the answer's words and how many of them the caller has already.
+// words returns the question, the words of its answer and the number of words that the caller already has.
 func (c chatRequest) words() (string, []string, int) {
 	messages := c.Messages
-	part := ""
+	partial := ""
 	if c.Continue && len(messages) > 0 {
-		part = messages[len(messages)-1].Content
+		partial = messages[len(messages)-1].Content
 		messages = messages[:len(messages)-1]
 	}
 	question := ""
@@ -41,7 +41,7 @@
 	if count <= 0 {
 		count = Words
 	}
-	return question, answerWords(question, count), strings.Count(part, " ")
+	return question, answerWords(question, count), strings.Count(partial, " ")
 }
 
 func (e *Engine) serveChat(w http.ResponseWriter, r *http.Request) {
@@ -51,36 +51,36 @@
 		return
 	}
 	key, _ := strconv.ParseUint(r.Header.Get(engine.CacheHeader), 16, 64)
-	if backoff, taken := e.begin(); !taken {
-		e.headers(w, r)
+	if backoff, admitted := e.admit(); !admitted {
+		e.setHeaders(w, r)
 		if backoff > 0 {
 			w.Header().Set("Retry-After", strconv.FormatFloat(backoff.Seconds(), 'f', -1, 64))
 		}
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	defer e.end()
-	warm := e.touch(ident.ChatKey(key))
-	e.headers(w, r)
-	if !warm && !spend(r.Context(), e.options.Cold) {
+	defer e.finish()
+	warm := e.useCache(ident.ChatKey(key))
+	e.setHeaders(w, r)
+	if !warm && !simulateWork(r.Context(), e.options.Cold) {
 		return
 	}
-	question, words, first := request.words()
-	e.note(question)
+	question, words, offset := request.words()
+	e.recordRun(question)
 	if request.Stream {
 		id := r.Header.Get(engine.AttemptHeader)
 		e.mu.Lock()
-		e.streams[id] = stream{words: words, first: first}
+		e.streams[id] = stream{words: words, offset: offset}
 		e.mu.Unlock()
 		w.Header().Set(engine.StreamHeader, id)
-		e.send(w, r, words, first)
+		e.sendWords(w, r, words, offset)
 		return
 	}
-	if !spend(r.Context(), time.Duration(len(words)-first)*e.options.PerWord) {
+	if !simulateWork(r.Context(), time.Duration(len(words)-offset)*e.options.PerWord) {
 		return
 	}
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(completion{Choices: []choice{{Message: &message{"assistant", strings.Join(words[first:], "")}}}})
+	_ = json.NewEncoder(w).Encode(completion{Choices: []choice{{Message: &message{"assistant", strings.Join(words[offset:], "")}}}})
 }
 
 type completion struct {
@@ -97,13 +97,13 @@
 	Content string `json:"content"`
 }
 
-// send streams the words from a place on.
-func (e *Engine) send(w http.ResponseWriter, r *http.Request, words []string, from int) {
+// sendWords streams the words as events, beginning with the word at index from.
+func (e *Engine) sendWords(w http.ResponseWriter, r *http.Request, words []string, from int) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	control := http.NewResponseController(w)
-	cut := e.nextCut()
+	cut := e.takeCut()
 	for i := from; i < len(words); i++ {
-		if !spend(r.Context(), e.options.PerWord) {
+		if !simulateWork(r.Context(), e.options.PerWord) {
 			return
 		}
 		if cut > 0 && i-from >= cut {
@@ -118,14 +118,14 @@
 	_, _ = w.Write([]byte("data: [DONE]\n\n"))
 }
 
-func (e *Engine) nextCut() int {
+func (e *Engine) takeCut() int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	if e.cuts == 0 {
+	if e.cutsLeft == 0 {
 		return 0
 	}
-	e.cuts--
-	return e.cutAfter
+	e.cutsLeft--
+	return e.cutAfterEvents
 }
 
 func (e *Engine) serveStream(w http.ResponseWriter, r *http.Request) {
@@ -133,16 +133,16 @@
 	s, ok := e.streams[r.PathValue("id")]
 	e.mu.Unlock()
 	from, err := strconv.Atoi(r.FormValue("from"))
-	if !ok || err != nil || from < 0 || s.first+from > len(s.words) {
+	if !ok || err != nil || from < 0 || s.offset+from > len(s.words) {
 		w.WriteHeader(http.StatusNotFound)
 		return
 	}
-	e.headers(w, r)
+	e.setHeaders(w, r)
 	w.Header().Set(engine.StreamHeader, r.PathValue("id"))
-	e.send(w, r, s.words, s.first+from)
+	e.sendWords(w, r, s.words, s.offset+from)
 }
 
-func (e *Engine) headers(w http.ResponseWriter, r *http.Request) {
+func (e *Engine) setHeaders(w http.ResponseWriter, r *http.Request) {
 	w.Header().Set(engine.AttemptHeader, r.Header.Get(engine.AttemptHeader))
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -151,55 +151,56 @@
 	}
 }
 
-// begin takes a request, or turns it away and says how long the engine wants nothing more.
-func (e *Engine) begin() (backoff time.Duration, taken bool) {
+// admit admits a request, or rejects it and returns the backoff that the engine requests.
+func (e *Engine) admit() (backoff time.Duration, admitted bool) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if e.backoff > 0 || e.options.Slots > 0 && e.running >= 2*e.options.Slots {
-		e.refused++
+		e.rejected++
 		return e.backoff, false
 	}
 	e.running++
 	e.served++
-	e.peak = max(e.peak, e.running)
-	if e.watch != nil {
-		e.watch(e.running)
+	e.peakRunning = max(e.peakRunning, e.running)
+	if e.onRunning != nil {
+		e.onRunning(e.running)
 	}
 	return 0, true
 }
 
-func (e *Engine) end() {
+func (e *Engine) finish() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.running--
-	if e.watch != nil {
-		e.watch(e.running)
+	if e.onRunning != nil {
+		e.onRunning(e.running)
 	}
 }
 
-// touch notes that a chat's prefix was used and reports whether it was cached.
-func (e *Engine) touch(key ident.ChatKey) bool {
+// useCache marks a chat's prefix as the most recently used one, caches it, and reports whether it was cached
+// before.
+func (e *Engine) useCache(key ident.ChatKey) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if el, ok := e.cached[key]; ok {
 		e.lru.MoveToFront(el)
-		e.warm++
+		e.warmHits++
 		return true
 	}
 	e.cached[key] = e.lru.PushFront(key)
 	if e.options.Cache > 0 && e.lru.Len() > e.options.Cache {
 		last := e.lru.Back()
-		gone := e.lru.Remove(last).(ident.ChatKey)
-		delete(e.cached, gone)
+		oldest := e.lru.Remove(last).(ident.ChatKey)
+		delete(e.cached, oldest)
 		e.seq++
-		e.evicted = append(e.evicted, eviction{seq: e.seq, key: gone})
+		e.evicted = append(e.evicted, eviction{seq: e.seq, key: oldest})
 	}
 	return false
 }
 
-// spend waits for the time that a piece of work takes, none if it takes none, and reports
-// whether its caller still waits.
-func spend(ctx context.Context, d time.Duration) bool {
+// simulateWork waits for the duration of a piece of work and reports whether the request's context is still
+// active. Without a duration it does not wait.
+func simulateWork(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
--- a/internal/fake/target/engine.go
+++ b/internal/fake/target/engine.go
@@ -9,47 +9,50 @@
 	"valescale/internal/plat/ident"
 )
 
-// EngineOptions say how an engine behaves.
+// EngineOptions configure the behaviour of an engine.
 type EngineOptions struct {
 	Name        ident.Target
 	Incarnation ident.Incarnation
-	// PerWord is the time that one word takes; Cold is added when the prefix is not cached.
+	// PerWord is the time that one word takes. Cold is added if the prompt prefix is not cached.
 	PerWord time.Duration
 	Cold    time.Duration
-	// Cache is how many chats' prefixes fit.
+	// Cache is the maximum number of chats whose prefixes are cached; zero means no limit.
 	Cache int
+	// Slots is the number of slots that the engine reports. It rejects requests once twice as many run; zero
+	// means no limit.
 	Slots int
-	// Fenced engines refuse orders with an older epoch.
+	// Fenced makes the engine reject orders with an older epoch.
 	Fenced bool
 	Model  string
 }
 
-// Engine is the stand-in of a model engine.
+// Engine is a fake of a model engine.
 type Engine struct {
 	options EngineOptions
 	mu      sync.Mutex
 	leaving bool
-	// backoff is how long the engine asks routers to stay away, turning all requests away; zero serves them.
-	backoff time.Duration
-	refused int
-	running int
-	peak    int
-	served  int
-	warm    int
-	seq     uint64
-	evicted []eviction
-	lru     *list.List
-	cached  map[ident.ChatKey]*list.Element
-	streams map[string]stream
-	epoch   ident.Epoch
-	model   string
-	orders  int
-	// cutAfter closes the connection after so many events; zero never.
-	cutAfter int
-	cuts     int
-	watch    func(running int)
-	// asked counts how often each question ran.
-	asked map[string]int
+	// backoff is the Retry-After delay with which all requests are rejected; if it is zero, they are served.
+	backoff     time.Duration
+	rejected    int
+	running     int
+	peakRunning int
+	served      int
+	warmHits    int
+	seq         uint64
+	evicted     []eviction
+	lru         *list.List
+	cached      map[ident.ChatKey]*list.Element
+	streams     map[string]stream
+	epoch       ident.Epoch
+	model       string
+	orders      int
+	// cutAfterEvents is the number of events after which the connection of a stream is closed; zero means never.
+	cutAfterEvents int
+	// cutsLeft is the number of streams that are still to be cut.
+	cutsLeft  int
+	onRunning func(running int)
+	// questionRuns is the number of runs of each question.
+	questionRuns map[string]int
 }
 
 type eviction struct {
@@ -57,68 +60,69 @@
 	key ident.ChatKey
 }
 
+// stream is an answer that is streamed; its events begin with the word at index offset.
 type stream struct {
-	words []string
-	first int
+	words  []string
+	offset int
 }
 
 // NewEngine returns an engine without cached prefixes.
 func NewEngine(options EngineOptions) *Engine {
 	return &Engine{
 		options: options, lru: list.New(), cached: map[ident.ChatKey]*list.Element{}, streams: map[string]stream{},
-		model: options.Model, asked: map[string]int{},
+		model: options.Model, questionRuns: map[string]int{},
 	}
 }
 
-// Watch sets what is called, under the engine's lock, with each change of its running requests.
-func (e *Engine) Watch(watch func(running int)) {
+// Watch sets a callback that receives the number of running requests whenever it changes. It is called
+// with the engine's lock held.
+func (e *Engine) Watch(onRunning func(running int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.watch = watch
+	e.onRunning = onRunning
 }
 
-// Leave makes the engine say that it is leaving.
+// Leave makes the engine report that it is leaving.
 func (e *Engine) Leave() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.leaving = true
 }
 
-// BackOff makes the engine turn all requests away and ask for backoff; zero has it serve again.
-func (e *Engine) BackOff(backoff time.Duration) {
+// SetBackoff makes the engine reject all requests with a Retry-After delay; zero makes it serve them again.
+func (e *Engine) SetBackoff(backoff time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.backoff = backoff
 }
 
-// CutStreams makes the next n streams break off after some events.
+// CutStreams makes the next n streams close their connection after a number of events.
 func (e *Engine) CutStreams(n, afterEvents int) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.cuts, e.cutAfter = n, afterEvents
+	e.cutsLeft, e.cutAfterEvents = n, afterEvents
 }
 
-// Counts is what an engine has done.
+// Counts contains the counters and the state of an engine.
 type Counts struct {
-	Served int
-	// Refused counts the requests that were turned away.
-	Refused int
-	Running int
-	Warm    int
-	Peak    int
-	Orders  int
-	Model   string
-	Epoch   ident.Epoch
+	Served   int
+	Rejected int
+	Running  int
+	Warm     int
+	Peak     int
+	Orders   int
+	Model    string
+	Epoch    ident.Epoch
 }
 
-// Counts returns what the engine has done so far.
+// Counts returns the current counters and state of the engine.
 func (e *Engine) Counts() Counts {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return Counts{Served: e.served, Refused: e.refused, Running: e.running, Warm: e.warm, Peak: e.peak, Orders: e.orders, Model: e.model, Epoch: e.epoch}
+	return Counts{Served: e.served, Rejected: e.rejected, Running: e.running, Warm: e.warmHits, Peak: e.peakRunning, Orders: e.orders, Model: e.model, Epoch: e.epoch}
 }
 
-// Handler serves the engine's interfaces.
+// Handler serves chats, streams, reports and orders.
 func (e *Engine) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/chat/completions", e.serveChat)
@@ -129,15 +133,15 @@
 	return mux
 }
 
-func (e *Engine) note(question string) {
+func (e *Engine) recordRun(question string) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.asked[question]++
+	e.questionRuns[question]++
 }
 
-// Asked reports whether a question ever ran here.
+// Asked reports whether a question has ever run on this engine.
 func (e *Engine) Asked(question string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.asked[question] > 0
+	return e.questionRuns[question] > 0
 }
--- a/internal/fake/target/plain.go
+++ b/internal/fake/target/plain.go
@@ -8,26 +8,27 @@
 	"time"
 )
 
-// Plain is the stand-in of a plain service: POST /orders runs an order, anything
-// else echoes its path and body.
+// Plain is a fake of a plain service. POST /orders runs an order; any other request is answered with its
+// path and body.
 type Plain struct {
-	mu   sync.Mutex
-	runs map[string]int
-	took time.Duration
+	mu    sync.Mutex
+	runs  map[string]int
+	delay time.Duration
+	// lose is the number of orders that still run without a response.
 	lose int
 }
 
-// NewPlain returns a service whose requests take a while.
-func NewPlain(took time.Duration) *Plain { return &Plain{runs: map[string]int{}, took: took} }
+// NewPlain returns a service whose requests take the given time.
+func NewPlain(delay time.Duration) *Plain { return &Plain{runs: map[string]int{}, delay: delay} }
 
-// LoseAnswers makes the next n orders run and then break the connection.
+// LoseAnswers makes the next n orders run and then close the connection without a response.
 func (p *Plain) LoseAnswers(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lose = n
 }
 
-// Runs returns how often each key's order ran.
+// Runs returns the number of runs of each idempotency key's order.
 func (p *Plain) Runs() map[string]int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -38,20 +39,20 @@
 	return out
 }
 
-// Reply is what the service answers.
+// Reply is the body of a response.
 type Reply struct {
 	Key  string `json:"key,omitempty"`
 	Path string `json:"path"`
 	Body string `json:"body"`
 }
 
-// Handler serves the service.
+// Handler serves orders and echoes other requests.
 func (p *Plain) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /orders", p.serveOrder)
 	mux.HandleFunc("/", func(w http.ResponseWriter, r *http.Request) {
 		body, _ := io.ReadAll(r.Body)
-		spend(r.Context(), p.took)
+		simulateWork(r.Context(), p.delay)
 		p.reply(w, Reply{Path: r.URL.Path, Body: string(body)})
 	})
 	return mux
@@ -70,7 +71,7 @@
 		p.lose--
 	}
 	p.mu.Unlock()
-	spend(r.Context(), p.took)
+	simulateWork(r.Context(), p.delay)
 	if lose {
 		panic(http.ErrAbortHandler)
 	}
--- a/internal/fake/target/side.go
+++ b/internal/fake/target/side.go
@@ -11,7 +11,8 @@
 	"valescale/internal/plat/engine"
 )
 
-// serveReport tells of the engine and what its cache has dropped since.
+// serveReport returns the state of the engine and the prefixes that its cache has evicted since the
+// sequence number in the query.
 func (e *Engine) serveReport(w http.ResponseWriter, r *http.Request) {
 	since, _ := strconv.ParseUint(r.FormValue("since"), 10, 64)
 	e.mu.Lock()
@@ -28,7 +29,8 @@
 	_ = json.NewEncoder(w).Encode(report)
 }
 
-// serveOrder takes an order unless a later holder of its lease has given one.
+// serveOrder executes an order. A fenced engine rejects it if an order of a later epoch was executed
+// before, since the sender no longer holds the lease.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
@@ -47,23 +49,23 @@
 	case engine.LoadModel:
 		e.model = order.Model
 	case engine.ExportCache:
-		go importAt(order)
+		go sendImport(order)
 	}
 }
 
-// serveImport takes chats into the cache.
+// serveImport adds the prefixes of chats to the cache.
 func (e *Engine) serveImport(_ http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if json.NewDecoder(r.Body).Decode(&order) != nil {
 		return
 	}
 	for _, key := range order.Keys {
-		e.touch(key)
+		e.useCache(key)
 	}
 }
 
-// importAt stands for the copying of cached prefixes to another engine.
-func importAt(order engine.Order) {
+// sendImport sends the keys of cached prefixes to another engine. It simulates copying the prefixes.
+func sendImport(order engine.Order) {
 	body, _ := json.Marshal(engine.Order{Kind: importCache, Keys: order.Keys})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
@@ -76,5 +78,5 @@
 	}
 }
 
-// importCache is the stand-in's own order between engines.
+// importCache is the kind of order that fake engines send to each other; routers do not send it.
 const importCache engine.OrderKind = "import_cache"
--- a/internal/fake/target/text.go
+++ b/internal/fake/target/text.go
@@ -7,11 +7,11 @@
 	"strings"
 )
 
-// Words is the number of words in an answer when the request does not say.
+// Words is the number of words in an answer if the request sets no limit.
 const Words = 12
 
-// Answer is the text that every engine gives to a user's last message, so that a
-// caller can tell whether it got the whole answer to its own request.
+// Answer returns the text with which every engine answers a user's last message. It is derived from the
+// question, so that a caller can check that it received the complete answer to its own request.
 func Answer(question string, words int) string {
 	return strings.Join(answerWords(question, words), "")
 }
