--- a/cmd/router/main.go
+++ b/cmd/router/main.go
@@ -1,4 +1,4 @@
-// Command router runs a router on the users' platform.
+// Command router runs a router on the users' platform, which package platform implements.
 package main
 
 import (
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -1,7 +1,7 @@
-// Command standin serves stand-ins for the platform and for targets, so that
-// routers can be tried as processes of their own. It prints the platform's URL.
-// PUT /boxes replaces the routers on the platform's list; PUT /down and DELETE
-// /down take the store down and bring it back; GET /runs tells how often orders ran.
+// Command standin serves a fake platform and fake targets, so that routers can be run against them
+// as processes of their own. It prints the platform's URL. PUT /boxes replaces the routers on the
+// platform's list; PUT /down and DELETE /down take the store down and up again; GET /runs returns
+// the number of runs of each order.
 package main
 
 import (
@@ -23,13 +23,12 @@
 	"valescale/internal/plat/ident"
 )
 
-// options are the command line's.
+// options contains the flags of the command line.
 type options struct {
-	Addr    string `long:"addr" default:"127.0.0.1:0" description:"where the platform listens"`
-	Engines int    `long:"engines" default:"3" description:"how many engines to serve"`
-	Plain   int    `long:"plain" default:"1" description:"how many plain replicas to serve"`
-	// PlainTime is how long a plain request takes.
-	PlainTime time.Duration `long:"plain-time" default:"0s" description:"how long a plain request takes"`
+	Addr      string        `long:"addr" default:"127.0.0.1:0" description:"listen address of the platform"`
+	Engines   int           `long:"engines" default:"3" description:"number of engines"`
+	Plain     int           `long:"plain" default:"1" description:"number of replicas of the plain service"`
+	PlainTime time.Duration `long:"plain-time" default:"0s" description:"duration of a request to the plain service"`
 }
 
 func main() {
@@ -43,7 +42,8 @@
 	}
 }
 
-const perWord = 20 * time.Millisecond
+// timePerWord is the time that an engine takes for one word of an answer.
+const timePerWord = 20 * time.Millisecond
 
 func run(o options) error {
 	ctx, cancel := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -52,7 +52,7 @@
 	var targets []boxes.Box
 	var plain []*target.Plain
 	for i := range o.Engines {
-		e := target.NewEngine(target.EngineOptions{PerWord: perWord, Cache: 100, Slots: 24})
+		e := target.NewEngine(target.EngineOptions{PerWord: timePerWord, Cache: 100, Slots: 24})
 		box, err := serveTarget(fmt.Sprintf("engine-%02d", i), "judge", i, e.Handler())
 		if err != nil {
 			return err
--- a/internal/fake/fleet/fatal_test.go
+++ b/internal/fake/fleet/fatal_test.go
@@ -15,36 +15,38 @@
 	"valescale/internal/rule/retry"
 )
 
-// Seen: on the users' platform a request that ends each engine which runs it ended dozens of them, since
-// no router knew it again when it came anew (platform, TestRequestThatEndsTargets). The product's own
-// interface forgets requests in the same way: each try of a chat costs as many engines as it has attempts.
-func TestChatThatEndsEngines(t *testing.T) {
-	const engines, mayEnd = 24, 5
+// A request that crashes every engine which runs it must be quarantined. If routers do not
+// recognize it when a caller repeats it, each repetition crashes as many engines as it has
+// attempts, dozens in total. This test covers the product's own interface; package platform has one
+// for the users' platform.
+func TestChatThatCrashesEngines(t *testing.T) {
+	const engines, maxCrashes = 24, 5
 	b := start(t, fleet.Options{Routers: 3, Engines: engines, Fatal: "fatal"})
 	for i := range 60 {
 		question := fmt.Sprint("question ", i)
 		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), fmt.Sprint(i), question, words, false); !r.Right(question, words) {
-			t.Fatalf("question %d got %+v", i, r)
+			t.Fatalf("question %d returned %+v", i, r)
 		}
 	}
-	ask := func(i int) fleet.Result {
+	sendFatal := func(i int) fleet.Result {
 		return b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), "c", "fatal", words, i%2 == 0)
 	}
 	want := fleet.Result{Status: http.StatusServiceUnavailable, Outcome: retry.NotRun, Code: "ends_targets"}
-	refused := func(i int) bool {
-		got := ask(i)
+	rejected := func(i int) bool {
+		got := sendFatal(i)
 		got.Text, got.Whole, got.Err = "", false, nil
 		return cmp.Equal(want, got)
 	}
-	// Streams and whole answers differ in their bodies, so that these are two requests at three routers.
-	b.until(t, "all routers refuse both", func() bool {
-		all := true
+	// Requests for a stream and for one JSON body differ in their bodies, so these are two requests
+	// at three routers.
+	b.waitFor(t, "all routers reject both requests", func() bool {
+		bothRejected := true
 		for i := range 6 {
-			all = refused(i) && all
+			bothRejected = rejected(i) && bothRejected
 		}
-		return all
+		return bothRejected
 	})
-	ended := func() int {
+	crashed := func() int {
 		count := 0
 		for _, e := range b.Engines {
 			if e.Crashed() {
@@ -53,32 +55,33 @@
 		}
 		return count
 	}
-	before := ended()
-	if before > 2*mayEnd {
-		t.Errorf("%d of %d engines ended under two requests, at most %d may", before, engines, 2*mayEnd)
+	before := crashed()
+	if before > 2*maxCrashes {
+		t.Errorf("%d of %d engines crashed under two requests, want at most %d", before, engines, 2*maxCrashes)
 	}
 	for i := range 12 {
-		if !refused(i) {
-			t.Errorf("router %d sent the request on once more", i%3)
+		if !rejected(i) {
+			t.Errorf("router %d forwarded the quarantined request", i%3)
 		}
 	}
-	if got := ended() - before; got != 0 {
-		t.Errorf("%d more engines ended once all routers refused the requests", got)
+	if got := crashed() - before; got != 0 {
+		t.Errorf("%d more engines crashed after all routers rejected the requests", got)
 	}
 	question := "harmless"
 	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "h", question, words, true); !r.Right(question, words) {
-		t.Errorf("a harmless chat got %+v", r)
+		t.Errorf("a harmless chat returned %+v", r)
 	}
 }
 
-// What is held back outlasts the routers that lost engines to it: it is in the store.
-func TestChatThatEndsEnginesIsKnownAfterAStart(t *testing.T) {
+// Quarantined requests are in the store, so that they stay quarantined after the routers whose
+// engines crashed have stopped.
+func TestQuarantineSurvivesRouterRestart(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 1, Engines: 8, Fatal: "fatal"})
-	ask := func(r *fleet.Router) fleet.Result {
+	sendFatal := func(r *fleet.Router) fleet.Result {
 		return b.caller.Chat(b.ctx, r.CallerAddr(), "c", "fatal", words, false)
 	}
-	b.until(t, "the router refuses the chat", func() bool { return ask(b.Routers[0]).Code == "ends_targets" })
-	b.until(t, "the store has it", func() bool {
+	b.waitFor(t, "the router rejects the chat", func() bool { return sendFatal(b.Routers[0]).Code == "ends_targets" })
+	b.waitFor(t, "the store contains the quarantined request", func() bool {
 		rows, err := b.Store.Scan(b.ctx, table.Range{Table: guard.Table, Limit: 10})
 		return err == nil && len(rows) == 1
 	})
@@ -90,13 +93,13 @@
 	if err := b.AwaitReady(b.ctx, 1); err != nil {
 		t.Fatal(err)
 	}
-	b.until(t, "the next router has read it", func() bool { return strings.Contains(metrics(t, next), "valescale_held_requests 1") })
-	if got := ask(next); got.Code != "ends_targets" || got.Outcome != retry.NotRun {
-		t.Errorf("the next router answers %+v", got)
+	b.waitFor(t, "the next router has read the quarantined request", func() bool { return strings.Contains(metrics(t, next), "valescale_held_requests 1") })
+	if got := sendFatal(next); got.Code != "ends_targets" || got.Outcome != retry.NotRun {
+		t.Errorf("the next router returned %+v", got)
 	}
 }
 
-// metrics reads a router's metrics.
+// metrics returns the text of a router's metrics.
 func metrics(t *testing.T, r *fleet.Router) string {
 	t.Helper()
 	resp, err := http.Get("http://" + r.AdminAddr() + "/metrics")
--- a/internal/fake/fleet/fleet.go
+++ b/internal/fake/fleet/fleet.go
@@ -50,8 +50,8 @@
 	CallerKeys func(ident.Router) conf.Listener
 	// DrainDelay is the time for which a stopping router still accepts new requests.
 	DrainDelay time.Duration
-	// Fatal is a text that crashes each engine which receives a request that contains it; empty disables
-	// crashes.
+	// Fatal is a text that crashes each engine which receives a request that contains it; empty
+	// disables crashes.
 	Fatal string
 }
 
@@ -250,8 +250,8 @@
 // Kill stops a router at once, as a crash would: it does not notify its peers.
 func (r *Router) Kill() { r.Daemon.Kill() }
 
-// OnLeave sets a callback that runs once the router has begun to stop. It takes the role of a load balancer
-// that checks the router's readiness.
+// OnLeave sets a callback that runs once the router has begun to stop. It takes the role of a load
+// balancer that checks the router's readiness.
 func (r *Router) OnLeave(callback func()) { r.onLeave = callback }
 
 // Stop shuts a router down gracefully and waits until it has stopped.
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -47,7 +47,7 @@
 token_sha256 = %s
 `
 
-func text() string {
+func configurationText() string {
 	return fmt.Sprintf(configuration, policy.HashToken("bogota"), policy.HashToken("cali"))
 }
 
@@ -57,7 +57,7 @@
 	caller *fleet.Caller
 }
 
-// start brings a small fleet up with its first configuration.
+// start starts a small fleet and applies its first configuration.
 func start(t *testing.T, options fleet.Options) *fixture {
 	t.Helper()
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -72,16 +72,16 @@
 	}
 	t.Cleanup(stop)
 	b := &fixture{Fleet: f, ctx: ctx, caller: &fleet.Caller{HTTP: http.DefaultClient, Token: "bogota"}}
-	b.apply(t, "first", text())
+	b.apply(t, "first", configurationText())
 	return b
 }
 
-func (b *fixture) apply(t *testing.T, id, text string) ident.Revision {
+func (b *fixture) apply(t *testing.T, id, configurationText string) ident.Revision {
 	t.Helper()
 	if err := b.AwaitReady(b.ctx, 0); err != nil {
 		t.Fatal(err)
 	}
-	revision, err := fleet.NewOperator(http.DefaultClient, b.Routers[0].AdminAddr()).Apply(b.ctx, id, text)
+	revision, err := fleet.NewOperator(http.DefaultClient, b.Routers[0].AdminAddr()).Apply(b.ctx, id, configurationText)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -91,15 +91,15 @@
 	return revision
 }
 
-// until tries something until it holds.
-func (b *fixture) until(t *testing.T, what string, holds func() bool) {
+// waitFor polls a condition and fails the test if it is not met in time.
+func (b *fixture) waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	ticker := time.NewTicker(5 * time.Millisecond)
 	defer ticker.Stop()
-	for !holds() {
+	for !condition() {
 		select {
 		case <-b.ctx.Done():
-			t.Fatalf("never came: %s", what)
+			t.Fatalf("condition not met before the timeout: %s", description)
 		case <-ticker.C:
 		}
 	}
@@ -113,15 +113,15 @@
 		question := fmt.Sprintf("question %d", i)
 		r := b.caller.Chat(b.ctx, b.Routers[i%2].CallerAddr(), fmt.Sprint(i%4), question, words, i%2 == 0)
 		if !r.Right(question, words) {
-			t.Fatalf("question %d got %+v", i, r)
+			t.Fatalf("question %d returned %+v", i, r)
 		}
 	}
-	warm := 0
+	warmCount := 0
 	for _, e := range b.Engines {
-		warm += e.Counts().Warm
+		warmCount += e.Counts().Warm
 	}
-	if warm != 16 {
-		t.Errorf("%d of 20 requests in 4 chats found their prefix, want 16", warm)
+	if warmCount != 16 {
+		t.Errorf("%d of 20 requests in 4 chats found their prefix cached, want 16", warmCount)
 	}
 }
 
@@ -132,11 +132,11 @@
 	if !first.Right("q", words) || len(first.IDs) != words {
 		t.Fatalf("got %+v", first)
 	}
-	const have = 7
-	rest := b.caller.Resume(b.ctx, b.Routers[1].CallerAddr(), first.IDs[have-1])
-	want := strings.Join(events[have:], " ") + " "
+	const received = 7
+	rest := b.caller.Resume(b.ctx, b.Routers[1].CallerAddr(), first.IDs[received-1])
+	want := strings.Join(events[received:], " ") + " "
 	if diff := cmp.Diff(want, rest.Text); diff != "" || !rest.Whole {
-		t.Errorf("whole: %v %s", rest.Whole, diff)
+		t.Errorf("complete: %v, text differs: %s", rest.Whole, diff)
 	}
 	other := &fleet.Caller{HTTP: http.DefaultClient, Token: "cali"}
 	if r := other.Resume(b.ctx, b.Routers[1].CallerAddr(), first.IDs[0]); r.Status != http.StatusBadRequest {
@@ -147,7 +147,7 @@
 func TestEngineLostMidStream(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 2, Engines: 2})
 	for _, e := range b.Engines {
-		// Whichever engine is first breaks off, and then the other one.
+		// The engine that runs the first attempt closes the stream, and then the other one does.
 		e.CutStreams(1, 5)
 	}
 	r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true)
@@ -156,12 +156,12 @@
 	}
 }
 
-func TestBrokenStreamSaysSo(t *testing.T) {
+func TestBrokenStreamReportsError(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 1, Engines: 1})
 	b.Engines[0].CutStreams(100, 5)
 	r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true)
 	if r.Whole || r.Outcome != retry.Unknown || r.Code == "" {
-		t.Errorf("got %+v, want an error event that says unknown", r)
+		t.Errorf("got %+v, want an error event with the outcome unknown", r)
 	}
 }
 
@@ -189,9 +189,9 @@
 			runs[key] += n
 		}
 	}
-	for key, told := range outcomes {
+	for key, reported := range outcomes {
 		if runs[key] != 1 {
-			t.Errorf("%s ran %d times; its callers were told %v", key, runs[key], told)
+			t.Errorf("%s ran %d times; its callers received the outcomes %v", key, runs[key], reported)
 		}
 	}
 }
@@ -200,10 +200,10 @@
 	b := start(t, fleet.Options{Routers: 2, Engines: 2, Plain: 1})
 	b.Store.SetDown(true)
 	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, false); !r.Right("q", words) {
-		t.Errorf("a chat got %+v", r)
+		t.Errorf("a chat returned %+v", r)
 	}
 	if r := b.caller.Order(b.ctx, b.Routers[0].CallerAddr(), "order-1", "roses"); r.Outcome != retry.NotRun || r.Status != http.StatusServiceUnavailable {
-		t.Errorf("an order got %+v, want not_run", r)
+		t.Errorf("an order returned %+v, want not_run", r)
 	}
 	if n := b.Plain[0].Runs()["order-1"]; n != 0 {
 		t.Errorf("the order ran %d times", n)
@@ -212,12 +212,12 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.until(t, "a router started without the store is ready", late.Ready)
+	b.waitFor(t, "the router started without the store is ready", late.Ready)
 	if late.Revision() != b.Routers[0].Revision() {
-		t.Errorf("it has revision %d in force, the others %d", late.Revision(), b.Routers[0].Revision())
+		t.Errorf("the started router has revision %d in force, the other routers have %d", late.Revision(), b.Routers[0].Revision())
 	}
 	b.Store.SetDown(false)
-	b.until(t, "the order runs once the store is back", func() bool {
+	b.waitFor(t, "the order runs once the store is back", func() bool {
 		return b.caller.Order(b.ctx, b.Routers[1].CallerAddr(), "order-1", "roses").Outcome == retry.Done
 	})
 	if n := b.Plain[0].Runs()["order-1"]; n != 1 {
@@ -225,11 +225,11 @@
 	}
 }
 
-func TestLeavingEngineWithTheListStuck(t *testing.T) {
+func TestLeavingEngineWithStaleBoxList(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 3})
-	// The list still says live; only the engine itself says that it leaves.
+	// The list of boxes keeps the state live; only the engine itself reports that it is leaving.
 	b.Engines[0].Leave()
-	b.until(t, "all routers know", func() bool {
+	b.waitFor(t, "all routers have the engine as leaving", func() bool {
 		for _, r := range b.Routers {
 			if !r.Leaving(b.Engines[0].ID) {
 				return false
@@ -245,17 +245,17 @@
 		}
 	}
 	if after := b.Engines[0].Counts().Served; after != before {
-		t.Errorf("the leaving engine got %d new requests", after-before)
+		t.Errorf("the leaving engine received %d new requests", after-before)
 	}
 }
 
 // An operator closes an availability zone of a service and opens it again.
 func TestClosedZone(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 3})
-	ask := func(what string) int {
+	sendChats := func(description string) int {
 		before := b.Engines[0].Counts().Served
 		for i := range 30 {
-			q := fmt.Sprint(what, i)
+			q := fmt.Sprint(description, i)
 			if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, true); !r.Right(q, words) {
 				t.Fatalf("got %+v", r)
 			}
@@ -263,44 +263,44 @@
 		return b.Engines[0].Counts().Served - before
 	}
 	closed := "closed_zones = " + string(b.Engines[0].Zone) + "\nslots = 8"
-	b.apply(t, "closed", strings.Replace(text(), "slots = 8", closed, 1))
-	if got := ask("closed"); got != 0 {
-		t.Errorf("the engine of the closed zone got %d requests", got)
+	b.apply(t, "closed", strings.Replace(configurationText(), "slots = 8", closed, 1))
+	if got := sendChats("closed"); got != 0 {
+		t.Errorf("the engine of the closed zone received %d requests", got)
 	}
-	b.apply(t, "open", text())
-	if got := ask("open"); got == 0 {
-		t.Error("the engine of the opened zone got no requests")
+	b.apply(t, "open", configurationText())
+	if got := sendChats("open"); got == 0 {
+		t.Error("the engine of the reopened zone received no requests")
 	}
 }
 
-func TestPlannedStopCutsNothing(t *testing.T) {
+func TestPlannedStopCompletesRequests(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 3, Engine: target.EngineOptions{PerWord: 20 * time.Millisecond}})
 	stopping := b.Routers[2]
-	const atOnce = 12
-	results := make([]fleet.Result, atOnce)
+	const concurrent = 12
+	results := make([]fleet.Result, concurrent)
 	var wg sync.WaitGroup
-	for i := range atOnce {
+	for i := range concurrent {
 		wg.Go(func() {
 			results[i] = b.caller.Chat(b.ctx, stopping.CallerAddr(), fmt.Sprint(i), fmt.Sprint(i), words, i%2 == 0)
 		})
 	}
-	b.until(t, "all requests run", func() bool {
+	b.waitFor(t, "all requests run", func() bool {
 		running := 0
 		for _, e := range b.Engines {
 			running += e.Counts().Served
 		}
-		return running == atOnce
+		return running == concurrent
 	})
 	stopping.Stop()
 	wg.Wait()
 	for i, r := range results {
 		if !r.Right(fmt.Sprint(i), words) {
-			t.Errorf("request %d got %+v", i, r)
+			t.Errorf("request %d returned %+v", i, r)
 		}
 	}
 	b.Unlist(string(stopping.ID))
 	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "0", "after", words, true); !r.Right("after", words) {
-		t.Errorf("after the stop got %+v", r)
+		t.Errorf("a chat after the stop returned %+v", r)
 	}
 }
 
@@ -311,33 +311,33 @@
 	for i := range 40 {
 		q := fmt.Sprint(i)
 		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, i%2 == 0); !r.Right(q, words) {
-			t.Fatalf("request %d got %+v", i, r)
+			t.Fatalf("request %d returned %+v", i, r)
 		}
 	}
 }
 
-func TestTokensOfOthers(t *testing.T) {
+func TestUnknownTokens(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 1, Engines: 1})
-	nobody := &fleet.Caller{HTTP: http.DefaultClient, Token: "nobody"}
-	if r := nobody.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, false); r.Status != http.StatusUnauthorized || r.Outcome != retry.NotRun {
+	unknown := &fleet.Caller{HTTP: http.DefaultClient, Token: "nobody"}
+	if r := unknown.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, false); r.Status != http.StatusUnauthorized || r.Outcome != retry.NotRun {
 		t.Errorf("got %+v, want 401 and not_run", r)
 	}
 	client := peerpb.NewAdminServiceClient(http.DefaultClient, "http://"+b.Routers[0].AdminAddr())
 	_, err := client.Show(b.ctx, connect.NewRequest(&peerpb.ShowRequest{}))
 	if connect.CodeOf(err) != connect.CodeUnauthenticated {
-		t.Errorf("an operator's command without a token got %v", err)
+		t.Errorf("an admin request without a token returned %v", err)
 	}
 }
 
-func TestAcceptedWaitsForEveryRouter(t *testing.T) {
+func TestAcceptedRequiresEveryRouter(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 1})
 	operator := fleet.NewOperator(http.DefaultClient, b.Routers[0].AdminAddr())
-	revision := b.apply(t, "second", strings.Replace(text(), "slots = 8", "slots = 9", 1))
-	b.until(t, "the revision is accepted", func() bool {
+	revision := b.apply(t, "second", strings.Replace(configurationText(), "slots = 8", "slots = 9", 1))
+	b.waitFor(t, "the revision is accepted", func() bool {
 		reply, err := operator.Client.Accepted(b.ctx, connect.NewRequest(&peerpb.AcceptedRequest{Revision: uint64(revision)}))
 		return err == nil && reply.Msg.GetAccepted()
 	})
-	// A router that died without the platform noticing may still serve, so it counts.
+	// A killed router that the platform still lists may still serve, so it counts as outstanding.
 	b.Routers[2].Kill()
 	reply, err := operator.Client.Accepted(b.ctx, connect.NewRequest(&peerpb.AcceptedRequest{Revision: uint64(revision) + 1}))
 	if err != nil {
@@ -348,14 +348,15 @@
 	}
 }
 
-// A router that was paused wakes and sends an order of an earlier configuration. A
-// target that checks refuses it; at one that does not, it does not last.
-func TestLateModelOrders(t *testing.T) {
+// A router that was paused sends an order of an earlier configuration after it resumes. An engine
+// that checks the epoch rejects it. An engine that does not executes it, and then receives the
+// current order again.
+func TestStaleModelOrders(t *testing.T) {
 	for _, fenced := range []bool{true, false} {
 		t.Run(fmt.Sprint("fenced ", fenced), func(t *testing.T) {
 			b := start(t, fleet.Options{Routers: 2, Engines: 3, Engine: target.EngineOptions{Fenced: fenced, Model: "old"}})
-			b.apply(t, "model", strings.Replace(text(), "slots = 8", "slots = 8\nmodel = new", 1))
-			wanted := func() bool {
+			b.apply(t, "model", strings.Replace(configurationText(), "slots = 8", "slots = 8\nmodel = new", 1))
+			haveNewModel := func() bool {
 				for _, e := range b.Engines {
 					if e.Counts().Model != "new" {
 						return false
@@ -363,67 +364,67 @@
 				}
 				return true
 			}
-			b.until(t, "all engines have the wanted model", wanted)
+			b.waitFor(t, "all engines have the new model", haveNewModel)
 			late := engine.New(http.DefaultTransport, time.Second)
 			err := late.Send(b.ctx, b.Engines[0].Addr(), engine.Order{Kind: engine.LoadModel, Epoch: 1, Model: "old"})
 			if kind := fault.KindOf[engine.Kind](err); fenced != (kind == engine.Stale) {
-				t.Errorf("a late order got %v", err)
+				t.Errorf("a stale order returned %v", err)
 			}
-			if fenced && !wanted() {
-				t.Error("a late order was followed")
+			if fenced && !haveNewModel() {
+				t.Error("a stale order was executed")
 			}
-			b.until(t, "the wanted model is back", wanted)
+			b.waitFor(t, "all engines have the new model again", haveNewModel)
 		})
 	}
 }
 
-// The chats of an engine that leaves find their context at its successors.
+// The prefixes of an engine's chats are cached at other engines when it leaves.
 func TestLeavingEngineExportsItsChats(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 2, Engines: 3, Engine: target.EngineOptions{Cache: 100}})
-	b.apply(t, "export", strings.Replace(text(), "shards = 2", "shards = 1\nexport = true", 1))
+	b.apply(t, "export", strings.Replace(configurationText(), "shards = 2", "shards = 1\nexport = true", 1))
 	const chats = 12
-	ask := func(round string) (warm int) {
-		before := b.warm()
+	sendChats := func(round string) (warmCount int) {
+		before := b.warmCount()
 		for i := range chats {
 			q := fmt.Sprint(round, i)
 			if r := b.caller.Chat(b.ctx, b.Routers[i%2].CallerAddr(), fmt.Sprint("chat", i), q, words, true); !r.Right(q, words) {
 				t.Fatalf("got %+v", r)
 			}
 		}
-		return b.warm() - before
+		return b.warmCount() - before
 	}
-	ask("first")
+	sendChats("first")
 	leaving := b.Engines[0]
 	if leaving.Counts().Served == 0 {
-		t.Fatal("the leaving engine has no chats")
+		t.Fatal("the engine that is to leave has served no chats")
 	}
 	leaving.Leave()
-	b.until(t, "the engine is told to export", func() bool { return leaving.Counts().Orders > 0 })
-	b.until(t, "all routers know that it leaves", func() bool {
+	b.waitFor(t, "the engine has received the order to export", func() bool { return leaving.Counts().Orders > 0 })
+	b.waitFor(t, "both routers have the engine as leaving", func() bool {
 		return b.Routers[0].Leaving(leaving.ID) && b.Routers[1].Leaving(leaving.ID)
 	})
 	served := leaving.Counts().Served
-	if warm := ask("second"); warm != chats {
-		t.Errorf("%d of %d chats found their context", warm, chats)
+	if warmCount := sendChats("second"); warmCount != chats {
+		t.Errorf("%d of %d chats found their prefix cached", warmCount, chats)
 	}
 	if leaving.Counts().Served != served {
-		t.Error("the leaving engine got new work")
+		t.Error("the leaving engine received new requests")
 	}
 }
 
-// warm is how many requests found their prefix at the engines.
-func (b *fixture) warm() int {
-	sum := 0
+// warmCount returns the number of requests that found their prefix cached at their engine.
+func (b *fixture) warmCount() int {
+	total := 0
 	for _, e := range b.Engines {
-		sum += e.Counts().Warm
+		total += e.Counts().Warm
 	}
-	return sum
+	return total
 }
 
 func TestHTTP2Targets(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 1, Engines: 2, Plain: 1})
-	both := strings.ReplaceAll(text(), "kind = ", "protocol = http2\nkind = ")
-	b.apply(t, "http2", both)
+	http2Configuration := strings.ReplaceAll(configurationText(), "kind = ", "protocol = http2\nkind = ")
+	b.apply(t, "http2", http2Configuration)
 	for i := range 6 {
 		q := fmt.Sprint(i)
 		if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), q, q, words, i%2 == 0); !r.Right(q, words) {
@@ -440,8 +441,9 @@
 	}
 }
 
-// A caller that goes away takes its request off the engine and its permit off the home.
-func TestCallerGoesAway(t *testing.T) {
+// When a caller disconnects, its request is cancelled at the engine and its permit is returned to
+// the home.
+func TestCallerDisconnects(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 2, Engines: 1, Engine: target.EngineOptions{PerWord: time.Minute}})
 	for _, stream := range []bool{true, false} {
 		ctx, cancel := context.WithCancel(b.ctx)
@@ -450,10 +452,10 @@
 			defer close(done)
 			b.caller.Chat(ctx, b.Routers[0].CallerAddr(), "c", "q", words, stream)
 		}()
-		b.until(t, "the engine runs it", func() bool { return b.Engines[0].Counts().Running == 1 })
+		b.waitFor(t, "the engine runs the request", func() bool { return b.Engines[0].Counts().Running == 1 })
 		cancel()
 		<-done
-		b.until(t, "the engine is free", func() bool { return b.Engines[0].Counts().Running == 0 })
-		b.until(t, "no permit is out", func() bool { return b.Routers[0].Permits()+b.Routers[1].Permits() == 0 })
+		b.waitFor(t, "the engine runs no request", func() bool { return b.Engines[0].Counts().Running == 0 })
+		b.waitFor(t, "no permit is held", func() bool { return b.Routers[0].Permits()+b.Routers[1].Permits() == 0 })
 	}
 }
--- a/internal/fake/fleet/keys_test.go
+++ b/internal/fake/fleet/keys_test.go
@@ -25,7 +25,7 @@
 	"valescale/internal/share/peerpb"
 )
 
-// authority signs routers' certificates.
+// authority is a certificate authority that signs the certificates of routers and callers.
 type authority struct {
 	t    *testing.T
 	dir  string
@@ -39,7 +39,8 @@
 	return a
 }
 
-// issue makes a certificate and its files.
+// issue creates a certificate and key, and writes both to files. Without a parent the certificate
+// is a self-signed authority.
 func (a *authority) issue(name string, parent *x509.Certificate, signer *ecdsa.PrivateKey) (*x509.Certificate, *ecdsa.PrivateKey) {
 	a.t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
@@ -88,8 +89,9 @@
 	}
 }
 
-// showing is the TLS side of a client that shows a certificate, or none.
-func showing(t *testing.T, keys *conf.Listener) *tls.Config {
+// clientTLS returns the TLS configuration of a client with the given certificate, or without one if
+// keys is nil.
+func clientTLS(t *testing.T, keys *conf.Listener) *tls.Config {
 	t.Helper()
 	config := &tls.Config{InsecureSkipVerify: true}
 	if keys != nil {
@@ -102,10 +104,11 @@
 	return config
 }
 
-// gossip calls a router under a certificate, or none, in the name of a router.
+// gossip sends a digest in the name of a router, with the given certificate or without one if keys
+// is nil, and returns the code of the error or zero.
 func gossip(ctx context.Context, t *testing.T, addr string, keys *conf.Listener, from string) connect.Code {
 	t.Helper()
-	config := showing(t, keys)
+	config := clientTLS(t, keys)
 	protocols := &http.Protocols{}
 	protocols.SetHTTP2(true)
 	transport := &http.Transport{TLSClientConfig: config, Protocols: protocols}
@@ -118,37 +121,38 @@
 	return connect.CodeOf(err)
 }
 
-func TestPeersNeedCertificates(t *testing.T) {
+func TestPeersRequireCertificates(t *testing.T) {
 	a := newAuthority(t)
 	b := start(t, fleet.Options{Routers: 2, Engines: 2, Keys: a.listener})
 	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true); !r.Right("q", words) {
-		t.Errorf("a chat over routers with keys got %+v", r)
+		t.Errorf("a chat over routers with TLS keys returned %+v", r)
 	}
 	addr := b.Routers[0].PeerAddr()
-	mine := a.listener("router-09")
+	own := a.listener("router-09")
 	foreign := newAuthority(t).listener("router-09")
-	if got := gossip(b.ctx, t, addr, &mine, "router-09"); got != 0 {
-		t.Errorf("under its own name a router got %v", got)
+	if got := gossip(b.ctx, t, addr, &own, "router-09"); got != 0 {
+		t.Errorf("a digest in the name of the certificate returned %v", got)
 	}
-	if got := gossip(b.ctx, t, addr, &mine, "router-01"); got != connect.CodePermissionDenied {
-		t.Errorf("under another's name a router got %v", got)
+	if got := gossip(b.ctx, t, addr, &own, "router-01"); got != connect.CodePermissionDenied {
+		t.Errorf("a digest in the name of another router returned %v", got)
 	}
-	// How a broken handshake shows depends on who notices first.
+	// The error of a failed handshake depends on which side detects it first.
 	if got := gossip(b.ctx, t, addr, nil, "router-09"); got == 0 {
-		t.Error("a caller without a certificate was answered")
+		t.Error("a digest without a certificate was accepted")
 	}
 	if got := gossip(b.ctx, t, addr, &foreign, "router-09"); got == 0 {
-		t.Error("a certificate of another authority was taken")
+		t.Error("a digest with a certificate of another authority was accepted")
 	}
 }
 
-// Callers may show a certificate instead of a token; it names their workspace.
+// A caller can authenticate with a certificate instead of a token; the certificate names its
+// workspace.
 func TestCallersWithCertificates(t *testing.T) {
 	a := newAuthority(t)
 	b := start(t, fleet.Options{Routers: 1, Engines: 1, Plain: 1, CallerKeys: a.listener})
-	b.apply(t, "certs", strings.Replace(text(), "[workspace cali]", "[workspace cali]\ncerts = driver-7", 1))
+	b.apply(t, "certs", strings.Replace(configurationText(), "[workspace cali]", "[workspace cali]\ncerts = driver-7", 1))
 	get := func(keys *conf.Listener) int {
-		config := showing(t, keys)
+		config := clientTLS(t, keys)
 		transport := &http.Transport{TLSClientConfig: config}
 		defer transport.CloseIdleConnections()
 		resp, err := (&http.Client{Transport: transport}).Get("https://" + b.Routers[0].CallerAddr() + "/standings")
@@ -161,16 +165,16 @@
 	driver, stranger := a.listener("driver-7"), a.listener("stranger")
 	foreign := newAuthority(t).listener("driver-7")
 	if got := get(&driver); got != http.StatusOK {
-		t.Errorf("a workspace's certificate got %d", got)
+		t.Errorf("a request with the certificate of a workspace returned %d", got)
 	}
 	if got := get(&stranger); got != http.StatusUnauthorized {
-		t.Errorf("a certificate that names no workspace got %d", got)
+		t.Errorf("a request with a certificate that names no workspace returned %d", got)
 	}
 	if got := get(nil); got != http.StatusUnauthorized {
-		t.Errorf("no certificate got %d", got)
+		t.Errorf("a request without a certificate returned %d", got)
 	}
-	// The other side may break the handshake; it must not serve.
+	// The handshake can fail instead of a response with a status; the request must not be served.
 	if got := get(&foreign); got == http.StatusOK {
-		t.Error("a certificate of another authority was served")
+		t.Error("a request with a certificate of another authority was served")
 	}
 }
--- a/internal/fake/fleet/setback_test.go
+++ b/internal/fake/fleet/setback_test.go
@@ -8,27 +8,24 @@
 	"valescale/internal/rule/retry"
 )
 
-// Seen: nowhere yet; found when what the store said was looked for in the product's own interface.
-//
-// How: the table service comes back from a copy that lacks orders which have run and the latest configuration.
-// Callers who ask again had their orders run once more, operators could change nothing for good, and routers that
-// started had the older configuration in force.
-//
-// Cause: what routers had written stood in the table service alone.
-func TestFleetThroughASetback(t *testing.T) {
+// The table service is restored from an older snapshot, which lacks orders that have run and the
+// latest configuration. If routers keep what they wrote in the table service alone, repeated orders
+// run twice, changes by operators do not last, and routers that start put the older configuration
+// in force.
+func TestFleetAfterStoreRollback(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 2, Plain: 2})
-	older := b.Store.Copy()
-	second := b.apply(t, "second", text()+"\n[service extra]\nkind = plain\n")
+	snapshot := b.Store.Copy()
+	second := b.apply(t, "second", configurationText()+"\n[service extra]\nkind = plain\n")
 	orders := 12
 	for i := range orders {
 		if r := b.caller.Order(b.ctx, b.Routers[i%3].CallerAddr(), fmt.Sprint("order-", i), "roses"); r.Outcome != retry.Done {
-			t.Fatalf("order %d got %+v", i, r)
+			t.Fatalf("order %d returned %+v", i, r)
 		}
 	}
-	b.Store.SetBack(older)
+	b.Store.SetBack(snapshot)
 	for i := range orders {
-		// A caller asks again, at another router, until it has an answer.
-		b.until(t, fmt.Sprintf("order %d is answered", i), func() bool {
+		// The caller repeats the order at another router until it is answered.
+		b.waitFor(t, fmt.Sprintf("order %d is answered", i), func() bool {
 			return b.caller.Order(b.ctx, b.Routers[(i+1)%3].CallerAddr(), fmt.Sprint("order-", i), "roses").Outcome == retry.Done
 		})
 	}
@@ -43,17 +40,17 @@
 			t.Errorf("order %d ran %d times", i, n)
 		}
 	}
-	late, err := b.AddRouter(3)
+	started, err := b.AddRouter(3)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b.until(t, "a router that starts is ready", late.Ready)
+	b.waitFor(t, "the started router is ready", started.Ready)
 	for _, r := range b.Routers {
 		if got := r.Revision(); got != second {
-			t.Errorf("revision %d is in force, want %d", got, second)
+			t.Errorf("router has revision %d in force, want %d", got, second)
 		}
 	}
-	if third := b.apply(t, "third", text()); third != second+1 {
-		t.Errorf("the next change has revision %d, want %d", third, second+1)
+	if third := b.apply(t, "third", configurationText()); third != second+1 {
+		t.Errorf("the next change got revision %d, want %d", third, second+1)
 	}
 }
--- a/internal/fake/listen/doc.go
+++ b/internal/fake/listen/doc.go
@@ -1,2 +1,3 @@
-// Package listen provides TCP listeners for tests that control individual connections and their bytes.
+// Package listen provides TCP listeners for tests that control individual connections and their
+// bytes.
 package listen
--- a/internal/fake/listen/stalling_proxy.go
+++ b/internal/fake/listen/stalling_proxy.go
@@ -7,17 +7,18 @@
 	"testing"
 )
 
-// StallingProxy is a TCP proxy whose connections can be made to stall: they stay open without a reset
-// and deliver nothing more, while new connections work.
+// StallingProxy is a TCP proxy whose connections can be made to stall: they stay open without a
+// reset and deliver nothing more, while new connections work.
 type StallingProxy struct {
 	// Addr is the address that the proxy listens on.
 	Addr string
-	// stalls is the number of calls to Sever. A connection stalls once it differs from the number at
-	// which the connection was accepted.
+	// stalls counts how often the open connections were stalled. A connection stalls once the count
+	// differs from the one at which the connection was accepted.
 	stalls atomic.Int64
 }
 
-// NewMute returns a StallingProxy to the server at an address. It accepts connections until the test ends.
+// NewMute returns a StallingProxy to the server at an address. It accepts connections until the
+// test ends.
 func NewMute(t *testing.T, to string) *StallingProxy {
 	t.Helper()
 	p := &StallingProxy{}
--- a/internal/fake/scarce/scarce.go
+++ b/internal/fake/scarce/scarce.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// standardStreams is the number of descriptors of the standard streams. They are always in use, so that
-// a limit of this number leaves no descriptor free.
+// standardStreams is the number of descriptors of the standard streams. They are always in use, so
+// that a limit of this number leaves no descriptor free.
 const standardStreams = 3
 
-// Descriptors prevents this process from opening further file descriptors until the test ends. Those that
-// are open stay usable.
+// Descriptors prevents this process from opening further file descriptors until the test ends.
+// Those that are open stay usable.
 func Descriptors(t *testing.T) {
 	t.Helper()
 	var before syscall.Rlimit
--- a/internal/fake/sched/doc.go
+++ b/internal/fake/sched/doc.go
@@ -1,3 +1,3 @@
-// Package sched runs tests with random schedules: the same few in CI, and as many as the environment
-// variable SCHEDULES states if it is set.
+// Package sched runs tests with random schedules: the same few in CI, and as many as the
+// environment variable SCHEDULES states if it is set.
 package sched
--- a/internal/fake/store/client.go
+++ b/internal/fake/store/client.go
@@ -9,8 +9,8 @@
 	"valescale/internal/plat/table"
 )
 
-// Client is one router's client of a fake store. Like the client over HTTP, it receives the store's era
-// with each response.
+// Client is one router's client of a fake store. Like the client over HTTP, it receives the store's
+// era with each response.
 type Client struct {
 	*table.Eras
 	store *Store
@@ -48,8 +48,8 @@
 	return rows, err
 }
 
-// observeEra records the era of a response and returns it. A call without a response has no era: the one from
-// before the call is returned.
+// observeEra records the era of a response and returns it. A call without a response has no era:
+// the one from before the call is returned.
 func (c *Client) observeEra(before table.Era, err error) table.Era {
 	if kind := table.KindOf(err); kind == table.Unavailable || kind == table.Unknown {
 		return before
--- a/internal/fake/store/store.go
+++ b/internal/fake/store/store.go
@@ -23,8 +23,8 @@
 	objects map[string][]byte
 	boxes   []boxes.Box
 	down    bool
-	// commitsUntilDown is the number of commits that still take effect before the store goes down; if it is
-	// negative, the store stays up.
+	// commitsUntilDown is the number of commits that still take effect before the store goes down;
+	// if it is negative, the store stays up.
 	commitsUntilDown int
 	// responsesToLose is the number of commits that still take effect but return Unknown.
 	responsesToLose int
@@ -56,15 +56,16 @@
 	s.down = down
 }
 
-// LoseAnswers makes the next n commits take effect and return Unknown, as if their responses were lost.
+// LoseAnswers makes the next n commits take effect and return Unknown, as if their responses were
+// lost.
 func (s *Store) LoseAnswers(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.responsesToLose = n
 }
 
-// FreezeReads makes reads return the current state, as a stale replica would, until it is called with
-// freeze unset.
+// FreezeReads makes reads return the current state, as a stale replica would, until it is called
+// with freeze unset.
 func (s *Store) FreezeReads(freeze bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -78,15 +79,15 @@
 // Copy is a snapshot of a store's rows.
 type Copy map[rowKey]table.Row
 
-// Copy returns a snapshot of the rows, from which SetBack can restore the store.
+// Copy returns a snapshot of the rows, from which the store can be restored.
 func (s *Store) Copy() Copy {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.rows)
 }
 
-// SetBack restores the store from a snapshot: later writes are lost, their versions are assigned again,
-// and the era is incremented.
+// SetBack restores the store from a snapshot: later writes are lost, their versions are assigned
+// again, and the era is incremented.
 func (s *Store) SetBack(to Copy) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -115,7 +116,8 @@
 	s.boxes = append([]boxes.Box(nil), list...)
 }
 
-// Writes returns the number of committed transactions and the number of rows that they put or deleted.
+// Writes returns the number of committed transactions and the number of rows that they put or
+// deleted.
 func (s *Store) Writes() (commits, rows int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/fake/target/chat.go
+++ b/internal/fake/target/chat.go
@@ -23,7 +23,8 @@
 	} `json:"messages"`
 }
 
-// words returns the question, the words of its answer and the number of words that the caller already has.
+// words returns the question, the words of its answer and the number of words that the caller
+// already has.
 func (c chatRequest) words() (string, []string, int) {
 	messages := c.Messages
 	partial := ""
@@ -177,8 +178,8 @@
 	}
 }
 
-// useCache marks a chat's prefix as the most recently used one, caches it, and reports whether it was cached
-// before.
+// useCache marks a chat's prefix as the most recently used one, caches it, and reports whether it
+// was cached before.
 func (e *Engine) useCache(key ident.ChatKey) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -198,8 +199,8 @@
 	return false
 }
 
-// simulateWork waits for the duration of a piece of work and reports whether the request's context is still
-// active. Without a duration it does not wait.
+// simulateWork waits for the duration of a piece of work and reports whether the request's context
+// is still active. Without a duration it does not wait.
 func simulateWork(ctx context.Context, d time.Duration) bool {
 	if d <= 0 {
 		return ctx.Err() == nil
--- a/internal/fake/target/engine.go
+++ b/internal/fake/target/engine.go
@@ -18,8 +18,8 @@
 	Cold    time.Duration
 	// Cache is the maximum number of chats whose prefixes are cached; zero means no limit.
 	Cache int
-	// Slots is the number of slots that the engine reports. It rejects requests once twice as many run; zero
-	// means no limit.
+	// Slots is the number of slots that the engine reports. It rejects requests once twice as many
+	// run; zero means no limit.
 	Slots int
 	// Fenced makes the engine reject orders with an older epoch.
 	Fenced bool
@@ -31,7 +31,8 @@
 	options EngineOptions
 	mu      sync.Mutex
 	leaving bool
-	// backoff is the Retry-After delay with which all requests are rejected; if it is zero, they are served.
+	// backoff is the Retry-After delay with which all requests are rejected; if it is zero, they
+	// are served.
 	backoff     time.Duration
 	rejected    int
 	running     int
@@ -46,7 +47,8 @@
 	epoch       ident.Epoch
 	model       string
 	orders      int
-	// cutAfterEvents is the number of events after which the connection of a stream is closed; zero means never.
+	// cutAfterEvents is the number of events after which the connection of a stream is closed; zero
+	// means never.
 	cutAfterEvents int
 	// cutsLeft is the number of streams that are still to be cut.
 	cutsLeft  int
@@ -74,8 +76,8 @@
 	}
 }
 
-// Watch sets a callback that receives the number of running requests whenever it changes. It is called
-// with the engine's lock held.
+// Watch sets a callback that receives the number of running requests whenever it changes. It is
+// called with the engine's lock held.
 func (e *Engine) Watch(onRunning func(running int)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -89,7 +91,8 @@
 	e.leaving = true
 }
 
-// SetBackoff makes the engine reject all requests with a Retry-After delay; zero makes it serve them again.
+// SetBackoff makes the engine reject all requests with a Retry-After delay; zero makes it serve
+// them again.
 func (e *Engine) SetBackoff(backoff time.Duration) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/fake/target/plain.go
+++ b/internal/fake/target/plain.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// Plain is a fake of a plain service. POST /orders runs an order; any other request is answered with its
-// path and body.
+// Plain is a fake of a plain service. POST /orders runs an order; any other request is answered
+// with its path and body.
 type Plain struct {
 	mu    sync.Mutex
 	runs  map[string]int
--- a/internal/fake/target/side.go
+++ b/internal/fake/target/side.go
@@ -29,8 +29,8 @@
 	_ = json.NewEncoder(w).Encode(report)
 }
 
-// serveOrder executes an order. A fenced engine rejects it if an order of a later epoch was executed
-// before, since the sender no longer holds the lease.
+// serveOrder executes an order. A fenced engine rejects it if an order of a later epoch was
+// executed before, since the sender no longer holds the lease.
 func (e *Engine) serveOrder(w http.ResponseWriter, r *http.Request) {
 	var order engine.Order
 	if err := json.NewDecoder(r.Body).Decode(&order); err != nil {
@@ -64,7 +64,8 @@
 	}
 }
 
-// sendImport sends the keys of cached prefixes to another engine. It simulates copying the prefixes.
+// sendImport sends the keys of cached prefixes to another engine. It simulates copying the
+// prefixes.
 func sendImport(order engine.Order) {
 	body, _ := json.Marshal(engine.Order{Kind: importCache, Keys: order.Keys})
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
--- a/internal/fake/target/text.go
+++ b/internal/fake/target/text.go
@@ -10,8 +10,8 @@
 // Words is the number of words in an answer if the request sets no limit.
 const Words = 12
 
-// Answer returns the text with which every engine answers a user's last message. It is derived from the
-// question, so that a caller can check that it received the complete answer to its own request.
+// Answer returns the text with which every engine answers a user's last message. It is derived from
+// the question, so that a caller can check that it received the complete answer to its own request.
 func Answer(question string, words int) string {
 	return strings.Join(answerWords(question, words), "")
 }
--- a/main.go
+++ b/main.go
@@ -1,4 +1,4 @@
-// Command valescale runs a router of a fleet and holds the operators' commands.
+// Command valescale runs a router of a fleet and provides the operators' commands.
 package main
 
 import (
