--- a/cmd/soak/caller.go
+++ b/cmd/soak/caller.go
@@ -12,27 +12,27 @@
 	"valescale/platform/fake"
 )
 
-// callerTime is how long a caller waits for the end of an answer.
-const callerTime = 3 * time.Second
+// callerTimeout is the deadline that a caller sets for the whole answer.
+const callerTimeout = 3 * time.Second
 
-// caller sends requests one after the other to routers of its choice, over connections
-// that it keeps.
+// caller sends requests one after the other to randomly chosen routers over persistent
+// connections.
 type caller struct {
-	world  *world
-	number int
-	rng    *rand.Rand
-	http   *http.Client
-	count  int
+	harness *harness
+	number  int
+	rng     *rand.Rand
+	http    *http.Client
+	count   int
 }
 
-func (w *world) newCaller(number int) *caller {
+func (w *harness) newCaller(number int) *caller {
 	return &caller{
-		world: w, number: number, rng: rand.New(rand.NewPCG(w.Seed, uint64(1000+number))),
+		harness: w, number: number, rng: rand.New(rand.NewPCG(w.Seed, uint64(1000+number))),
 		http: &http.Client{Transport: &http.Transport{MaxIdleConnsPerHost: 4}},
 	}
 }
 
-// run sends requests until the world stops.
+// run sends requests until the harness stops.
 func (c *caller) run() {
 	paths := []string{oncePath, safePath, streamPath, resumePath}
 	if c.number == 0 {
@@ -40,69 +40,70 @@
 	}
 	for {
 		select {
-		case <-c.world.stop:
+		case <-c.harness.stop:
 			return
 		default:
 		}
-		r := c.world.routers[c.rng.IntN(len(c.world.routers))]
+		r := c.harness.routers[c.rng.IntN(len(c.harness.routers))]
 		c.send(r, paths[c.rng.IntN(len(paths))])
 		time.Sleep(time.Duration(c.rng.IntN(10)) * time.Millisecond)
 	}
 }
 
-// send sends one request, checks the answer and returns its status, zero without one.
+// send sends one request, checks the response and returns its status code, or zero if the
+// request failed without a response.
 func (c *caller) send(r *router, path string) int {
 	c.count++
-	id := fmt.Sprintf("%d-%d-%d", c.world.Seed, c.number, c.count)
+	id := fmt.Sprintf("%d-%d-%d", c.harness.Seed, c.number, c.count)
 	body := "body of " + id
 	if path == fatalPath {
 		body = fatalBody
 	}
-	c.world.ledger.begin(id, path, body)
-	ctx, cancel := context.WithTimeout(context.Background(), callerTime+time.Second)
+	c.harness.ledger.recordSent(id, path, body)
+	ctx, cancel := context.WithTimeout(context.Background(), callerTimeout+time.Second)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+r.callers+path, strings.NewReader(body))
 	if err != nil {
-		c.world.ledger.report("a request cannot be made: %v", err)
+		c.harness.ledger.addViolation("cannot create a request: %v", err)
 		return 0
 	}
-	// The transport must not send it again by itself.
+	// Without GetBody, the transport cannot replay the request on its own.
 	req.GetBody = nil
-	fake.Request(req, id, int(callerTime.Milliseconds()))
+	fake.Request(req, id, int(callerTimeout.Milliseconds()))
 	resp, err := c.http.Do(req)
 	if err != nil {
 		return 0
 	}
 	defer resp.Body.Close()
 	got, err := io.ReadAll(resp.Body)
-	c.check(id, path, resp, string(got), err)
+	c.checkResponse(id, path, resp, string(got), err)
 	return resp.StatusCode
 }
 
-// check compares an answer with the only right one.
-func (c *caller) check(id, path string, resp *http.Response, got string, err error) {
-	ledger := c.world.ledger
+// checkResponse compares a response with the only correct one.
+func (c *caller) checkResponse(id, path string, resp *http.Response, got string, err error) {
+	ledger := c.harness.ledger
 	signed := resp.Header.Get(fake.HeaderSignature) != ""
 	switch resp.StatusCode {
 	case http.StatusOK:
-		want := answerTo(id)
+		want := expectedAnswer(id)
 		if path == streamPath || path == resumePath {
-			want = streamOf(id)
+			want = expectedStream(id)
 		}
 		switch {
 		case !signed:
-			ledger.report("%s on %s got a success without a target's signature", id, path)
+			ledger.addViolation("%s on %s: status 200 without a target signature", id, path)
 		case err == nil && got != want:
-			ledger.report("%s on %s got %q", id, path, got)
+			ledger.addViolation("%s on %s: unexpected answer %q", id, path, got)
 		case err != nil && !strings.HasPrefix(want, got):
-			ledger.report("%s on %s got %q before its answer was cut off", id, path, got)
+			ledger.addViolation("%s on %s: unexpected answer %q before the connection broke", id, path, got)
 		case err == nil:
-			ledger.done()
+			ledger.recordServed()
 		}
 	case http.StatusServiceUnavailable, http.StatusTooManyRequests:
 		if signed {
-			ledger.report("%s on %s: a refusal with a target's signature", id, path)
+			ledger.addViolation("%s on %s: rejection with a target signature", id, path)
 		}
-		ledger.refused(id)
+		ledger.recordRejected(id)
 	}
 }
--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -15,51 +15,52 @@
 	"valescale/platform/fake"
 )
 
-// world is the store, the targets, the routers and the callers of one run.
-type world struct {
+// harness holds the store, the targets, the routers and the callers of one run.
+type harness struct {
 	options
-	rng     *rand.Rand
-	store   *fake.Store
-	storeAt *fake.Faults
-	routers []*router
-	targets []*target
-	ledger  *ledger
-	// version is the latest configuration's, extra the number of the route that only it has.
+	rng         *rand.Rand
+	store       *fake.Store
+	storeFaults *fake.Faults
+	routers     []*router
+	targets     []*target
+	ledger      *ledger
+	// version is the version of the latest configuration, extraID the number of the route that only it
+	// has.
 	version int
-	extra   int
-	// prober sends the requests that show what configuration is in force.
+	extraID int
+	// prober sends requests that show which configuration is in force.
 	prober *caller
-	// setbacks counts how often the store came back from an older copy.
-	setbacks int
-	// copies are of the store, the oldest first.
-	copies  []fake.Copy
-	stop    chan struct{}
-	callers sync.WaitGroup
-	servers []*http.Server
+	// rollbacks is the number of times the store was restored from an older snapshot.
+	rollbacks int
+	// snapshots are snapshots of the store, the oldest first.
+	snapshots []fake.Copy
+	stop      chan struct{}
+	callers   sync.WaitGroup
+	servers   []*http.Server
 }
 
-// router is one router as the soak sees it.
+// router is the name and the addresses of one router.
 type router struct {
 	name    string
 	callers string
 	ready   string
 }
 
-// target is one stand-in target behind connections that can be harmed.
+// target is a fake target behind connections with fault injection.
 type target struct {
 	id      string
 	service string
 	addr    string
-	// born is when the target started last, in Unix milliseconds.
-	born int64
-	// state is what it announced last, empty once it has taken its row away.
-	state  string
-	faults *fake.Faults
-	server *http.Server
-	work   *work
+	// startedMs is the time of the target's last start, in Unix milliseconds.
+	startedMs int64
+	// state is the state that it announced last, empty after its row was removed.
+	state   string
+	faults  *fake.Faults
+	server  *http.Server
+	handler *targetHandler
 }
 
-// Services and paths of the configuration.
+// Services and path prefixes of the configuration.
 const (
 	plainService  = "plain"
 	engineService = "engine"
@@ -68,19 +69,19 @@
 	streamPath    = "/stream/"
 	resumePath    = "/resume/"
 	extraPath     = "/extra/"
-	// fatalPath is of requests that end each target which runs them. Their bodies are alike, so that all
-	// tries are of one request.
+	// fatalPath is the path of requests that crash each target which executes them. Their bodies are
+	// equal, so that all attempts count as the same request.
 	fatalPath = "/safe/fatal"
 	fatalBody = "fatal"
 )
 
-func newWorld(o options) (*world, func(), error) {
-	w := &world{
+func newHarness(o options) (*harness, func(), error) {
+	w := &harness{
 		options: o, rng: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: fake.NewStore(), ledger: newLedger(), stop: make(chan struct{}),
 	}
 	w.prober = w.newCaller(o.Callers + 1)
 	var err error
-	if w.storeAt, _, err = w.serve(w.store); err != nil {
+	if w.storeFaults, _, err = w.serve(w.store); err != nil {
 		return nil, nil, err
 	}
 	for i := range 2 * o.Targets {
@@ -88,21 +89,21 @@
 			return nil, nil, err
 		}
 	}
-	w.configure()
+	w.writeNextConfig()
 	if err := w.writeSettings(); err != nil {
 		return nil, nil, err
 	}
 	return w, w.close, nil
 }
 
-func (w *world) close() {
+func (w *harness) close() {
 	for _, s := range w.servers {
 		_ = s.Close()
 	}
 }
 
-// serve serves on a port of the kernel's choice, behind connections that can be harmed.
-func (w *world) serve(h http.Handler) (*fake.Faults, *http.Server, error) {
+// serve serves on a port chosen by the kernel, behind connections with fault injection.
+func (w *harness) serve(h http.Handler) (*fake.Faults, *http.Server, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, nil, errors.WithStack(err)
@@ -114,37 +115,38 @@
 	return faults, server, nil
 }
 
-func (w *world) addTarget(i int) error {
+func (w *harness) addTarget(i int) error {
 	t := &target{id: fmt.Sprintf("i-%d", i), service: plainService}
 	if i%2 == 1 {
 		t.service = engineService
 	}
-	work := w.newWork(t, uint64(i))
-	faults, server, err := w.serve(&fake.Target{ID: t.id, Work: work.serve})
+	handler := w.newTargetHandler(t, uint64(i))
+	faults, server, err := w.serve(&fake.Target{ID: t.id, Work: handler.serve})
 	if err != nil {
 		return err
 	}
-	work.end = func() { w.end(t) }
-	t.work = work
+	handler.crash = func() { w.crash(t) }
+	t.handler = handler
 	t.server = server
-	t.faults, t.addr, t.born = faults, faults.Addr().String(), time.Now().UnixMilli()
+	t.faults, t.addr, t.startedMs = faults, faults.Addr().String(), time.Now().UnixMilli()
 	w.targets = append(w.targets, t)
 	w.announce(t, "ready")
 	return nil
 }
 
-// downTime is how long a target is gone that a fatal request has ended.
-const downTime = 2 * time.Second
+// restartDelay is the time until a target crashed by a fatal request starts again.
+const restartDelay = 2 * time.Second
 
-// end takes a target's process away, with all its connections, and has it start again later. Its
-// heartbeats go on in the store, as those of a target that says nothing do for a while.
-func (w *world) end(t *target) {
-	// It listens on another socket once it is back; one that is closed already is as gone.
+// crash closes a target with all its connections and starts it again after restartDelay. Its
+// heartbeats in the store go on meanwhile, since a crashed target's row expires only later.
+func (w *harness) crash(t *target) {
+	// The restarted target listens on a new socket. A target that is closed already has crashed
+	// before, so the error is ignored.
 	_ = t.server.Close()
-	time.AfterFunc(downTime, func() {
+	time.AfterFunc(restartDelay, func() {
 		l, err := net.Listen("tcp", t.addr)
 		if err != nil {
-			w.ledger.report("target %s cannot start again: %v", t.id, err)
+			w.ledger.addViolation("cannot restart target %s: %v", t.id, err)
 			return
 		}
 		server := &http.Server{Handler: t.server.Handler, ReadHeaderTimeout: time.Minute}
@@ -153,17 +155,17 @@
 	})
 }
 
-func (w *world) announce(t *target, state string) {
+func (w *harness) announce(t *target, state string) {
 	t.state = state
 	fake.Announce(w.store, fake.Announcement{
-		ID: t.id, Service: t.service, Addr: t.addr, Zone: "a", State: state, Slots: 16, Born: t.born,
+		ID: t.id, Service: t.service, Addr: t.addr, Zone: "a", State: state, Slots: 16, Born: t.startedMs,
 	})
 }
 
-func (w *world) extraRoute(n int) string { return fmt.Sprint(extraPath, n, "/") }
+func (w *harness) extraPrefix(n int) string { return fmt.Sprint(extraPath, n, "/") }
 
-// writeSettings writes a settings file for each router and finds free ports for them.
-func (w *world) writeSettings() error {
+// writeSettings finds free ports for the routers and writes a settings file for each.
+func (w *harness) writeSettings() error {
 	var ports []string
 	for range 3 * w.Routers {
 		l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -171,7 +173,8 @@
 			return errors.WithStack(err)
 		}
 		ports = append(ports, l.Addr().String())
-		// The port stays free long enough on a machine that is not full.
+		// After Close the port stays free until the router listens on it, unless the machine is
+		// overloaded.
 		defer func() { _ = l.Close() }()
 	}
 	seeds := []string{ports[2], ports[5]}
@@ -179,7 +182,7 @@
 		own := ports[3*i : 3*i+3]
 		r := &router{name: fmt.Sprint("r", i), callers: own[0], ready: own[1]}
 		zone := string(rune('a' + i%2))
-		text := fake.Settings(r.name, zone, own[0], own[1], own[2], w.storeAt.Addr().String(), seeds)
+		text := fake.Settings(r.name, zone, own[0], own[1], own[2], w.storeFaults.Addr().String(), seeds)
 		if err := os.WriteFile(filepath.Join(w.Dir, r.name+".conf"), []byte(text), 0o600); err != nil {
 			return errors.WithStack(err)
 		}
@@ -188,5 +191,5 @@
 	return nil
 }
 
-// order tells bench/soak what to do with a router's process.
-func order(verb string, r *router) { fmt.Println(verb, r.name) }
+// printOrder prints an order for bench/soak to carry out on a router's process.
+func printOrder(verb string, r *router) { fmt.Println(verb, r.name) }
--- a/cmd/soak/ledger.go
+++ b/cmd/soak/ledger.go
@@ -5,119 +5,120 @@
 	"sync"
 )
 
-// entry is what is known of one request.
-type entry struct {
+// requestRecord is the state of one request.
+type requestRecord struct {
 	path string
 	body string
-	// runs counts the targets that worked on it.
+	// runs is the number of targets that executed the request.
 	runs int
-	// refused is set when its caller was told that it has not run.
-	refused bool
+	// rejected is set when the caller received a not-run response.
+	rejected bool
 }
 
-// ledger keeps all requests and what broke.
+// ledger records all requests and all violations of the guarantees.
 type ledger struct {
-	mu     sync.Mutex
-	sent   map[string]*entry
-	broken []string
-	served int
-	// ends counts the targets that ended under the fatal request.
-	ends int
-	// unwanted counts the requests that reached targets which had said that they want none.
+	mu         sync.Mutex
+	sent       map[string]*requestRecord
+	violations []string
+	served     int
+	// crashes is the number of targets that crashed under the fatal request.
+	crashes int
+	// unwanted is the number of requests that reached targets which had reported that they accept none.
 	unwanted int
 }
 
-func newLedger() *ledger { return &ledger{sent: map[string]*entry{}} }
+func newLedger() *ledger { return &ledger{sent: map[string]*requestRecord{}} }
 
-// begin notes a request before it is sent.
-func (l *ledger) begin(id, path, body string) {
+// recordSent records a request before it is sent.
+func (l *ledger) recordSent(id, path, body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent[id] = &entry{path: path, body: body}
+	l.sent[id] = &requestRecord{path: path, body: body}
 }
 
-// ran notes that a target began to work on a request.
-func (l *ledger) ran(id, path, body string) {
+// recordRun records that a target started to execute a request.
+func (l *ledger) recordRun(id, path, body string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	e, ok := l.sent[id]
 	switch {
 	case !ok:
-		l.breach("a target ran %s, which nobody sent", id)
+		l.addViolationLocked("a target executed %s, which no caller sent", id)
 	case e.path != path || e.body != body:
-		l.breach("a target ran %s with path %q and body %q instead of %q and %q", id, path, body, e.path, e.body)
+		l.addViolationLocked("a target executed %s with path %q and body %q; want %q and %q", id, path, body, e.path, e.body)
 	default:
 		e.runs++
 	}
 }
 
-// ended notes that the fatal request has ended a target.
-func (l *ledger) ended() {
+// recordCrash records that the fatal request crashed a target.
+func (l *ledger) recordCrash() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.ends++
+	l.crashes++
 }
 
-// endsSoFar is how many targets the fatal request has ended.
-func (l *ledger) endsSoFar() int {
+// crashCount returns the number of targets that the fatal request has crashed.
+func (l *ledger) crashCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.ends
+	return l.crashes
 }
 
-// unwelcome notes a request that reached a target which had said that it wants none.
-func (l *ledger) unwelcome() {
+// recordUnwanted records a request that reached a target which had reported that it accepts none.
+func (l *ledger) recordUnwanted() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.unwanted++
 }
 
-// unwantedSoFar is how many requests reached targets that had said that they want none.
-func (l *ledger) unwantedSoFar() int {
+// unwantedCount returns the number of requests that reached targets which had reported that they
+// accept none.
+func (l *ledger) unwantedCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.unwanted
 }
 
-// refused notes that a caller was told that its request has not run.
-func (l *ledger) refused(id string) {
+// recordRejected records that the caller of a request received a not-run response.
+func (l *ledger) recordRejected(id string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.sent[id].refused = true
+	l.sent[id].rejected = true
 }
 
-// done notes a request that was served.
-func (l *ledger) done() {
+// recordServed records a request that was served.
+func (l *ledger) recordServed() {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.served++
 }
 
-// breach notes a broken promise; the caller holds the lock.
-func (l *ledger) breach(format string, args ...any) {
-	l.broken = append(l.broken, fmt.Sprintf(format, args...))
+// addViolationLocked records a violation; the caller holds the lock.
+func (l *ledger) addViolationLocked(format string, args ...any) {
+	l.violations = append(l.violations, fmt.Sprintf(format, args...))
 }
 
-// report notes a broken promise.
-func (l *ledger) report(format string, args ...any) {
+// addViolation records a violation.
+func (l *ledger) addViolation(format string, args ...any) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.breach(format, args...)
+	l.addViolationLocked(format, args...)
 }
 
-// settle checks what can be told only at the end, and returns all that broke, how many
-// requests were sent and how many were served.
-func (l *ledger) settle() (broken []string, sent, served int) {
+// finish runs the checks that need the complete run. It returns all violations, the number of
+// requests sent and the number of requests served.
+func (l *ledger) finish() (violations []string, sent, served int) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for id, e := range l.sent {
 		repeatable := e.path != oncePath && e.path != streamPath
 		if e.runs > 1 && !repeatable {
-			l.breach("%s ran %d times on %s", id, e.runs, e.path)
+			l.addViolationLocked("%s was executed %d times on %s", id, e.runs, e.path)
 		}
-		if e.refused && e.runs > 0 && !repeatable {
-			l.breach("%s ran on %s although its caller was told that it has not", id, e.path)
+		if e.rejected && e.runs > 0 && !repeatable {
+			l.addViolationLocked("%s was executed on %s although its caller received a not-run response", id, e.path)
 		}
 	}
-	return l.broken, len(l.sent), l.served
+	return l.violations, len(l.sent), l.served
 }
--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -8,61 +8,64 @@
 )
 
 const (
-	// mostCopies is how many copies of the store are kept, one a fault: the oldest is some seconds old.
-	mostCopies = 12
-	// mostLost is how many configurations at most are surely lost.
-	mostLost = 4
-	// takenTime is how long routers have to put the last of them in force.
-	takenTime = time.Second
-	// awayTime is how long the store is away at most before it comes back from an older copy.
-	awayTime = 2 * time.Second
-	// rewriteTime is how long at most until those who wrote something write it again.
-	rewriteTime = 2 * time.Second
-	// inForceTime is within which time a configuration must be in force and a target that took its row away must
-	// get nothing more: two seconds, and one for a machine that is full.
-	inForceTime = 3 * time.Second
-	// watchTime is for how long that target is watched.
-	watchTime = time.Second
+	// maxSnapshots is the number of store snapshots that are kept, one taken at each fault: the
+	// oldest is some seconds old.
+	maxSnapshots = 12
+	// maxLostVersions is the maximum of configurations that are written right before a store rollback
+	// and are therefore certainly lost.
+	maxLostVersions = 4
+	// applyDelay is the time that routers have to apply the last of these configurations.
+	applyDelay = time.Second
+	// maxOutage is the maximum time that the store is down before it is restored from an older snapshot.
+	maxOutage = 2 * time.Second
+	// maxRewriteDelay is the maximum time until the writers of lost rows write them again.
+	maxRewriteDelay = 2 * time.Second
+	// applyTimeout is the time in which a configuration must be in force and a target whose row was
+	// removed must get no more requests: two seconds, and one for a machine under full load.
+	applyTimeout = 3 * time.Second
+	// observationTime is the time for which that target is observed.
+	observationTime = time.Second
 )
 
-// remember keeps a copy of the store, for it to come back from.
-func (w *world) remember() {
-	w.copies = append(w.copies, w.store.Copy())
-	w.copies = w.copies[max(len(w.copies)-mostCopies, 0):]
+// saveSnapshot keeps a snapshot of the store for a later rollback.
+func (w *harness) saveSnapshot() {
+	w.snapshots = append(w.snapshots, w.store.Copy())
+	w.snapshots = w.snapshots[max(len(w.snapshots)-maxSnapshots, 0):]
 }
 
-// setBack has the store be away for a moment and come back from an older copy, once or twice, now and then over
-// an era that nobody hears of. Routers that serve the latest route go on doing so, whatever the store shows.
-func (w *world) setBack() {
+// rollBackStore makes the store unavailable for a moment and restores it from an older snapshot,
+// once or twice. Sometimes the era rises by two, so that routers never see the era in between.
+// Routers that serve the latest route must go on serving it, whatever the store returns.
+func (w *harness) rollBackStore() {
 	for _, r := range w.routers {
-		order("wake", r)
+		printOrder("wake", r)
 	}
-	w.storeAt.Set(fake.Sound)
+	w.storeFaults.Set(fake.Sound)
 	w.store.Fail(0)
-	for range 1 + w.rng.IntN(mostLost) {
-		w.configure()
+	for range 1 + w.rng.IntN(maxLostVersions) {
+		w.writeNextConfig()
 	}
-	time.Sleep(takenTime)
-	w.setbacks++
-	served, latest := w.serving(), w.store.Copy()
+	time.Sleep(applyDelay)
+	w.rollbacks++
+	served, latest := w.servingRouters(), w.store.Copy()
 	for range 1 + w.rng.IntN(2) {
 		w.store.Fail(http.StatusServiceUnavailable)
-		time.Sleep(time.Duration(w.rng.Int64N(int64(awayTime))))
-		w.store.SetBack(w.copies[w.rng.IntN(len(w.copies))], 1+w.rng.Int64N(2))
+		time.Sleep(time.Duration(w.rng.Int64N(int64(maxOutage))))
+		w.store.SetBack(w.snapshots[w.rng.IntN(len(w.snapshots))], 1+w.rng.Int64N(2))
 		w.store.Fail(0)
-		w.checkServing(served)
+		w.checkNoRollback(served)
 	}
-	time.Sleep(time.Duration(w.rng.Int64N(int64(rewriteTime))))
-	w.checkServing(served)
-	w.rewrite(latest)
-	w.checkFollowing()
+	time.Sleep(time.Duration(w.rng.Int64N(int64(maxRewriteDelay))))
+	w.checkNoRollback(served)
+	w.rewriteLost(latest)
+	w.checkPropagation()
 }
 
-// rewrite has the operator and the targets write again what the store has lost, and nothing else: the fewer
-// versions pass, the longer those that are given out again are below the lost ones.
-func (w *world) rewrite(latest fake.Copy) {
+// rewriteLost writes the lost rows of the operator and the targets again, and nothing else: with
+// fewer new versions, versions that are assigned again stay below the lost ones for longer.
+func (w *harness) rewriteLost(latest fake.Copy) {
 	if !w.store.Has(latest, "op", "config") {
-		w.write()
+		w.writeConfig()
 	}
 	for _, t := range w.targets {
 		if t.state != "" && !w.store.Has(latest, "servers", t.id) {
@@ -71,67 +74,68 @@
 	}
 }
 
-// checkFollowing checks that routers follow a store that has come back: a route that is taken away is gone in
-// time, and a target gets nothing more once its row is.
-func (w *world) checkFollowing() {
-	before := w.extra
+// checkPropagation checks that routers apply changes of a restored store: a removed route is gone
+// in time, and a target gets no more requests after its row is removed.
+func (w *harness) checkPropagation() {
+	before := w.extraID
 	t := w.targets[w.rng.IntN(len(w.targets))]
-	w.configure()
-	time.Sleep(inForceTime)
+	w.writeNextConfig()
+	time.Sleep(applyTimeout)
 	for _, r := range w.routers {
-		if w.prober.send(r, w.extraRoute(before)) == http.StatusOK {
-			w.ledger.report("%s serves a route that was taken away %s before, after the store came back", r.name, inForceTime)
+		if w.prober.send(r, w.extraPrefix(before)) == http.StatusOK {
+			w.ledger.addViolation("%s serves a route that was removed %s before, after a store rollback", r.name, applyTimeout)
 		}
 	}
 	t.state = ""
 	fake.Withdraw(w.store, t.id)
-	time.Sleep(inForceTime)
-	arrived := t.work.arrivals()
-	time.Sleep(watchTime)
-	if more := t.work.arrivals() - arrived; more > 0 {
-		w.ledger.report("%d requests reached %s %s after its row was taken away", more, t.id, inForceTime)
+	time.Sleep(applyTimeout)
+	received := t.handler.receivedCount()
+	time.Sleep(observationTime)
+	if more := t.handler.receivedCount() - received; more > 0 {
+		w.ledger.addViolation("%d requests reached %s %s after its row was removed", more, t.id, applyTimeout)
 	}
 	w.announce(t, "ready")
 }
 
-// serving lists the routers that serve the route that only the latest configuration has.
-func (w *world) serving() []*router {
+// servingRouters returns the routers that serve the route that only the latest configuration has.
+func (w *harness) servingRouters() []*router {
 	var out []*router
 	for _, r := range w.routers {
-		if w.prober.send(r, w.extraRoute(w.extra)) == http.StatusOK {
+		if w.prober.send(r, w.extraPrefix(w.extraID)) == http.StatusOK {
 			out = append(out, r)
 		}
 	}
 	return out
 }
 
-// checkServing checks that routers which served the latest route do not say now that there is none. Two of
-// them are wanted: what one alone knew may have gone with its process.
-func (w *world) checkServing(served []*router) {
+// checkNoRollback checks that routers which served the latest route do not answer that it does not
+// exist. It needs at least two such routers: a configuration that only one router had may be lost
+// with its process.
+func (w *harness) checkNoRollback(served []*router) {
 	if len(served) < 2 {
 		return
 	}
 	for _, r := range served {
-		if status := w.prober.send(r, w.extraRoute(w.extra)); status == http.StatusNotFound {
-			w.ledger.report("%s has gone back behind configuration %d, which it had in force", r.name, w.version)
+		if status := w.prober.send(r, w.extraPrefix(w.extraID)); status == http.StatusNotFound {
+			w.ledger.addViolation("%s reverted to a configuration older than %d, which it had in force", r.name, w.version)
 		}
 	}
 }
 
-// configure writes the next configuration: the fixed routes and one that only it has.
-func (w *world) configure() {
+// writeNextConfig writes the next configuration: the fixed routes and one that only it has.
+func (w *harness) writeNextConfig() {
 	w.version += 1 + w.rng.IntN(3)
-	w.extra++
-	w.write()
+	w.extraID++
+	w.writeConfig()
 }
 
-// write writes the latest configuration, or writes it again.
-func (w *world) write() {
+// writeConfig writes the latest configuration, for the first time or again.
+func (w *harness) writeConfig() {
 	fake.Configure(w.store, w.version, []fake.Route{
 		{Prefix: oncePath, Type: "mutating", Service: plainService, Attempts: 1},
 		{Prefix: safePath, Type: "idempotent", Service: plainService, Attempts: 2},
 		{Prefix: streamPath, Type: "stream", Service: engineService, Attempts: 1},
 		{Prefix: resumePath, Type: "stream", Service: engineService, Attempts: 2, Resumable: true},
-		{Prefix: w.extraRoute(w.extra), Type: "idempotent", Service: plainService, Attempts: 2},
+		{Prefix: w.extraPrefix(w.extraID), Type: "idempotent", Service: plainService, Attempts: 2},
 	})
 }
--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -9,104 +9,105 @@
 )
 
 const (
-	// backTime bounds the end of routers that drain, their grace being 8 s, and the start
-	// of new ones.
-	backTime = 15 * time.Second
-	// settleTime is how long after the routers are back all must be served again.
-	settleTime = 4 * time.Second
-	// signalTime is how long signals of the last faults may still be on their way: one
-	// that a paused router got is delivered when it wakes.
-	signalTime = time.Second
-	// startPause is the pause between two orders to start what has ended.
-	startPause = 500 * time.Millisecond
-	// startTime bounds the first start of the routers.
-	startTime = 10 * time.Second
-	// finalSends is how many requests each router must serve at the end.
-	finalSends = 20
+	// recoveryTimeout bounds the shutdown of draining routers, whose grace period is 8 s, and the
+	// start of new ones.
+	recoveryTimeout = 15 * time.Second
+	// settleDelay is the time after all routers are ready again until requests must be served.
+	settleDelay = 4 * time.Second
+	// signalDelay is the time in which signals of the last faults may still be delivered: a signal
+	// to a paused router is delivered when it resumes.
+	signalDelay = time.Second
+	// restartInterval is the interval between two rounds of orders to start terminated routers.
+	restartInterval = 500 * time.Millisecond
+	// startTimeout bounds the first start of the routers.
+	startTimeout = 10 * time.Second
+	// finalRequests is the number of requests sent to each router at the end; three quarters must be
+	// served.
+	finalRequests = 20
 )
 
-// run starts the routers, plays faults, heals all and checks; it returns how many
-// promises broke.
-func (w *world) run() int {
+// run starts the routers, injects faults, clears them and checks the outcome. It returns the
+// number of violations.
+func (w *harness) run() int {
 	for _, r := range w.routers {
-		order("start", r)
+		printOrder("start", r)
 	}
-	if !w.allReady(startTime) {
-		w.ledger.report("not all routers were ready within %s", startTime)
+	if !w.awaitReady(startTimeout) {
+		w.ledger.addViolation("not all routers became ready within %s of their start", startTimeout)
 	}
 	for i := range w.Callers {
 		c := w.newCaller(i)
 		w.callers.Go(c.run)
 	}
 	for end := time.Now().Add(w.For); time.Now().Before(end); {
-		w.fault()
+		w.injectFault()
 		time.Sleep(time.Duration(100+w.rng.IntN(500)) * time.Millisecond)
 	}
-	w.heal()
-	time.Sleep(signalTime)
-	if !w.allBack(backTime) {
-		w.ledger.report("not all routers are ready %s after the last fault", backTime)
+	w.clearFaults()
+	time.Sleep(signalDelay)
+	if !w.restartAll(recoveryTimeout) {
+		w.ledger.addViolation("not all routers became ready within %s of the last fault", recoveryTimeout)
 	}
-	time.Sleep(settleTime)
+	time.Sleep(settleDelay)
 	close(w.stop)
 	w.callers.Wait()
-	w.checkEnd()
-	broken, sent, served := w.ledger.settle()
-	for _, b := range broken {
+	w.checkRecovery()
+	violations, sent, served := w.ledger.finish()
+	for _, b := range violations {
 		fmt.Println("BROKEN", b)
 	}
-	fmt.Printf("seed %d: %d requests, %d served, %d targets ended under one request, %d unwanted, %d setbacks\n", w.Seed, sent,
-		served, w.ledger.endsSoFar(), w.ledger.unwantedSoFar(), w.setbacks)
+	fmt.Printf("seed %d: %d requests, %d served, %d targets crashed under one request, %d unwanted, %d store rollbacks\n", w.Seed, sent,
+		served, w.ledger.crashCount(), w.ledger.unwantedCount(), w.rollbacks)
 	passed := 1
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		passed = 0
 	}
-	fmt.Printf("%d passed, %d failed\n", passed, len(broken))
-	return len(broken)
+	fmt.Printf("%d passed, %d failed\n", passed, len(violations))
+	return len(violations)
 }
 
-// fault plays one random fault.
-func (w *world) fault() {
+// injectFault injects one random fault.
+func (w *harness) injectFault() {
 	r := w.routers[w.rng.IntN(len(w.routers))]
 	t := w.targets[w.rng.IntN(len(w.targets))]
 	mode := fake.Mode(w.rng.IntN(int(fake.Resetting) + 1))
-	w.remember()
+	w.saveSnapshot()
 	switch w.rng.IntN(15) {
 	case 0:
-		order("kill", r)
+		printOrder("kill", r)
 	case 1:
-		order("term", r)
+		printOrder("term", r)
 	case 2:
-		order("pause", r)
+		printOrder("pause", r)
 	case 3:
-		order("wake", r)
+		printOrder("wake", r)
 	case 4, 5:
-		order("start", r)
+		printOrder("start", r)
 	case 6:
-		order("reload", r)
+		printOrder("reload", r)
 	case 7:
 		t.faults.Set(mode)
 	case 8:
-		w.storeAt.Set(mode)
+		w.storeFaults.Set(mode)
 	case 9:
 		w.store.Fail([]int{0, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests}[w.rng.IntN(4)])
 		w.store.ForgetHistory()
 	case 10:
-		w.configure()
+		w.writeNextConfig()
 	case 11:
 		w.changeTarget(t)
 	case 12:
-		t.work.leave()
+		t.handler.startLeaving()
 	case 13:
-		t.work.turnAway()
+		t.handler.startBackoff()
 	case 14:
-		w.setBack()
+		w.rollBackStore()
 	}
 }
 
-// changeTarget has a target drain, leave without a word, come back, or start again under its name, or
-// another writer spoil its row.
-func (w *world) changeTarget(t *target) {
+// changeTarget drains a target, removes its row without a prior drain, restarts it under the same
+// name or announces it again, or corrupts its row as another writer of the store could.
+func (w *harness) changeTarget(t *target) {
 	switch w.rng.IntN(5) {
 	case 0:
 		w.announce(t, "draining")
@@ -116,107 +117,110 @@
 	case 2:
 		fake.Spoil(w.store, t.id, w.rng.Int())
 	case 3:
-		// The clock may have been set back meanwhile.
-		t.born += int64(w.rng.IntN(4000)) - 1000
-		t.work.renew()
+		// The clock of the target may have been set back between the two starts.
+		t.startedMs += int64(w.rng.IntN(4000)) - 1000
+		t.handler.reset()
 		w.announce(t, "ready")
 	default:
 		w.announce(t, "ready")
 	}
 }
 
-// allBack starts the routers that have ended until all are ready.
-func (w *world) allBack(within time.Duration) bool {
-	for deadline := time.Now().Add(within); time.Now().Before(deadline); {
+// restartAll orders terminated routers to start until all are ready.
+func (w *harness) restartAll(timeout time.Duration) bool {
+	for deadline := time.Now().Add(timeout); time.Now().Before(deadline); {
 		for _, r := range w.routers {
-			order("start", r)
+			printOrder("start", r)
 		}
-		if w.allReady(startPause) {
+		if w.awaitReady(restartInterval) {
 			return true
 		}
 	}
 	return false
 }
 
-// heal ends all faults and starts what does not run.
-func (w *world) heal() {
+// clearFaults removes all faults and starts what is not running.
+func (w *harness) clearFaults() {
 	w.store.Fail(0)
-	w.storeAt.Set(fake.Sound)
+	w.storeFaults.Set(fake.Sound)
 	for _, t := range w.targets {
 		t.faults.Set(fake.Sound)
-		t.work.renew()
-		// What has said that it leaves serves again only as another start.
-		t.born++
+		t.handler.reset()
+		// Routers send to a target that reported leaving only after it has started again.
+		t.startedMs++
 		w.announce(t, "ready")
 	}
-	w.configure()
+	w.writeNextConfig()
 	for _, r := range w.routers {
-		order("wake", r)
-		order("start", r)
+		printOrder("wake", r)
+		printOrder("start", r)
 	}
 }
 
-// checkEnd checks that all routers are ready, serve, and have the last configuration in force.
-func (w *world) checkEnd() {
+// checkRecovery checks that all routers are ready, serve requests, and have the last
+// configuration in force.
+func (w *harness) checkRecovery() {
 	c := w.newCaller(w.Callers)
-	w.checkFatal(c)
-	if got := w.ledger.unwantedSoFar(); got > mostUnwanted {
-		w.ledger.report("%d requests reached targets that had said that they want none", got)
+	w.checkQuarantine(c)
+	if got := w.ledger.unwantedCount(); got > maxUnwanted {
+		w.ledger.addViolation("%d requests reached targets that had reported that they accept none", got)
 	}
 	for _, r := range w.routers {
 		served := 0
-		for range finalSends {
-			if c.send(r, w.extraRoute(w.extra)) == http.StatusOK {
+		for range finalRequests {
+			if c.send(r, w.extraPrefix(w.extraID)) == http.StatusOK {
 				served++
 			}
 		}
-		if served < finalSends*3/4 {
-			w.ledger.report("%s serves %d of %d requests after the last fault", r.name, served, finalSends)
+		if served < finalRequests*3/4 {
+			w.ledger.addViolation("%s served %d of %d requests after the last fault", r.name, served, finalRequests)
 		}
-		if status := c.send(r, w.extraRoute(w.extra-1)); status != http.StatusNotFound {
-			w.ledger.report("%s answers %d on a route that is gone", r.name, status)
+		if status := c.send(r, w.extraPrefix(w.extraID-1)); status != http.StatusNotFound {
+			w.ledger.addViolation("%s returned status %d on a removed route", r.name, status)
 		}
 	}
 }
 
 const (
-	// enoughEnds is after how many targets that ended under one request all routers must refuse it.
-	enoughEnds = 3
-	// mostEnds is how many may end under it in a run, whatever becomes of the routers. Two to four do;
-	// routers that know nothing of it lose some 40.
-	mostEnds = 12
+	// minCrashes is the number of targets crashed by one request from which all routers must
+	// quarantine it.
+	minCrashes = 3
+	// maxCrashes is the maximum of targets that one request may crash in a run, whatever happens to
+	// the routers. Two to four is usual; routers without quarantine lose some 40.
+	maxCrashes = 12
 )
 
-// mostUnwanted is how many requests of a run may reach targets that have said that they want none: each start
-// of a router may send a target one or two until it is told itself.
-const mostUnwanted = 40
+// maxUnwanted is the maximum of requests in a run that may reach targets which reported that they
+// accept none: a router that has just started may send a target one or two until it receives the
+// target's report itself.
+const maxUnwanted = 40
 
-// checkFatal checks that every router refuses the request under which targets ended, whatever became of
-// the routers that lost them.
-func (w *world) checkFatal(c *caller) {
-	ends := w.ledger.endsSoFar()
-	if ends > mostEnds {
-		w.ledger.report("%d targets ended under one request", ends)
-	}
-	if ends < enoughEnds {
+// checkQuarantine checks that every router rejects the request that crashed targets, even when the
+// routers that observed the crashes have terminated since.
+func (w *harness) checkQuarantine(c *caller) {
+	crashes := w.ledger.crashCount()
+	if crashes > maxCrashes {
+		w.ledger.addViolation("%d targets crashed under one request", crashes)
+	}
+	if crashes < minCrashes {
 		return
 	}
 	for _, r := range w.routers {
 		if status := c.send(r, fatalPath); status != http.StatusServiceUnavailable {
-			w.ledger.report("%s answers %d to a request under which %d targets have ended", r.name, status, ends)
+			w.ledger.addViolation("%s returned status %d to a request that crashed %d targets", r.name, status, crashes)
 		}
 	}
-	if more := w.ledger.endsSoFar() - ends; more > 0 {
-		w.ledger.report("%d more targets ended under a request under which %d had", more, ends)
+	if more := w.ledger.crashCount() - crashes; more > 0 {
+		w.ledger.addViolation("%d more targets crashed under a request that had crashed %d", more, crashes)
 	}
 }
 
-// allReady waits until all routers want requests.
-func (w *world) allReady(within time.Duration) bool {
+// awaitReady waits until all routers report that they are ready.
+func (w *harness) awaitReady(timeout time.Duration) bool {
 	client := &http.Client{Timeout: time.Second}
-	deadline := time.Now().Add(within)
+	deadline := time.Now().Add(timeout)
 	for _, r := range w.routers {
-		for !ready(client, r) {
+		for !isReady(client, r) {
 			if time.Now().After(deadline) {
 				return false
 			}
@@ -226,7 +230,7 @@
 	return true
 }
 
-func ready(client *http.Client, r *router) bool {
+func isReady(client *http.Client, r *router) bool {
 	resp, err := client.Get("http://" + r.ready + fake.ReadyPath)
 	if err != nil {
 		return false
--- a/cmd/soak/target.go
+++ b/cmd/soak/target.go
@@ -13,179 +13,181 @@
 	"valescale/platform/fake"
 )
 
-// work is what one target does with its requests, well or badly.
-type work struct {
+// targetHandler serves the requests of one target and injects faults into some of its responses.
+type targetHandler struct {
 	target *target
 	ledger *ledger
 	mu     sync.Mutex
 	rng    *rand.Rand
-	// end takes the target away.
-	end func()
-	// leaving is since when the target says in its answers that it leaves, backoff until when it turns all
-	// requests away; zero if it does not.
-	leaving time.Time
-	backoff time.Time
-	// arrived counts its requests.
-	arrived int
+	// crash takes the target down.
+	crash func()
+	// leavingSince is the time from which the target reports in its responses that it is leaving, and
+	// backoffUntil the time until which it rejects all requests; both are zero if it does not.
+	leavingSince time.Time
+	backoffUntil time.Time
+	// received is the number of requests so far.
+	received int
 }
 
-// arrivals is how many requests have come so far.
-func (k *work) arrivals() int {
+// receivedCount returns the number of requests so far.
+func (k *targetHandler) receivedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	return k.arrived
+	return k.received
 }
 
-func (w *world) newWork(t *target, n uint64) *work {
-	return &work{target: t, ledger: w.ledger, rng: rand.New(rand.NewPCG(w.Seed, n))}
+func (w *harness) newTargetHandler(t *target, n uint64) *targetHandler {
+	return &targetHandler{target: t, ledger: w.ledger, rng: rand.New(rand.NewPCG(w.Seed, n))}
 }
 
-// Shares of requests that a target treats badly, in percent.
+// Shares of requests with an injected fault, in percent.
 const (
-	refusePercent = 3
+	rejectPercent = 3
 	failPercent   = 3
 	resetPercent  = 2
 	slowPercent   = 2
 )
 
-// pieces is how many events a stream has.
-const pieces = 12
+// eventsPerStream is the number of events of a stream.
+const eventsPerStream = 12
 
-// pieceTime is the pause between two events.
-const pieceTime = 10 * time.Millisecond
+// eventInterval is the delay between two events.
+const eventInterval = 10 * time.Millisecond
 
-// draw counts a request and draws its fate.
-func (k *work) draw() int {
+// countAndDraw counts a request and returns the random number that selects its fault.
+func (k *targetHandler) countAndDraw() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.arrived++
+	k.received++
 	return k.rng.IntN(100)
 }
 
-func (k *work) serve(w http.ResponseWriter, r *http.Request) {
+func (k *targetHandler) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(fake.HeaderID)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
 		return
 	}
-	fate := k.draw()
-	if k.notice(w) || fate < refusePercent {
+	fault := k.countAndDraw()
+	if k.writeStatus(w) || fault < rejectPercent {
 		w.Header().Set(fake.HeaderNotRun, "1")
 		w.WriteHeader(http.StatusServiceUnavailable)
 		return
 	}
-	k.ledger.ran(id, r.URL.Path, string(body))
+	k.ledger.recordRun(id, r.URL.Path, string(body))
 	if r.URL.Path == fatalPath {
-		k.ledger.ended()
-		k.end()
+		k.ledger.recordCrash()
+		k.crash()
 		panic(http.ErrAbortHandler)
 	}
 	w.Header().Set(fake.HeaderSignature, k.target.id)
-	switch fate -= refusePercent; {
-	case fate < failPercent:
+	switch fault -= rejectPercent; {
+	case fault < failPercent:
 		w.WriteHeader(http.StatusInternalServerError)
 		return
-	case fate < failPercent+resetPercent:
+	case fault < failPercent+resetPercent:
 		panic(http.ErrAbortHandler)
-	case fate < failPercent+resetPercent+slowPercent:
+	case fault < failPercent+resetPercent+slowPercent:
 		time.Sleep(300 * time.Millisecond)
 	}
 	if k.target.service == engineService {
-		k.stream(w, r, id)
+		k.serveStream(w, r, id)
 		return
 	}
-	_, _ = io.WriteString(w, answerTo(id))
+	_, _ = io.WriteString(w, expectedAnswer(id))
 }
 
 const (
-	// leaveTime is how long a target that leaves may get requests: two seconds, and what a box without
-	// processor time to spare adds.
-	leaveTime = 3 * time.Second
-	// backoffTime is for how long a target wants no requests, backoffGrace how long those on their way may take.
-	backoffTime  = 2 * time.Second
-	backoffGrace = 500 * time.Millisecond
+	// leavingGrace is the time for which a leaving target may still get requests: two seconds, and one
+	// more for a machine without spare processor time.
+	leavingGrace = 3 * time.Second
+	// backoffDuration is the time for which a target rejects requests, and backoffGrace the time in
+	// which requests already under way may still arrive.
+	backoffDuration = 2 * time.Second
+	backoffGrace    = 500 * time.Millisecond
 )
 
-// leave has the target say that it leaves.
-func (k *work) leave() {
+// startLeaving makes the target report that it is leaving.
+func (k *targetHandler) startLeaving() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.leaving = time.Now()
+	k.leavingSince = time.Now()
 }
 
-// turnAway has the target turn all requests away for a while.
-func (k *work) turnAway() {
+// startBackoff makes the target reject all requests for backoffDuration.
+func (k *targetHandler) startBackoff() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.backoff = time.Now().Add(backoffTime)
+	k.backoffUntil = time.Now().Add(backoffDuration)
 }
 
-// renew has the target say nothing of itself, as after a start.
-func (k *work) renew() {
+// reset clears what the target reports of itself, as after a start.
+func (k *targetHandler) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
-	k.leaving, k.backoff = time.Time{}, time.Time{}
+	k.leavingSince, k.backoffUntil = time.Time{}, time.Time{}
 }
 
-// notice writes what the target says of itself, counts a request that comes although it said so before, and
-// reports whether the request is turned away.
-func (k *work) notice(w http.ResponseWriter) bool {
+// writeStatus writes the target's status to the response headers and counts a request that arrives
+// although an earlier response reported that the target accepts none. It reports whether the request is to be
+// rejected.
+func (k *targetHandler) writeStatus(w http.ResponseWriter) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
-	if !k.leaving.IsZero() {
+	if !k.leavingSince.IsZero() {
 		w.Header().Set(fake.HeaderLeaving, "1")
-		if now.Sub(k.leaving) > leaveTime {
-			k.ledger.unwelcome()
+		if now.Sub(k.leavingSince) > leavingGrace {
+			k.ledger.recordUnwanted()
 		}
 	}
-	left := k.backoff.Sub(now)
+	left := k.backoffUntil.Sub(now)
 	if left <= 0 {
 		return false
 	}
 	w.Header().Set("Retry-After", strconv.FormatFloat(left.Seconds(), 'f', 3, 64))
-	if left < backoffTime-backoffGrace {
-		k.ledger.unwelcome()
+	if left < backoffDuration-backoffGrace {
+		k.ledger.recordUnwanted()
 	}
 	return true
 }
 
-// answerTo is the only right body of the answer to a plain request.
-func answerTo(id string) string { return "answer to " + id }
+// expectedAnswer returns the only correct body of the answer to a plain request.
+func expectedAnswer(id string) string { return "answer to " + id }
 
-// pieceOf is one event of the only right answer to a stream.
-func pieceOf(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s piece %d\n\n", n, id, n) }
+// eventOf returns event n of the only correct answer to a stream request.
+func eventOf(id string, n int) string { return fmt.Sprintf("id: %d\ndata: %s piece %d\n\n", n, id, n) }
 
-// streamOf is the whole answer to a stream.
-func streamOf(id string) string {
+// expectedStream returns the complete answer to a stream request.
+func expectedStream(id string) string {
 	var b strings.Builder
-	for n := 1; n <= pieces; n++ {
-		b.WriteString(pieceOf(id, n))
+	for n := 1; n <= eventsPerStream; n++ {
+		b.WriteString(eventOf(id, n))
 	}
 	return b.String()
 }
 
-// stream sends events, some streams only in part.
-func (k *work) stream(w http.ResponseWriter, r *http.Request, id string) {
+// serveStream sends the events of a stream and aborts some streams midway.
+func (k *targetHandler) serveStream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from := 1
 	if after, err := strconv.Atoi(r.Header.Get(fake.HeaderAfter)); err == nil {
 		from = after + 1
 	}
-	breaks := pieces + 1
-	if k.draw() < resetPercent {
-		breaks = 1 + k.draw()%pieces
+	abortAt := eventsPerStream + 1
+	if k.countAndDraw() < resetPercent {
+		abortAt = 1 + k.countAndDraw()%eventsPerStream
 	}
 	control := http.NewResponseController(w)
-	for n := from; n <= pieces; n++ {
-		piece := pieceOf(id, n)
-		if n == breaks {
-			_, _ = io.WriteString(w, piece[:len(piece)/2])
+	for n := from; n <= eventsPerStream; n++ {
+		event := eventOf(id, n)
+		if n == abortAt {
+			_, _ = io.WriteString(w, event[:len(event)/2])
 			panic(http.ErrAbortHandler)
 		}
-		if _, err := io.WriteString(w, piece); err != nil || control.Flush() != nil {
+		if _, err := io.WriteString(w, event); err != nil || control.Flush() != nil {
 			return
 		}
-		time.Sleep(pieceTime)
+		time.Sleep(eventInterval)
 	}
 }
