--- a/cmd/demo/load.go
+++ b/cmd/demo/load.go
@@ -13,7 +13,7 @@
 	"valescale/internal/rule/retry"
 )
 
-// workspaces of the demo; the token of each is its name.
+// workspaces are the workspaces of the demo; the token of each is its name.
 var workspaces = []string{"bogota", "medellin", "cali"}
 
 const (
@@ -21,25 +21,25 @@
 	chatWords = 80
 )
 
-// load sends requests and keeps account of the answers.
-type load struct {
+// workload sends requests and counts the outcomes.
+type workload struct {
 	fleet    *fleet.Fleet
 	callers  []*fleet.Caller
 	mu       sync.Mutex
 	addrs    []string
-	asked    int
-	right    int
+	sent     int
+	complete int
 	wrong    int
-	cut      int
+	cutOff   int
 	notRun   []string
 	unknown  int
 	orders   map[string][]retry.Outcome
 	failures map[string]int
 }
 
-func newLoad(f *fleet.Fleet) (*load, func()) {
+func newWorkload(f *fleet.Fleet) (*workload, func()) {
 	transport := &http.Transport{MaxIdleConnsPerHost: 256}
-	l := &load{fleet: f, orders: map[string][]retry.Outcome{}, failures: map[string]int{}}
+	l := &workload{fleet: f, orders: map[string][]retry.Outcome{}, failures: map[string]int{}}
 	for _, name := range workspaces {
 		l.callers = append(l.callers, &fleet.Caller{HTTP: &http.Client{Transport: transport}, Token: name})
 	}
@@ -49,15 +49,15 @@
 	return l, transport.CloseIdleConnections
 }
 
-// addr picks a router as the platform's balancer would.
-func (l *load) addr(rng *rand.Rand) string {
+// routerAddr picks a router at random, as the platform's load balancer would.
+func (l *workload) routerAddr(rng *rand.Rand) string {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.addrs[rng.IntN(len(l.addrs))]
 }
 
-// unbalance takes a router out of the balancer.
-func (l *load) unbalance(addr string) {
+// removeFromBalancer removes a router from the load balancer.
+func (l *workload) removeFromBalancer(addr string) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	kept := l.addrs[:0]
@@ -69,17 +69,18 @@
 	l.addrs = kept
 }
 
-// start keeps so many chats going at once until the context ends; a workspace of
-// its own, or all alike when it is negative. The returned function waits for the end.
-func (l *load) start(ctx context.Context, atOnce, workspace int, seed uint64) (wait func()) {
+// start keeps a number of concurrent chats running until the context is cancelled: chats of one
+// workspace, or of all workspaces alike if the index is negative. The returned function waits until
+// the last request has ended.
+func (l *workload) start(ctx context.Context, concurrency, workspace int, seed uint64) (wait func()) {
 	var wg sync.WaitGroup
-	for w := range atOnce {
+	for w := range concurrency {
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(w)))
-			// Callers do not all come in the same moment.
-			pause.For(ctx, time.Duration(rng.Int64N(int64(rampUp))))
+			// Spread the first requests over rampUpTime, so that they don't arrive at the same moment.
+			pause.For(ctx, time.Duration(rng.Int64N(int64(rampUpTime))))
 			for n := 0; ctx.Err() == nil; n++ {
-				// A request outlives the load, so that its end is never a cut.
+				// The context is not cancelled, so that the end of the workload never cuts an answer off.
 				l.chat(context.WithoutCancel(ctx), rng, workspace, fmt.Sprintf("%d/%d/%d", seed, w, n))
 			}
 		})
@@ -87,29 +88,29 @@
 	return wg.Wait
 }
 
-// rampUp is the time in which a load's callers come.
-const rampUp = time.Second
+// rampUpTime is the time over which the callers of a workload start.
+const rampUpTime = time.Second
 
-func (l *load) chat(ctx context.Context, rng *rand.Rand, workspace int, id string) {
+func (l *workload) chat(ctx context.Context, rng *rand.Rand, workspace int, id string) {
 	caller := workspace
 	if workspace < 0 {
 		caller = rng.IntN(len(l.callers))
 	}
-	// The square makes some chats return far more often than others.
+	// Squaring makes some chats return far more often than others.
 	u := rng.Float64()
 	chat := fmt.Sprintf("chat-%d", int(u*u*chats))
 	question := "question " + id + " of " + chat
 	words := chatWords/2 + rng.IntN(chatWords)
-	r := l.callers[caller].Chat(ctx, l.addr(rng), chat, question, words, rng.IntN(4) > 0)
+	r := l.callers[caller].Chat(ctx, l.routerAddr(rng), chat, question, words, rng.IntN(4) > 0)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked++
+	l.sent++
 	switch {
 	case r.Right(question, words):
-		l.right++
+		l.complete++
 	case r.Whole && r.Status == http.StatusOK:
 		l.wrong++
-		l.failures[fmt.Sprintf("wrong answer %q to %q", r.Text, question)]++
+		l.failures[fmt.Sprintf("unexpected answer %q to %q", r.Text, question)]++
 	case r.Outcome == retry.NotRun:
 		l.notRun = append(l.notRun, question)
 		l.failures["not run: "+string(r.Code)]++
@@ -117,44 +118,45 @@
 		l.unknown++
 		l.failures["unknown: "+string(r.Code)]++
 	default:
-		l.cut++
+		l.cutOff++
 		l.failures[fmt.Sprintf("cut off: status %d, %v", r.Status, r.Err)]++
 	}
 }
 
-// order sends one order that may not be repeated to two routers at once, and again later.
-func (l *load) order(ctx context.Context, rng *rand.Rand, key string) {
+// submitOrder sends one order, which must not be executed twice, to two routers concurrently and
+// once more after both have responded.
+func (l *workload) submitOrder(ctx context.Context, rng *rand.Rand, key string) {
 	var wg sync.WaitGroup
 	for range 2 {
-		addr := l.addr(rng)
-		wg.Go(func() { l.oneOrder(ctx, addr, key) })
+		routerAddr := l.routerAddr(rng)
+		wg.Go(func() { l.sendOrder(ctx, routerAddr, key) })
 	}
 	wg.Wait()
-	l.oneOrder(ctx, l.addr(rng), key)
+	l.sendOrder(ctx, l.routerAddr(rng), key)
 }
 
-func (l *load) oneOrder(ctx context.Context, addr, key string) {
+func (l *workload) sendOrder(ctx context.Context, addr, key string) {
 	r := l.callers[0].Order(ctx, addr, key, "roses for "+key)
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.asked++
+	l.sent++
 	l.orders[key] = append(l.orders[key], r.Outcome)
 	switch {
 	case r.Outcome == retry.Done && r.Whole:
-		l.right++
+		l.complete++
 	case r.Outcome == retry.Unknown:
 		l.unknown++
 	case r.Outcome != retry.NotRun:
-		l.cut++
+		l.cutOff++
 		l.failures[fmt.Sprintf("order cut off: status %d, %v", r.Status, r.Err)]++
 	}
 }
 
-// settle compares what callers were told with what ran.
-func (l *load) settle(s *summary) {
+// fillSummary compares the outcomes that callers received with what was executed.
+func (l *workload) fillSummary(s *summary) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	s.Requests, s.CompleteAnswers, s.WrongAnswers, s.CutOff = l.asked, l.right, l.wrong, l.cut
+	s.Requests, s.CompleteAnswers, s.WrongAnswers, s.CutOff = l.sent, l.complete, l.wrong, l.cutOff
 	s.ToldNotRun, s.ToldUnknown = len(l.notRun), l.unknown
 	for _, question := range l.notRun {
 		for _, e := range l.fleet.Engines {
@@ -175,7 +177,7 @@
 		}
 		allNotRun := true
 		for _, o := range outcomes {
-			s.ToldNotRun += count(o == retry.NotRun)
+			s.ToldNotRun += boolToInt(o == retry.NotRun)
 			allNotRun = allNotRun && o == retry.NotRun
 		}
 		if allNotRun && runs[key] > 0 {
@@ -184,28 +186,28 @@
 	}
 }
 
-func count(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// cutOff is how many answers were neither whole nor said not to be.
-func (l *load) cutOff() int {
+// cutOffCount returns the number of incomplete answers without an outcome that marks them.
+func (l *workload) cutOffCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.cut
+	return l.cutOff
 }
 
-func (l *load) answered() int {
+func (l *workload) completeCount() int {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	return l.right
+	return l.complete
 }
 
-// told is what the callers of one order were told.
-func (l *load) told(key string) []retry.Outcome {
+// outcomesOf returns the outcomes that the callers of one order received.
+func (l *workload) outcomesOf(key string) []retry.Outcome {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	return l.orders[key]
--- a/cmd/demo/main.go
+++ b/cmd/demo/main.go
@@ -1,6 +1,5 @@
-// Command demo runs a small fleet on stand-ins through what the product is for,
-// says in plain words what happened, and ends with one line of JSON. Its exit
-// status is 1 if a promise broke.
+// Command demo runs a small fleet with fake targets through the main features of the router, prints
+// what happened, and ends with one line of JSON. Its exit status is 1 if a guarantee was violated.
 package main
 
 import (
@@ -24,12 +23,12 @@
 		fmt.Fprintln(os.Stderr, "demo:", err)
 		os.Exit(1)
 	}
-	broken := summary.broken()
-	for _, b := range broken {
+	violations := summary.violations()
+	for _, b := range violations {
 		fmt.Println("BROKEN:", b)
 	}
 	fmt.Println(string(line))
-	if len(broken) > 0 {
+	if len(violations) > 0 {
 		os.Exit(1)
 	}
 }
--- a/cmd/demo/run.go
+++ b/cmd/demo/run.go
@@ -17,26 +17,26 @@
 )
 
 const (
-	routers = 8
-	engines = 20
-	plain   = 4
-	slots   = 24
-	steady  = 160
-	surging = 120
-	// perWord is the pace that the users want of their engines, cold what an answer
-	// waits longer when the engine does not have the chat's prefix.
-	perWord   = 32 * time.Millisecond
-	cold      = 300 * time.Millisecond
-	settling  = 3500 * time.Millisecond
-	measuring = 3500 * time.Millisecond
-	phaseTime = 1200 * time.Millisecond
-	// leavingGrace is how long a leaving engine may still get new work.
-	leavingGrace = 3 * time.Second
-	orders       = 40
-	everyone     = -1
+	routers      = 8
+	engines      = 20
+	plain        = 4
+	slots        = 24
+	steadyLoad   = 160
+	surgeCallers = 120
+	// wordInterval is the time per word at which the engines generate answers, coldDelay the extra
+	// delay of an answer when the engine does not have the chat's prefix cached.
+	wordInterval  = 32 * time.Millisecond
+	coldDelay     = 300 * time.Millisecond
+	settleTime    = 3500 * time.Millisecond
+	measureTime   = 3500 * time.Millisecond
+	phaseDuration = 1200 * time.Millisecond
+	// leavingGrace is the time for which a leaving engine may still get new requests.
+	leavingGrace  = 3 * time.Second
+	orderCount    = 40
+	allWorkspaces = -1
 )
 
-// documents are the demo's configuration; the priority is what the replaced policy changes.
+// documents returns the demo's configuration; replacePolicy changes only the priority.
 func documents(priority int) string {
 	text := fmt.Sprintf(`
 [service judge]
@@ -61,21 +61,21 @@
 }
 
 type demo struct {
-	fleet    *fleet.Fleet
-	load     *load
-	gauge    *gauge
-	operator *fleet.Operator
-	summary  summary
-	// ending wait for loads whose last requests still run.
-	ending []func()
+	fleet       *fleet.Fleet
+	workload    *workload
+	loadTracker *loadTracker
+	operator    *fleet.Operator
+	summary     summary
+	// pendingWaits wait for the last requests of workloads that have been stopped.
+	pendingWaits []func()
 }
 
-func say(format string, args ...any) { fmt.Printf(format+"\n", args...) }
+func logf(format string, args ...any) { fmt.Printf(format+"\n", args...) }
 
 func run(ctx context.Context) (summary, error) {
 	f, stop, err := fleet.New(fleet.Options{
 		Routers: routers, Engines: engines, Plain: plain, PlainTime: 5 * time.Millisecond,
-		Engine:     target.EngineOptions{PerWord: perWord, Cold: cold, Cache: 60, Slots: slots, Fenced: true},
+		Engine:     target.EngineOptions{PerWord: wordInterval, Cold: coldDelay, Cache: 60, Slots: slots, Fenced: true},
 		DrainDelay: 300 * time.Millisecond,
 		Pace:       conf.Pace{Head: 2 * time.Second},
 	})
@@ -83,18 +83,18 @@
 		return summary{}, err
 	}
 	defer stop()
-	l, closeLoad := newLoad(f)
-	defer closeLoad()
-	d := &demo{fleet: f, load: l, gauge: newGauge(f.Engines), operator: fleet.NewOperator(http.DefaultClient, f.Routers[0].AdminAddr())}
-	say("%d routers, %d engines in %d availability zones and %d plain replicas are up", routers, engines, len(fleet.Zones), plain)
+	l, closeWorkload := newWorkload(f)
+	defer closeWorkload()
+	d := &demo{fleet: f, workload: l, loadTracker: newLoadTracker(f.Engines), operator: fleet.NewOperator(http.DefaultClient, f.Routers[0].AdminAddr())}
+	logf("started %d routers, %d engines in %d availability zones and %d plain replicas", routers, engines, len(fleet.Zones), plain)
 	if err := d.configure(ctx); err != nil {
 		return summary{}, err
 	}
 	serving, end := context.WithCancel(ctx)
 	defer end()
-	wait := l.start(serving, steady, everyone, 1)
+	wait := l.start(serving, steadyLoad, allWorkspaces, 1)
 	for _, phase := range []func(context.Context) error{
-		d.steady, d.surge, d.replacePolicy, d.engineLeaves, d.routerStops, d.ordersAndLostAnswers, d.storeDown,
+		d.steadyLoad, d.surge, d.replacePolicy, d.engineLeaves, d.routerStops, d.ordersAndLostAnswers, d.storeDown,
 	} {
 		if err := phase(ctx); err != nil {
 			return summary{}, err
@@ -102,7 +102,7 @@
 	}
 	end()
 	wait()
-	for _, w := range d.ending {
+	for _, w := range d.pendingWaits {
 		w()
 	}
 	d.close()
@@ -117,27 +117,27 @@
 	if err != nil {
 		return err
 	}
-	say("the first configuration is recorded as revision %d", revision)
+	logf("the first configuration was stored as revision %d", revision)
 	return d.fleet.AwaitReady(ctx, revision)
 }
 
-func (d *demo) steady(ctx context.Context) error {
-	pause.For(ctx, settling)
-	before, served, warm := d.traffic(), 0, 0
+func (d *demo) steadyLoad(ctx context.Context) error {
+	pause.For(ctx, settleTime)
+	before, served, warm := d.controlTraffic(), 0, 0
 	servedBefore, warmBefore := d.served()
 	started := time.Now()
-	pause.For(ctx, measuring)
-	spent := float64(d.traffic()-before) / time.Since(started).Seconds() / routers
+	pause.For(ctx, measureTime)
+	bytesPerSecond := float64(d.controlTraffic()-before) / time.Since(started).Seconds() / routers
 	served, warm = d.served()
-	d.summary.ControlBytes = spent
+	d.summary.ControlBytes = bytesPerSecond
 	d.summary.CacheReuse = float64(warm-warmBefore) / float64(max(served-servedBefore, 1))
-	say("returning chats, %.0f requests a second: %.0f in 100 found their context, %.0f bytes a second of control traffic a router",
-		float64(served-servedBefore)/measuring.Seconds(), 100*d.summary.CacheReuse, spent)
+	logf("steady traffic, %.0f requests/s: %.0f %% found their prefix cached; control traffic %.0f bytes/s per router",
+		float64(served-servedBefore)/measureTime.Seconds(), 100*d.summary.CacheReuse, bytesPerSecond)
 	return nil
 }
 
-// traffic is all that the routers have sent on control connections.
-func (d *demo) traffic() uint64 {
+// controlTraffic returns the bytes that all routers have sent on control connections.
+func (d *demo) controlTraffic() uint64 {
 	var sum uint64
 	for _, r := range d.fleet.Routers {
 		peers, outside := r.Traffic()
@@ -146,7 +146,8 @@
 	return sum
 }
 
-// served is how many requests the engines have had, and how many found their prefix.
+// served returns the number of requests that the engines have served, and how many of them found
+// their prefix cached.
 func (d *demo) served() (served, warm int) {
 	for _, e := range d.fleet.Engines {
 		c := e.Counts()
@@ -159,11 +160,11 @@
 func (d *demo) surge(ctx context.Context) error {
 	surge, end := context.WithCancel(ctx)
 	defer end()
-	wait := d.load.start(surge, surging, 0, 2)
-	pause.For(ctx, phaseTime)
+	wait := d.workload.start(surge, surgeCallers, 0, 2)
+	pause.For(ctx, phaseDuration)
 	end()
-	d.ending = append(d.ending, wait)
-	say("%s surged; the worst engine had %.2f times the mean load", workspaces[0], d.gauge.ratio())
+	d.pendingWaits = append(d.pendingWaits, wait)
+	logf("traffic surge of %s: the maximum engine load was %.2f times the mean", workspaces[0], d.loadTracker.maxRatio())
 	return nil
 }
 
@@ -176,78 +177,78 @@
 	if err := d.fleet.AwaitReady(ctx, revision); err != nil {
 		return err
 	}
-	d.summary.PolicyInForce = time.Since(started).Milliseconds()
-	say("a policy was replaced while serving: revision %d in force on all routers after %d ms", revision, d.summary.PolicyInForce)
+	d.summary.PolicyInForceMs = time.Since(started).Milliseconds()
+	logf("policy replaced under traffic: revision %d in force on all routers after %d ms", revision, d.summary.PolicyInForceMs)
 	return nil
 }
 
 func (d *demo) engineLeaves(ctx context.Context) error {
 	leaving := d.fleet.Engines[3]
 	leaving.Leave()
-	d.gauge.leave(leaving)
+	d.loadTracker.exclude(leaving)
 	pause.For(ctx, leavingGrace)
-	d.gauge.strict()
-	pause.For(ctx, phaseTime)
-	d.summary.LateToLeaving = d.gauge.lateWork()
-	say("engine %s said that it leaves; from %s later on it got %d new requests", leaving.ID, leavingGrace, d.summary.LateToLeaving)
+	d.loadTracker.resetLate()
+	pause.For(ctx, phaseDuration)
+	d.summary.RequestsToLeaving = d.loadTracker.lateCount()
+	logf("engine %s reported that it is leaving; after a grace period of %s it got %d new requests", leaving.ID, leavingGrace, d.summary.RequestsToLeaving)
 	return nil
 }
 
 func (d *demo) routerStops(context.Context) error {
 	r := d.fleet.Routers[len(d.fleet.Routers)-1]
-	// The balancer sees that the router is no longer ready and stops sending to it.
-	r.OnLeave(func() { d.load.unbalance(r.CallerAddr()) })
+	// The load balancer sees that the router is no longer ready and stops sending to it.
+	r.OnLeave(func() { d.workload.removeFromBalancer(r.CallerAddr()) })
 	r.Stop()
 	d.fleet.Unlist(string(r.ID))
-	say("router %s stopped as planned with requests in flight; %d answers were cut off", r.ID, d.load.cutOff())
+	logf("router %s stopped gracefully with requests in flight; %d answers were cut off", r.ID, d.workload.cutOffCount())
 	return nil
 }
 
 func (d *demo) ordersAndLostAnswers(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(7, 7))
-	d.fleet.Store.LoseAnswers(orders)
+	d.fleet.Store.LoseAnswers(orderCount)
 	d.fleet.Plain[0].LoseAnswers(2)
 	var wg sync.WaitGroup
-	for i := range orders {
+	for i := range orderCount {
 		own := rand.New(rand.NewPCG(rng.Uint64(), 7))
-		wg.Go(func() { d.load.order(ctx, own, fmt.Sprintf("order-%d", i)) })
+		wg.Go(func() { d.workload.submitOrder(ctx, own, fmt.Sprintf("order-%d", i)) })
 	}
 	wg.Wait()
-	say("%d orders, each sent to two routers at once and once more, with answers of store and service lost", orders)
+	logf("%d orders, each sent to two routers concurrently and then once more, while responses of the store and the service were dropped", orderCount)
 	return nil
 }
 
 func (d *demo) storeDown(ctx context.Context) error {
 	d.fleet.Store.SetDown(true)
-	before := d.load.answered()
+	before := d.workload.completeCount()
 	rng := rand.New(rand.NewPCG(8, 8))
-	d.load.oneOrder(ctx, d.load.addr(rng), "order-store-down")
+	d.workload.sendOrder(ctx, d.workload.routerAddr(rng), "order-store-down")
 	d.fleet.Store.SetDown(false)
-	say("the store was down for a while: %d chats were answered meanwhile, an order was told %v",
-		d.load.answered()-before, d.load.told("order-store-down"))
+	logf("store outage: %d chats were answered during it, an order got the outcomes %v",
+		d.workload.completeCount()-before, d.workload.outcomesOf("order-store-down"))
 	return nil
 }
 
 func (d *demo) close() {
-	d.load.settle(&d.summary)
-	d.summary.MaxLoadRatio = round(d.gauge.ratio())
-	d.summary.MaxExcess = round(d.gauge.over())
+	d.workload.fillSummary(&d.summary)
+	d.summary.MaxLoadRatio = round(d.loadTracker.maxRatio())
+	d.summary.MaxExcess = round(d.loadTracker.maxExcess())
 	d.summary.ControlBytes = round(d.summary.ControlBytes)
 	d.summary.CacheReuse = round(d.summary.CacheReuse)
-	var asked, placed uint64
+	var permitRequests, placed uint64
 	for _, r := range d.fleet.Routers {
 		s := r.Stats()
-		asked += s.Asked
+		permitRequests += s.Asked
 		placed += s.Placed
 	}
-	d.summary.PermitsPerCall = round(float64(asked) / float64(max(placed, 1)))
+	d.summary.PermitRequestsPerRequest = round(float64(permitRequests) / float64(max(placed, 1)))
 	var kinds []string
-	for kind, n := range d.load.failures {
+	for kind, n := range d.workload.failures {
 		kinds = append(kinds, fmt.Sprintf("%d times %s", n, kind))
 	}
 	sort.Strings(kinds)
 	for _, k := range kinds[:min(len(kinds), 10)] {
-		say("  %s", k)
+		logf("  %s", k)
 	}
 }
 
--- a/cmd/demo/summary.go
+++ b/cmd/demo/summary.go
@@ -8,11 +8,10 @@
 	"valescale/internal/fake/fleet"
 )
 
-// bound is the multiple of the mean load that no engine may exceed by more than
-// one request.
-const bound = 1.25
+// loadFactor is the multiple of the mean load that no engine may exceed by more than one request.
+const loadFactor = 1.25
 
-// summary is the demo's closing line.
+// summary is the last line of the output.
 type summary struct {
 	Requests        int     `json:"requests"`
 	CompleteAnswers int     `json:"complete_answers"`
@@ -21,69 +20,69 @@
 	Repeated        int     `json:"repeated"`
 	CutOff          int     `json:"cut_off"`
 	MaxLoadRatio    float64 `json:"max_load_ratio"`
-	// MaxExcess is the most work that an engine took on above the bound, in requests.
-	MaxExcess      float64 `json:"max_excess_requests"`
-	CacheReuse     float64 `json:"cache_reuse"`
-	ControlBytes   float64 `json:"control_bytes_per_router_second"`
-	PolicyInForce  int64   `json:"policy_in_force_ms"`
-	LateToLeaving  int     `json:"work_to_leaving_engine"`
-	ToldNotRun     int     `json:"told_not_run"`
-	ToldUnknown    int     `json:"told_unknown"`
-	PermitsPerCall float64 `json:"permit_asks_per_request"`
+	// MaxExcess is the maximum load of an engine above the bound, in requests.
+	MaxExcess                float64 `json:"max_excess_requests"`
+	CacheReuse               float64 `json:"cache_reuse"`
+	ControlBytes             float64 `json:"control_bytes_per_router_second"`
+	PolicyInForceMs          int64   `json:"policy_in_force_ms"`
+	RequestsToLeaving        int     `json:"work_to_leaving_engine"`
+	ToldNotRun               int     `json:"told_not_run"`
+	ToldUnknown              int     `json:"told_unknown"`
+	PermitRequestsPerRequest float64 `json:"permit_asks_per_request"`
 }
 
-// maxControl is what a router may spend on control traffic, in bytes a second.
-const maxControl = 5000
+// maxControlBytes is the maximum of control traffic of one router, in bytes per second.
+const maxControlBytes = 5000
 
-// maxInForce is how long a change may take to be in force everywhere, in milliseconds.
-const maxInForce = 6000
+// maxInForceMs is the maximum time until a change is in force on all routers, in milliseconds.
+const maxInForceMs = 6000
 
-func (s summary) broken() []string {
+func (s summary) violations() []string {
 	var out []string
 	check := func(ok bool, format string, args ...any) {
 		if !ok {
 			out = append(out, fmt.Sprintf(format, args...))
 		}
 	}
-	check(s.CompleteAnswers > 0, "no answer was complete")
+	check(s.CompleteAnswers > 0, "no complete answer")
 	check(s.WrongAnswers == 0, "%d wrong answers", s.WrongAnswers)
-	check(s.FalseNotRun == 0, "%d requests ran that were said not to have", s.FalseNotRun)
-	check(s.Repeated == 0, "%d orders ran more than once", s.Repeated)
-	check(s.CutOff == 0, "%d answers were cut off by a planned stop", s.CutOff)
-	check(s.MaxExcess <= 1, "an engine took %.2f requests above the bound", s.MaxExcess)
-	check(s.ControlBytes <= maxControl, "a router spent %.0f bytes a second on control", s.ControlBytes)
-	check(s.PolicyInForce <= maxInForce, "a policy took %d ms to be in force", s.PolicyInForce)
-	check(s.LateToLeaving == 0, "a leaving engine got %d new requests", s.LateToLeaving)
+	check(s.FalseNotRun == 0, "%d requests were executed although their callers received a not-run outcome", s.FalseNotRun)
+	check(s.Repeated == 0, "%d orders were executed more than once", s.Repeated)
+	check(s.CutOff == 0, "%d answers were cut off by a graceful stop", s.CutOff)
+	check(s.MaxExcess <= 1, "the load of an engine exceeded the bound by %.2f requests", s.MaxExcess)
+	check(s.ControlBytes <= maxControlBytes, "control traffic of a router was %.0f bytes/s", s.ControlBytes)
+	check(s.PolicyInForceMs <= maxInForceMs, "a policy was in force only after %d ms", s.PolicyInForceMs)
+	check(s.RequestsToLeaving == 0, "a leaving engine got %d new requests", s.RequestsToLeaving)
 	return out
 }
 
-// gauge watches the engines' running requests and keeps the worst load.
-type gauge struct {
-	mu      sync.Mutex
-	running map[*fleet.Engine]int
-	usable  map[*fleet.Engine]bool
-	worst   float64
-	excess  float64
-	late    int
-	means   []meanAt
+// loadTracker observes the running requests of the engines and keeps the maximum load.
+type loadTracker struct {
+	mu          sync.Mutex
+	running     map[*fleet.Engine]int
+	usable      map[*fleet.Engine]bool
+	worstRatio  float64
+	worstExcess float64
+	late        int
+	means       []meanSample
 }
 
-// meanAt is the mean load at a time.
-type meanAt struct {
+// meanSample is the mean load at one time.
+type meanSample struct {
 	at   time.Time
 	mean float64
 }
 
-// transit is how long a request may be on its way from the decision to the engine.
-// Its load is held against the highest mean of that time.
-const transit = 250 * time.Millisecond
+// maxTransit is the maximum time from the placement of a request to its arrival at the engine.
+// The load at the arrival is compared with the highest mean within that time.
+const maxTransit = 250 * time.Millisecond
 
-// recent notes the present mean and returns the highest of the last moments.
-func (g *gauge) recent(mean float64) float64 {
+// recentMax adds the present mean and returns the highest within maxTransit.
+func (g *loadTracker) recentMax(mean float64) float64 {
 	now := time.Now()
-	g.means = append(g.means, meanAt{now, mean})
+	g.means = append(g.means, meanSample{now, mean})
 	old := 0
-	for old < len(g.means) && now.Sub(g.means[old].at) > transit {
+	for old < len(g.means) && now.Sub(g.means[old].at) > maxTransit {
 		old++
 	}
 	g.means = g.means[old:]
@@ -94,19 +93,20 @@
 	return highest
 }
 
-// minMean is the mean load below which a ratio says little: one request is a large share of it.
+// minMean is the mean load below which the ratio is not recorded: there, one request is a large
+// share of the load.
 const minMean = 4
 
-func newGauge(engines []*fleet.Engine) *gauge {
-	g := &gauge{running: map[*fleet.Engine]int{}, usable: map[*fleet.Engine]bool{}}
+func newLoadTracker(engines []*fleet.Engine) *loadTracker {
+	g := &loadTracker{running: map[*fleet.Engine]int{}, usable: map[*fleet.Engine]bool{}}
 	for _, e := range engines {
 		g.usable[e] = true
-		e.Watch(func(running int) { g.note(e, running) })
+		e.Watch(func(running int) { g.record(e, running) })
 	}
 	return g
 }
 
-func (g *gauge) note(e *fleet.Engine, running int) {
+func (g *loadTracker) record(e *fleet.Engine, running int) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	began := running > g.running[e]
@@ -118,7 +118,7 @@
 			n++
 		}
 	}
-	mean := g.recent(float64(total) / float64(n))
+	mean := g.recentMax(float64(total) / float64(n))
 	if !began {
 		return
 	}
@@ -126,42 +126,42 @@
 		g.late++
 		return
 	}
-	g.excess = max(g.excess, float64(running)-bound*mean)
+	g.worstExcess = max(g.worstExcess, float64(running)-loadFactor*mean)
 	if mean >= minMean {
-		g.worst = max(g.worst, float64(running)/mean)
+		g.worstRatio = max(g.worstRatio, float64(running)/mean)
 	}
 }
 
-// leave takes an engine out of the mean: it may not take new work, or soon not.
-func (g *gauge) leave(e *fleet.Engine) {
+// exclude removes an engine from the mean, because it accepts no new work or soon won't.
+func (g *loadTracker) exclude(e *fleet.Engine) {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.usable[e] = false
 }
 
-// strict counts work that leaving engines get from now on.
-func (g *gauge) strict() {
+// resetLate restarts the count of requests that leaving engines get.
+func (g *loadTracker) resetLate() {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	g.late = 0
 }
 
-func (g *gauge) lateWork() int {
+func (g *loadTracker) lateCount() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	return g.late
 }
 
-// ratio is the worst load over mean at an admission.
-func (g *gauge) ratio() float64 {
+// maxRatio returns the maximum ratio of load to mean load at an admission.
+func (g *loadTracker) maxRatio() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.worst
+	return g.worstRatio
 }
 
-// over is the most work that an engine took on above the bound, in requests.
-func (g *gauge) over() float64 {
+// maxExcess returns the maximum load of an engine above the bound, in requests.
+func (g *loadTracker) maxExcess() float64 {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.excess
+	return g.worstExcess
 }
