--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -15,8 +15,8 @@
 	"valescale/internal/share/peer"
 )
 
-// capacity holds each role's state for real at several sizes and measures its
-// memory and the time of what is done with it, so that slopes can be read off.
+// capacity builds the state of each role at several sizes and measures its memory and the time of its
+// operations, from which the growth per item follows.
 func capacity(options) []row {
 	var rows []row
 	for _, n := range []int{10_000, 100_000, 1_000_000, 2_500_000} {
@@ -37,8 +37,8 @@
 	return append(rows, searches()...)
 }
 
-// inUse returns the memory that is in use after what can be collected is gone.
-func inUse() float64 {
+// heapInUse returns the heap memory in use after garbage collection.
+func heapInUse() float64 {
 	runtime.GC()
 	runtime.GC()
 	var m runtime.MemStats
@@ -46,15 +46,15 @@
 	return float64(m.HeapAlloc)
 }
 
-// weigh returns the memory that something holds.
-func weigh[T any](build func() T) (T, float64) {
-	before := inUse()
-	made := build()
-	return made, inUse() - before
+// measureMemory returns a built value and the memory that it holds.
+func measureMemory[T any](build func() T) (T, float64) {
+	before := heapInUse()
+	built := build()
+	return built, heapInUse() - before
 }
 
-// timed returns the mean time of one call, in microseconds.
-func timed(calls int, call func(int)) float64 {
+// meanMicros returns the mean time of one call, in microseconds.
+func meanMicros(calls int, call func(int)) float64 {
 	started := time.Now()
 	for i := range calls {
 		call(i)
@@ -64,7 +64,7 @@
 
 func capacityRow(role, unit string, n int, micros, bytes float64) row {
 	return row{
-		Case: role, Way: fmt.Sprintf("%d %s", n, unit), CPUMicros: micros, BytesPer: bytes,
+		Case: role, Strategy: fmt.Sprintf("%d %s", n, unit), CPUMicros: micros, BytesPer: bytes,
 		Note: fmt.Sprintf("%.0f bytes each, %.2f us", bytes/float64(n), micros),
 	}
 }
@@ -84,7 +84,7 @@
 
 func chatPlaces(n int) row {
 	const engines = 8
-	h, bytes := weigh(func() *place.Home {
+	h, bytes := measureMemory(func() *place.Home {
 		h, _ := homeWith(engines, n)
 		for i := range n {
 			h.Place(epoch, place.Request{Edge: "b", Permit: uint64(i + 1), Key: ident.ChatKey(ident.Mix(uint64(i), 9)), Work: ident.OneRequest})
@@ -92,7 +92,7 @@
 		}
 		return h
 	})
-	micros := timed(200_000, func(i int) {
+	micros := meanMicros(200_000, func(i int) {
 		h.Place(epoch, place.Request{Edge: "b", Permit: uint64(n + i + 1), Key: ident.ChatKey(ident.Mix(uint64(i%n), 9)), Work: ident.OneRequest})
 		h.Release("b", uint64(n+i+1))
 	})
@@ -101,14 +101,14 @@
 
 func permits(n int) row {
 	const engines = 8
-	h, bytes := weigh(func() *place.Home {
+	h, bytes := measureMemory(func() *place.Home {
 		h, _ := homeWith(engines, 1)
 		for i := range n {
 			h.Place(epoch, place.Request{Edge: "b", Permit: uint64(i + 1), Key: 1, Work: ident.OneRequest})
 		}
 		return h
 	})
-	micros := timed(100_000, func(i int) {
+	micros := meanMicros(100_000, func(i int) {
 		h.Place(epoch, place.Request{Edge: "b", Permit: uint64(n + i + 1), Key: 1, Work: ident.OneRequest})
 		h.Release("b", uint64(n+i+1))
 	})
@@ -116,19 +116,19 @@
 }
 
 func buckets(n int) row {
-	made, bytes := weigh(func() map[ident.Workspace]*quota.Bucket {
+	built, bytes := measureMemory(func() map[ident.Workspace]*quota.Bucket {
 		out := map[ident.Workspace]*quota.Bucket{}
 		for i := range n {
 			out[ident.Workspace("workspace-"+itoa(i))] = quota.NewBucket(epoch, 10, 100)
 		}
 		return out
 	})
-	b := made["workspace-0"]
-	micros := timed(1_000_000, func(i int) { b.Grant(epoch.Add(time.Duration(i)*time.Millisecond), 1) })
+	b := built["workspace-0"]
+	micros := meanMicros(1_000_000, func(i int) { b.Grant(epoch.Add(time.Duration(i)*time.Millisecond), 1) })
 	return capacityRow("home: workspace limits", "workspaces", n, micros, bytes)
 }
 
-// configurationOf returns the documents of so many workspaces with a policy each fifty.
+// configurationOf returns the documents of n workspaces, with one policy per fifty workspaces.
 func configurationOf(n int) []policy.Document {
 	var text strings.Builder
 	text.WriteString("[service judge]\nkind = engine\nshards = 16\n[service board]\nkind = plain\n")
@@ -148,7 +148,7 @@
 
 func configurations(n int) []row {
 	documents := configurationOf(n)
-	k, bytes := weigh(func() *config.Keeper {
+	k, bytes := measureMemory(func() *config.Keeper {
 		k := config.NewKeeper(nil)
 		if err := k.InstallSnapshot(config.Snapshot{Revision: 1, Documents: documents}); err != nil {
 			panic(err)
@@ -157,7 +157,7 @@
 	})
 	revision := ident.Revision(1)
 	change := documents[len(documents)-1]
-	micros := timed(20, func(int) {
+	micros := meanMicros(20, func(int) {
 		revision++
 		if err := k.Install([]config.Change{{Revision: revision, Documents: []policy.Document{change}}}); err != nil {
 			panic(err)
@@ -166,7 +166,7 @@
 	set := k.InForce().Set
 	w := set.Workspaces["w0"]
 	request := &policy.Request{Method: "POST", Path: "/v1/chat/completions"}
-	decide := timed(50_000, func(int) { set.Decide(w, request) })
+	decide := meanMicros(50_000, func(int) { set.Decide(w, request) })
 	return []row{
 		capacityRow("configuration: install a change", "workspaces", n, micros, bytes),
 		capacityRow("edge: policy decision", "workspaces", n, decide, 0),
@@ -186,28 +186,28 @@
 			Region: ident.Region("region-" + itoa(i%5)), State: boxes.Live, Incarnation: 1,
 		})
 	}
-	v, bytes := weigh(func() *peer.View {
+	v, bytes := measureMemory(func() *peer.View {
 		v := peer.NewView(epoch, peer.Member{ID: "router-0", Region: "region-a"}, peer.DefaultLimits)
 		v.ObserveList(epoch, list)
 		v.SetRevision(5)
 		return v
 	})
-	observe := timed(50, func(int) { v.ObserveList(epoch, list) })
-	exchange := timed(500, func(int) { v.Incoming(epoch, v.Outgoing("router-1", false)) })
+	observe := meanMicros(50, func(int) { v.ObserveList(epoch, list) })
+	exchange := meanMicros(500, func(int) { v.Incoming(epoch, v.Outgoing("router-1", false)) })
 	return []row{
 		capacityRow("membership: read the list", "boxes", routers+targets, observe, bytes),
 		capacityRow("membership: one exchange", "routers", routers, exchange, 0),
 	}
 }
 
-// searches measures the order of shards that each request starts with.
+// searches measures the search order of shards that each request computes first.
 func searches() []row {
 	var rows []row
 	for _, shards := range []int{2, 16} {
 		p := place.NewPool("judge@r", shards, place.DefaultBound)
 		_, list := homeWith(124, 1)
 		p.SetEngines(list)
-		micros := timed(200_000, func(i int) {
+		micros := meanMicros(200_000, func(i int) {
 			s := p.NewSearch(ident.ChatKey(i), false)
 			s.Next(epoch, p)
 		})
--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -27,44 +27,44 @@
 	"valescale/internal/share/peerpb"
 )
 
-// Rates of what a router does without being asked, as its settings have them.
+// Rates and sizes of the traffic that a router causes by itself, at the rates of its settings.
 const (
-	gossipPerSecond  = 1.0
-	listPerSecond    = 1 / 2.0
-	headPerSecond    = 1 / 5.0
-	reportEvery      = 4.0
-	changesPerDay    = 5500.0
-	secondsPerDay    = 86400.0
-	requestsNow      = 14.0
-	requestsInTwo    = 3000.0
-	membersPerDay    = 418.0
-	reportBytes      = 350.0
-	unchangedList    = 260.0
-	headPollBytes    = 420.0
-	changeBytes      = 700.0
-	asksPerRequest   = 1.02
-	publishPerSecond = 2.0
+	gossipPerSecond             = 1.0
+	listPerSecond               = 1 / 2.0
+	headPerSecond               = 1 / 5.0
+	reportIntervalSeconds       = 4.0
+	changesPerDay               = 5500.0
+	secondsPerDay               = 86400.0
+	requestsPerSecondToday      = 14.0
+	requestsPerSecondInTwoYears = 3000.0
+	membersPerDay               = 418.0
+	reportBytes                 = 350.0
+	unchangedListBytes          = 260.0
+	headPollBytes               = 420.0
+	changeBytes                 = 700.0
+	asksPerRequest              = 1.02
+	publishPerSecond            = 2.0
 )
 
-// controlShape is one fleet whose control traffic is added up.
-type controlShape struct {
-	name     string
-	routers  int
-	inRegion int
-	engines  int
-	shards   int
-	requests float64
-	changes  float64
+// fleetShape is a fleet whose control traffic is added up.
+type fleetShape struct {
+	name          string
+	routers       int
+	regionRouters int
+	engines       int
+	shards        int
+	requests      float64
+	changes       float64
 }
 
-// control adds up what one router sends and receives beside callers' requests. What
-// a gossip exchange costs is measured on a connection of this run, with the digests
-// of a fleet of that size, and what a permit costs on a real link; small calls to the platform have the sizes that the demo shows.
+// control adds up what one router sends and receives besides callers' requests. The cost of a gossip
+// exchange is measured on a real connection with digests of the size in that fleet, the cost of a
+// permit on a real link. Small calls to the platform have the sizes that occur in the demo.
 func control(o options) []row {
 	var rows []row
-	for _, s := range []controlShape{
-		{"today", 8, 8, 20, 2, requestsNow, 10 / secondsPerDay},
-		{"in two years", 400, 80, 620, 80, requestsInTwo / 5, changesPerDay / secondsPerDay},
+	for _, s := range []fleetShape{
+		{"today", 8, 8, 20, 2, requestsPerSecondToday, 10 / secondsPerDay},
+		{"in two years", 400, 80, 620, 80, requestsPerSecondInTwoYears / 5, changesPerDay / secondsPerDay},
 	} {
 		rows = append(rows, s.measure(o.Seed, false)...)
 		s.name += ", TLS"
@@ -73,23 +73,23 @@
 	return rows
 }
 
-func (s controlShape) measure(seed uint64, secure bool) []row {
-	perRouter := s.requests / float64(s.inRegion)
+func (s fleetShape) measure(seed uint64, secure bool) []row {
+	perRouter := s.requests / float64(s.regionRouters)
 	digest, _ := gossipSizes(s.routers, seed)
 	exchange, exchangeCPU := exchangeCost(digest, secure)
 	link := measureLink(s.shards, secure)
-	engines := float64(s.engines) / float64(s.inRegion)
-	shards := float64(s.shards) / float64(s.inRegion)
+	engines := float64(s.engines) / float64(s.regionRouters)
+	shards := float64(s.shards) / float64(s.regionRouters)
 	parts := []struct {
 		name  string
 		bytes float64
 	}{
-		// Each exchange is one call out and, on average, one call in.
+		// A router initiates one exchange and, on average, receives one.
 		{"gossip", 2 * gossipPerSecond * exchange / 2},
 		{"permits", perRouter * asksPerRequest * link.bytes},
 		{"counts to standbys", shards * publishPerSecond * (messageOverhead + 30 + 8*engines/max(shards, 0.01))},
-		{"engine reports", engines / reportEvery * reportBytes},
-		{"list", listPerSecond * unchangedList},
+		{"engine reports", engines / reportIntervalSeconds * reportBytes},
+		{"list", listPerSecond * unchangedListBytes},
 		{"head polls", headPerSecond * headPollBytes},
 		{"changes", s.changes * (changeBytes + float64(peer.DefaultPace.Fanout)*exchange)},
 	}
@@ -97,24 +97,24 @@
 	total := 0.0
 	for _, p := range parts {
 		total += p.bytes
-		rows = append(rows, row{Case: s.name, Way: p.name, Routers: s.routers, Engines: s.engines, ControlBytes: p.bytes})
+		rows = append(rows, row{Case: s.name, Strategy: p.name, Routers: s.routers, Engines: s.engines, ControlBytes: p.bytes})
 	}
 	busiest := s.busiestHome()
 	rows = append(rows, row{
-		Case: s.name, Way: "permits at the busiest home", Routers: s.routers, Engines: s.engines,
-		// Of a permit's bytes the home sends the answer, about two fifths.
+		Case: s.name, Strategy: "permits at the busiest home", Routers: s.routers, Engines: s.engines,
+		// Of the bytes of a permit the home sends the response, about two fifths.
 		ControlBytes: perRouter * asksPerRequest * link.bytes * (3 + 2*float64(busiest)/max(shards, 0.01)) / 5,
 		Note:         fmt.Sprintf("it has %d of %d shards", busiest, s.shards),
 	})
 	note := fmt.Sprintf("digest %d bytes, exchange %.0f bytes and %.0f us of processor, permit and its return %.0f bytes and %.0f us, both sides",
 		digest, exchange, exchangeCPU, link.bytes, link.micros)
-	return append(rows, row{Case: s.name, Way: "all", Routers: s.routers, Engines: s.engines, ControlBytes: total, Note: note})
+	return append(rows, row{Case: s.name, Strategy: "all", Routers: s.routers, Engines: s.engines, ControlBytes: total, Note: note})
 }
 
-// busiestHome is the most shards that one router is home of.
-func (s controlShape) busiestHome() int {
+// busiestHome returns the maximum number of shards that one router is home of.
+func (s fleetShape) busiestHome() int {
 	var routers []ident.Router
-	for i := range s.inRegion {
+	for i := range s.regionRouters {
 		routers = append(routers, ident.Router(fmt.Sprintf("router-%03d", i)))
 	}
 	var ids []place.ShardID
@@ -125,13 +125,14 @@
 	return place.Assign(ids, routers).Busiest()
 }
 
-// gossipSizes returns the mean and largest digest of a fleet with ordinary news.
+// gossipSizes returns the mean and maximum size of the gossip digests of a fleet under normal
+// operation.
 func gossipSizes(routers int, seed uint64) (mean, largest int) {
 	rng := mathrand.New(mathrand.NewPCG(seed, 5))
 	now := epoch
 	var views []*peer.View
 	var list []boxes.Box
-	// Room for all members in each digest gets the news of the start over with soon.
+	// With room for all members in each digest, the updates of the start spread within a few rounds.
 	limits := peer.DefaultLimits
 	limits.Members = routers
 	for i := range routers {
@@ -176,18 +177,18 @@
 	return sum / max(n, 1), largest
 }
 
-// echoGossip answers each digest with one as large.
+// echoGossip responds to each digest with the same digest.
 type echoGossip struct {
 	peerpb.UnimplementedPeerServiceHandler
 }
 
-// Gossip returns what it got.
+// Gossip returns the received digest.
 func (echoGossip) Gossip(_ context.Context, req *connect.Request[peerpb.Digest]) (*connect.Response[peerpb.Digest], error) {
 	return connect.NewResponse(req.Msg), nil
 }
 
-// serve serves a handler over HTTP/2 on a port from the kernel, in clear text or with
-// TLS, and returns clients of it.
+// serve serves a handler over HTTP/2 on a port chosen by the kernel, in clear text or with TLS, and
+// returns a client for it.
 func serve(meter *peer.Meter, path string, handler http.Handler, secure bool) (client peerpb.PeerServiceClient, stop func()) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -201,7 +202,7 @@
 	server := &http.Server{Handler: mux, Protocols: protocols}
 	var config *tls.Config
 	if secure {
-		server.TLSConfig = &tls.Config{Certificates: []tls.Certificate{ownCertificate()}}
+		server.TLSConfig = &tls.Config{Certificates: []tls.Certificate{selfSignedCertificate()}}
 		config = &tls.Config{InsecureSkipVerify: true}
 		go func() { _ = server.ServeTLS(meter.Listener(l), "", "") }()
 	} else {
@@ -214,8 +215,8 @@
 	}
 }
 
-// ownCertificate makes a certificate for this run.
-func ownCertificate() tls.Certificate {
+// selfSignedCertificate creates a certificate for this run.
+func selfSignedCertificate() tls.Certificate {
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
 	if err != nil {
 		panic(err)
@@ -228,8 +229,8 @@
 	return tls.Certificate{Certificate: [][]byte{der}, PrivateKey: key}
 }
 
-// processor is the time that this process has had on processors.
-func processor() time.Duration {
+// cpuTime returns the user and system CPU time of this process.
+func cpuTime() time.Duration {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
 		panic(err)
@@ -238,81 +239,81 @@
 }
 
 const (
-	warmCalls = 50
-	costCalls = 2000
+	warmUpCalls   = 50
+	measuredCalls = 2000
 )
 
-// cost runs a call many times and returns the bytes on the connection, with the
-// headers of IP and TCP, and the processor time of one, both sides together.
-func cost(meter *peer.Meter, call func(i int)) (bytes, micros float64) {
-	for i := range warmCalls {
+// measureCall repeats a call and returns the bytes per call on the connection, including the headers
+// of IP and TCP, and the CPU time per call in microseconds, both for client and server together.
+func measureCall(meter *peer.Meter, call func(i int)) (bytes, micros float64) {
+	for i := range warmUpCalls {
 		call(i)
 	}
-	before, started := meter.Traffic().Total(), processor()
-	for i := range costCalls {
-		call(warmCalls + i)
+	before, started := meter.Traffic().Total(), cpuTime()
+	for i := range measuredCalls {
+		call(warmUpCalls + i)
 	}
-	spent := processor() - started
-	return float64(meter.Traffic().Total()-before) / costCalls, float64(spent.Microseconds()) / costCalls
+	spent := cpuTime() - started
+	return float64(meter.Traffic().Total()-before) / measuredCalls, float64(spent.Microseconds()) / measuredCalls
 }
 
-// exchangeCost is what one exchange of digests of a size costs.
+// exchangeCost returns the cost of one exchange of digests of the given size.
 func exchangeCost(size int, secure bool) (bytes, micros float64) {
 	meter := &peer.Meter{}
 	path, handler := peerpb.NewPeerServiceHandler(echoGossip{})
 	client, stop := serve(meter, path, handler, secure)
 	defer stop()
 	message := &peerpb.Digest{From: "router-000", InForce: make([]byte, max(size-12, 0))}
-	return cost(meter, func(int) {
+	return measureCall(meter, func(int) {
 		if _, err := client.Gossip(context.Background(), connect.NewRequest(message)); err != nil {
 			panic(err)
 		}
 	})
 }
 
-// linkCosts is what one permit and its return cost.
+// linkCosts is the cost of one permit and its release.
 type linkCosts struct {
 	bytes  float64
 	micros float64
 }
 
-// oneClient gives the same client for every router.
-type oneClient struct{ client peerpb.PeerServiceClient }
+// fixedClient returns the same client for every router.
+type fixedClient struct{ client peerpb.PeerServiceClient }
 
-// Unanswered does nothing: its connection does not fall silent.
-func (oneClient) Unanswered(ident.Router) {}
+// Unanswered does nothing: the server of this run always responds.
+func (fixedClient) Unanswered(ident.Router) {}
 
-// Client returns the client.
-func (o oneClient) Client(ident.Router) (peerpb.PeerServiceClient, error) { return o.client, nil }
+// Client returns the fixed client.
+func (o fixedClient) Client(ident.Router) (peerpb.PeerServiceClient, error) { return o.client, nil }
 
-// linkServer is the part of a router that links go to.
+// linkServer is the part of a router that serves links.
 type linkServer struct {
 	peerpb.UnimplementedPeerServiceHandler
 	*home.Server
 }
 
-// Link, Sync, Handoff and Grant are the home's.
+// Link is served by the home.
 func (l linkServer) Link(ctx context.Context, s *connect.BidiStream[peerpb.LinkRequest, peerpb.LinkReply]) error {
 	return l.Server.Link(ctx, s)
 }
 
-// Sync is the home's.
+// Sync is served by the home.
 func (l linkServer) Sync(ctx context.Context, r *connect.Request[peerpb.SyncRequest]) (*connect.Response[peerpb.SyncReply], error) {
 	return l.Server.Sync(ctx, r)
 }
 
-// Handoff is the home's.
+// Handoff is served by the home.
 func (l linkServer) Handoff(ctx context.Context, r *connect.Request[peerpb.HandoffRequest]) (*connect.Response[peerpb.HandoffReply], error) {
 	return l.Server.Handoff(ctx, r)
 }
 
-// Grant is the home's.
+// Grant is served by the home.
 func (l linkServer) Grant(ctx context.Context, r *connect.Request[peerpb.GrantRequest]) (*connect.Response[peerpb.GrantReply], error) {
 	return l.Server.Grant(ctx, r)
 }
 
-// measureLink takes permits over a real link and gives them back in messages of
-// their own, with the sums of a pool's other shards in each request and answer.
+// measureLink acquires permits over a real link and releases them in separate messages. Each request
+// and response includes the loads of the pool's other shards.
 func measureLink(shards int, secure bool) linkCosts {
 	shards = min(max(shards, 1), 16)
 	meter := &peer.Meter{}
@@ -325,9 +326,9 @@
 	path, handler := peerpb.NewPeerServiceHandler(linkServer{Server: home.NewServer(homes, func(context.Context) ident.Router { return "" })})
 	client, stop := serve(meter, path, handler, secure)
 	defer stop()
-	// A process that has run for a while is that far from its base.
+	// A process that has run for a while has permit numbers this far above its base.
 	const base = uint64(1_764_000_000_000) << 20
-	remote, closeRemote := home.NewRemote(home.Edge{ID: "router-edge", Zone: "zone-a", Base: base}, nil, oneClient{client}, 5*time.Second)
+	remote, closeRemote := home.NewRemote(home.Edge{ID: "router-edge", Zone: "zone-a", Base: base}, nil, fixedClient{client}, 5*time.Second)
 	defer closeRemote()
 	id := place.ShardID{Pool: pool}
 	var sums []place.Sum
@@ -336,7 +337,7 @@
 	}
 	const firstPermit = base + 1_000_000
 	var c linkCosts
-	c.bytes, c.micros = cost(meter, func(i int) {
+	c.bytes, c.micros = measureCall(meter, func(i int) {
 		permit := firstPermit + uint64(i)
 		_, err := remote.Place(context.Background(), "router-home", home.Ask{
 			Request: place.Request{
--- a/cmd/measure/fair.go
+++ b/cmd/measure/fair.go
@@ -22,15 +22,16 @@
 
 const (
 	fairWorkspaces = 10
-	// quietLoad is the share of the slots that all workspaces use when none surges.
+	// quietLoad is the share of the slots in use by all workspaces together when none surges.
 	quietLoad = 0.6
 )
 
-// fair measures what quiet workspaces wait while one surges, against being without the surge.
+// fair measures how long requests of quiet workspaces wait while another workspace surges, relative to
+// a run without the surge.
 func fair(o options) []row {
 	base := fairCase{slots: 240, service: 14 * time.Second, run: 20 * time.Minute}
 	var rows []row
-	var alone float64
+	var baseline float64
 	for _, c := range []struct {
 		name  string
 		surge float64
@@ -38,22 +39,22 @@
 	}{{"no surge", 1, false}, {"surge of 10", 10, false}, {"surge of 10, first come", 10, true}} {
 		f := base
 		f.name, f.surge, f.fifo = c.name, c.surge, c.fifo
-		quiet, wait99 := f.play(o.Seed)
-		if alone == 0 {
-			alone = quiet
+		quiet, waitP99 := f.simulate(o.Seed)
+		if baseline == 0 {
+			baseline = quiet
 		}
-		way := "by workspace"
+		strategy := "by workspace"
 		if c.fifo {
-			way = "first come"
+			strategy = "first come"
 		}
 		rows = append(rows, row{
-			Case: c.name, Way: way, Engines: f.slots / 24, MaxRatio: quiet / alone, P99Ratio: wait99,
+			Case: c.name, Strategy: strategy, Engines: f.slots / 24, MaxRatio: quiet / baseline, P99Ratio: waitP99,
 		})
 	}
 	return rows
 }
 
-type fairWorld struct {
+type fairSimulation struct {
 	fairCase
 	now   time.Time
 	rng   *rand.Rand
@@ -64,15 +65,16 @@
 	waits []float64
 }
 
-// play returns the quiet workspaces' mean time to the answer's end and p99 wait, in seconds.
-func (f fairCase) play(seed uint64) (mean, wait99 float64) {
-	w := &fairWorld{fairCase: f, now: epoch, rng: rand.New(rand.NewPCG(seed, 3)), queue: quota.NewQueue(1<<20, 1<<20), free: f.slots}
+// simulate returns the mean time to the end of the answer and the p99 wait of the quiet workspaces,
+// in seconds.
+func (f fairCase) simulate(seed uint64) (mean, waitP99 float64) {
+	w := &fairSimulation{fairCase: f, now: epoch, rng: rand.New(rand.NewPCG(seed, 3)), queue: quota.NewQueue(1<<20, 1<<20), free: f.slots}
 	base := quietLoad * float64(f.slots) / f.service.Seconds() / fairWorkspaces
 	next := make([]time.Time, fairWorkspaces)
 	rates := make([]float64, fairWorkspaces)
 	for i := range next {
 		rates[i] = base
-		next[i] = w.now.Add(w.gap(base))
+		next[i] = w.now.Add(w.interarrival(base))
 	}
 	rates[0] = base * f.surge
 	end := epoch.Add(f.run)
@@ -88,7 +90,7 @@
 		if w.now.After(end) {
 			break
 		}
-		next[first] = w.now.Add(w.gap(rates[first]))
+		next[first] = w.now.Add(w.interarrival(rates[first]))
 		w.arrive(first)
 	}
 	sort.Float64s(w.waits)
@@ -99,22 +101,22 @@
 	return sum / float64(len(w.quiet)), w.waits[len(w.waits)*99/100]
 }
 
-func (w *fairWorld) gap(rate float64) time.Duration {
+func (w *fairSimulation) interarrival(rate float64) time.Duration {
 	return time.Duration(w.rng.ExpFloat64() / rate * float64(time.Second))
 }
 
-func (w *fairWorld) arrive(workspace int) {
+func (w *fairSimulation) arrive(workspace int) {
 	name := ident.Workspace("workspace-" + itoa(workspace))
 	if w.fifo {
-		// One flow for all is first come, first served.
+		// A single flow for all workspaces is served in order of arrival.
 		name = "all"
 	}
 	w.queue.Push(&quota.Waiter{Workspace: name, Weight: 1, Work: ident.OneRequest, Arrived: w.now, Value: workspace})
 	w.serve()
 }
 
-// serve gives free slots to waiters.
-func (w *fairWorld) serve() {
+// serve assigns free slots to waiting requests.
+func (w *fairSimulation) serve() {
 	for w.free > 0 {
 		next, _ := w.queue.Pop(w.now)
 		if next == nil {
@@ -136,7 +138,7 @@
 	}
 }
 
-func (w *fairWorld) finishUntil(t time.Time) {
+func (w *fairSimulation) finishUntil(t time.Time) {
 	for len(w.ends) > 0 && !w.ends[0].After(t) {
 		w.now = w.ends[0]
 		w.ends = w.ends[1:]
--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -13,52 +13,52 @@
 	"valescale/internal/share/home"
 )
 
-// messageOverhead is what one message on a link costs beside itself: an HTTP/2
-// frame, connect's envelope, and the headers of IP and TCP, in bytes.
+// messageOverhead is the overhead of one message on a link, in bytes: an HTTP/2 frame header, the
+// envelope of connect, and the headers of IP and TCP.
 const messageOverhead = 9 + 5 + 52
 
 const (
-	region       ident.Region  = "region"
-	service      ident.Service = "judge"
-	publishEvery               = time.Second
-	publishSoon                = 10 * time.Millisecond
-	rampTime                   = 10 * time.Second
+	region             ident.Region  = "region"
+	service            ident.Service = "judge"
+	publishInterval                  = time.Second
+	urgentPublishDelay               = 10 * time.Millisecond
+	rampTime                         = 10 * time.Second
 )
 
-// homesWay is way C on the real code: homes that count permits.
-type homesWay struct {
+// homesStrategy is strategy C, with the code of the router itself: homes that count permits.
+type homesStrategy struct {
 	label   string
 	bound   place.Bound
-	w       *world
+	w       *simulation
 	nodes   []*node
 	bytes   float64
 	choices int
 	byHash  map[ident.TargetHash]*engine
-	// assignments are kept, since views change seldom.
+	// assignments caches the assignments by router list, since views change rarely.
 	assignments map[string]*place.Assignment
-	// retired routers have left as planned and end what they have in flight.
-	retired  []*node
-	renewals int
+	// retired holds the routers that have stopped gracefully and finish their requests in flight.
+	retired      []*node
+	replacements int
 }
 
-// node is one router's homes and edge.
+// node is one simulated router with its homes and its edge.
 type node struct {
 	id     ident.Router
 	homes  *home.Homes
 	router *route.Router
-	// missing is a router that this one believes to be gone.
-	missing ident.Router
+	// unseen is a router that is absent from this router's membership view.
+	unseen ident.Router
 }
 
-func newHomesWay() *homesWay {
+func newHomesStrategy() *homesStrategy {
 	bound := place.DefaultBound
 	bound.Ramp = rampTime
-	return &homesWay{label: "C homes", bound: bound, byHash: map[ident.TargetHash]*engine{}, assignments: map[string]*place.Assignment{}}
+	return &homesStrategy{label: "C homes", bound: bound, byHash: map[ident.TargetHash]*engine{}, assignments: map[string]*place.Assignment{}}
 }
 
-func (h *homesWay) name() string { return h.label }
+func (h *homesStrategy) name() string { return h.label }
 
-func (h *homesWay) start(w *world) {
+func (h *homesStrategy) start(w *simulation) {
 	h.w = w
 	for _, e := range w.engines {
 		h.byHash[e.hash] = e
@@ -66,68 +66,67 @@
 	for i := range w.routers {
 		h.nodes = append(h.nodes, h.newNode(i, ident.Router("router-"+itoa(i))))
 	}
-	h.changed(w)
+	h.enginesChanged(w)
 	for i := range h.nodes {
-		w.after(time.Duration(i)*publishEvery/time.Duration(len(h.nodes)), func() {
-			w.every(publishEvery, func() { h.publish(h.nodes[i]) })
+		w.schedule(time.Duration(i)*publishInterval/time.Duration(len(h.nodes)), func() {
+			w.schedulePeriodic(publishInterval, func() { h.publish(h.nodes[i]) })
 		})
 	}
-	if w.disagree {
-		w.every(15*time.Second, h.startDisagreement)
+	if w.viewsDiffer {
+		w.schedulePeriodic(15*time.Second, h.splitViews)
 	}
 	if w.replace {
 		third := len(h.nodes) / 3
 		for i := range third {
-			w.after(w.run/2+w.run/4*time.Duration(i)/time.Duration(third), func() { h.stopPlanned(i) })
+			w.schedule(w.run/2+w.run/4*time.Duration(i)/time.Duration(third), func() { h.replacePlanned(i) })
 		}
 	}
 	if w.crash {
-		w.every(20*time.Second, func() { h.crash(w.rng.IntN(len(h.nodes))) })
+		w.schedulePeriodic(20*time.Second, func() { h.crash(w.rng.IntN(len(h.nodes))) })
 	}
 }
 
-// renewed returns a fresh router in the place of one that has gone.
-func (h *homesWay) renewed(i int) *node {
-	h.renewals++
-	return h.newNode(i, ident.Router("router-"+itoa(i)+"-"+itoa(h.renewals)))
+// newReplacement returns a new router in the place of one that has stopped.
+func (h *homesStrategy) newReplacement(i int) *node {
+	h.replacements++
+	return h.newNode(i, ident.Router("router-"+itoa(i)+"-"+itoa(h.replacements)))
 }
 
-// stopPlanned replaces a router that leaves in order: the others learn of it and of
-// the new one at once, and its homes hand over what they have. Requests that it has
-// in flight end as usual.
-func (h *homesWay) stopPlanned(i int) {
+// replacePlanned replaces a router that stops gracefully: the views of the other routers change at
+// once, and its homes hand over their state. Its requests in flight finish normally.
+func (h *homesStrategy) replacePlanned(i int) {
 	old := h.nodes[i]
-	h.nodes[i] = h.renewed(i)
+	h.nodes[i] = h.newReplacement(i)
 	h.retired = append(h.retired, old)
 	p := h.pool()
 	for _, n := range h.nodes {
 		h.refresh(n, p)
 	}
 	h.refresh(old, p)
-	h.w.after(publishSoon, h.publishUrgent)
+	h.w.schedule(urgentPublishDelay, h.publishUrgent)
 }
 
-// crash replaces a router without notice. Its requests in flight are lost; the
-// others notice after detectTime, and drop what it held.
-func (h *homesWay) crash(i int) {
+// crash replaces a router without notice. Its requests in flight are lost. The other routers suspect
+// it after suspectDelay, and drop its permits after deadDelay.
+func (h *homesStrategy) crash(i int) {
 	old := h.nodes[i]
-	h.nodes[i] = h.renewed(i)
+	h.nodes[i] = h.newReplacement(i)
 	for _, e := range h.w.engines {
-		for _, r := range e.inOrder() {
+		for _, r := range e.sortedRequests() {
 			if r.router == i {
 				h.w.finish(r)
 			}
 		}
 	}
-	h.w.after(suspectTime, func() {
+	h.w.schedule(suspectDelay, func() {
 		p := h.pool()
 		for _, n := range h.nodes {
 			n.homes.Doubt([]ident.Router{old.id})
 			h.refresh(n, p)
 		}
-		h.w.after(publishSoon, h.publishUrgent)
+		h.w.schedule(urgentPublishDelay, h.publishUrgent)
 	})
-	h.w.after(deadTime, func() {
+	h.w.schedule(deadDelay, func() {
 		for _, n := range h.nodes {
 			n.homes.Doubt(nil)
 			n.homes.Forget(map[ident.Router]uint64{old.id: ^uint64(0)})
@@ -135,15 +134,15 @@
 	})
 }
 
-// After a crash an exchange fails within suspectTime, and the others pass the router
-// over; after deadTime it is held dead, and what it held is dropped.
+// After a crash an exchange fails within suspectDelay, and the other routers skip the router; after
+// deadDelay it is considered dead, and its permits are dropped.
 const (
-	suspectTime = time.Second
-	deadTime    = 4 * time.Second
+	suspectDelay = time.Second
+	deadDelay    = 4 * time.Second
 )
 
-// newNode makes the router in a place of the fleet.
-func (h *homesWay) newNode(i int, id ident.Router) *node {
+// newNode creates the router at index i of the fleet.
+func (h *homesStrategy) newNode(i int, id ident.Router) *node {
 	clock := func() time.Time { return h.w.now }
 	n := &node{id: id}
 	n.homes = home.New(id, home.DefaultLimits, clock, func(ident.Workspace) (policy.Workspace, bool) {
@@ -151,13 +150,13 @@
 	})
 	n.router = route.New(route.Self{
 		ID: id, Region: region, Zone: ident.Zone("zone-" + itoa(i%3)),
-		AfterFunc: func(d time.Duration, f func()) { h.w.after(d, f) },
+		AfterFunc: func(d time.Duration, f func()) { h.w.schedule(d, f) },
 	}, network{h, id}, clock)
 	return n
 }
 
-// assigned is the assignment of the pool's shards among routers.
-func (h *homesWay) assigned(routers []ident.Router) *place.Assignment {
+// assignment returns the assignment of the pool's shards to routers.
+func (h *homesStrategy) assignment(routers []ident.Router) *place.Assignment {
 	key := fmt.Sprint(routers)
 	if a, ok := h.assignments[key]; ok {
 		return a
@@ -171,19 +170,19 @@
 	return a
 }
 
-// routersOf is who a node believes to be live.
-func (h *homesWay) routersOf(n *node) []ident.Router {
+// visibleRouters returns the routers that are live in a node's membership view.
+func (h *homesStrategy) visibleRouters(n *node) []ident.Router {
 	var out []ident.Router
 	for _, other := range h.nodes {
-		if other.id != n.missing {
+		if other.id != n.unseen {
 			out = append(out, other.id)
 		}
 	}
 	return out
 }
 
-// pool is the pool as all views have it.
-func (h *homesWay) pool() route.Pool {
+// pool returns the pool, which is the same in all views.
+func (h *homesStrategy) pool() route.Pool {
 	p := route.Pool{
 		Name: ident.NewPool(service, region), Region: region,
 		Service: policy.Service{Name: service, Balance: policy.Exact, Shards: h.w.shards, Bound: h.bound.Factor},
@@ -201,16 +200,16 @@
 	return p
 }
 
-func (h *homesWay) changed(*world) {
+func (h *homesStrategy) enginesChanged(*simulation) {
 	p := h.pool()
 	for _, n := range h.nodes {
 		h.refresh(n, p)
 	}
-	h.w.after(publishSoon, h.publishUrgent)
+	h.w.schedule(urgentPublishDelay, h.publishUrgent)
 }
 
-// publishUrgent publishes what some homes have in a hurry.
-func (h *homesWay) publishUrgent() {
+// publishUrgent publishes the loads of the homes that have urgent changes.
+func (h *homesStrategy) publishUrgent() {
 	for _, n := range h.nodes {
 		select {
 		case <-n.homes.Urgent():
@@ -220,13 +219,13 @@
 	}
 }
 
-// refresh does what a router does when its view changes.
-func (h *homesWay) refresh(n *node, p route.Pool) {
-	live := h.assigned(h.routersOf(n))
+// refresh applies a changed membership view to a router.
+func (h *homesStrategy) refresh(n *node, p route.Pool) {
+	live := h.assignment(h.visibleRouters(n))
 	n.homes.SetPool(p.Name, h.bound, p.Roster)
 	n.router.Move(context.Background(), n.router.Set([]route.Pool{p}, live))
 	for _, transfer := range n.homes.Misplaced(live.Home) {
-		h.count(home.HandoffSize(transfer))
+		h.countMessage(home.HandoffSize(transfer))
 		if to := h.node(transfer.To); to != nil {
 			to.homes.Accept(transfer)
 			n.homes.Moved(transfer.ID, transfer.To)
@@ -234,7 +233,7 @@
 	}
 }
 
-func (h *homesWay) node(id ident.Router) *node {
+func (h *homesStrategy) node(id ident.Router) *node {
 	for _, n := range append(h.nodes[:len(h.nodes):len(h.nodes)], h.retired...) {
 		if n.id == id {
 			return n
@@ -243,34 +242,34 @@
 	return nil
 }
 
-// startDisagreement makes half of the routers miss one for five seconds.
-func (h *homesWay) startDisagreement() {
+// splitViews removes one router from the views of half of the routers for five seconds.
+func (h *homesStrategy) splitViews() {
 	lost := h.nodes[h.w.rng.IntN(len(h.nodes))].id
 	p := h.pool()
 	for i, n := range h.nodes {
 		if i%2 == 0 && n.id != lost {
-			n.missing = lost
+			n.unseen = lost
 			h.refresh(n, p)
 		}
 	}
-	h.w.after(publishSoon, h.publishUrgent)
-	h.w.after(5*time.Second, func() {
+	h.w.schedule(urgentPublishDelay, h.publishUrgent)
+	h.w.schedule(5*time.Second, func() {
 		p := h.pool()
 		for _, n := range h.nodes {
-			n.missing = ""
+			n.unseen = ""
 			h.refresh(n, p)
 		}
-		h.w.after(publishSoon, h.publishUrgent)
+		h.w.schedule(urgentPublishDelay, h.publishUrgent)
 	})
 }
 
-// publish tells the routers next in line what a node's homes count.
-func (h *homesWay) publish(n *node) {
+// publish sends the loads of a node's homes to their standbys.
+func (h *homesStrategy) publish(n *node) {
 	var routers []ident.Router
 	for _, other := range h.nodes {
 		routers = append(routers, other.id)
 	}
-	for _, p := range n.homes.Publications(h.assigned(h.routersOf(n)), h.assigned(routers)) {
+	for _, p := range n.homes.Publications(h.assignment(h.visibleRouters(n)), h.assignment(routers)) {
 		for _, to := range p.To {
 			h.bytes += float64(home.LoadSize(p.Digest)) + messageOverhead
 			if other := h.node(to); other != nil {
@@ -278,13 +277,13 @@
 			}
 		}
 		if p.Whole != nil {
-			h.count(home.HandoffSize(*p.Whole))
+			h.countMessage(home.HandoffSize(*p.Whole))
 			h.node(p.Whole.To).homes.Accept(*p.Whole)
 		}
 	}
 }
 
-func (h *homesWay) choose(w *world, r *request) *engine {
+func (h *homesStrategy) choose(w *simulation, r *request) *engine {
 	h.choices++
 	placement, err := h.nodes[r.router].router.Acquire(context.Background(), route.Ask{
 		Service: service, Key: r.chat.key, Work: ident.OneRequest, Deadline: w.now,
@@ -296,24 +295,24 @@
 	return h.byHash[placement.Hash]
 }
 
-func (h *homesWay) evicted(_ *world, e *engine, c *chat) {
+func (h *homesStrategy) evicted(_ *simulation, e *engine, c *chat) {
 	id := place.ShardID{Pool: ident.NewPool(service, region), Shard: place.ShardOf(e.hash, h.w.shards)}
 	for _, n := range h.nodes {
 		n.homes.Evicted(id, e.hash, []ident.ChatKey{c.key})
 	}
 }
 
-func (h *homesWay) stats() wayStats {
-	var asked, must, fallback uint64
+func (h *homesStrategy) stats() strategyStats {
+	var permitRequests, must, fallback uint64
 	for _, n := range h.nodes {
 		s := n.router.Stats()
-		asked += s.Asked
+		permitRequests += s.Asked
 		must += s.Must
 		fallback += s.Fallback
 	}
-	return wayStats{
-		asks: float64(asked) / float64(max(h.choices, 1)), bytes: h.bytes, choices: h.choices,
-		note: "must " + percent(must, asked) + ", alone " + percent(fallback, uint64(h.choices)),
+	return strategyStats{
+		permitRequests: float64(permitRequests) / float64(max(h.choices, 1)), bytes: h.bytes, choices: h.choices,
+		note: "must " + percent(must, permitRequests) + ", alone " + percent(fallback, uint64(h.choices)),
 	}
 }
 
@@ -325,15 +324,15 @@
 	return itoa(int(permille/10)) + "." + itoa(int(permille%10)) + "%"
 }
 
-func (h *homesWay) count(message int) { h.bytes += float64(message) + messageOverhead }
+func (h *homesStrategy) countMessage(message int) { h.bytes += float64(message) + messageOverhead }
 
-// network is calls between routers without a wire.
+// network connects the routers by function calls.
 type network struct {
-	h    *homesWay
+	h    *homesStrategy
 	self ident.Router
 }
 
-// Place asks a home for a permit.
+// Place requests a permit from a home.
 func (n network) Place(ctx context.Context, to ident.Router, ask home.Ask, released []uint64) (home.Answer, error) {
 	node := n.h.node(to)
 	if node == nil {
@@ -341,40 +340,40 @@
 	}
 	answer := node.homes.Place(ctx, ask, released)
 	if to != ask.Edge {
-		// A request and its answer are two messages.
-		n.h.count(home.PlaceSize(ask, released, answer) + messageOverhead)
+		// A request and its response are two messages.
+		n.h.countMessage(home.PlaceSize(ask, released, answer) + messageOverhead)
 	}
 	return answer, nil
 }
 
-// Release gives permits back.
+// Release releases permits at their home.
 func (n network) Release(_ context.Context, to ident.Router, id place.ShardID, released []uint64) error {
-	n.h.count(len(released)*9 + 12)
+	n.h.countMessage(len(released)*9 + 12)
 	if node := n.h.node(to); node != nil {
 		node.homes.Release(id, n.self, released)
 	}
 	return nil
 }
 
-// Sync tells a home what an edge holds.
+// Sync sends the permits that an edge router holds to a home.
 func (n network) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
-	n.h.count(len(held) * 16)
+	n.h.countMessage(len(held) * 16)
 	if node := n.h.node(to); node != nil {
 		node.homes.Sync(id, n.self, held, upto, from)
 	}
 	return nil
 }
 
-// Withdraw tells an earlier home that an edge's permits are counted elsewhere.
+// Withdraw informs an earlier home that the permits of an edge router are counted by another home.
 func (n network) Withdraw(_ context.Context, to ident.Router, id place.ShardID, upto uint64) error {
-	n.h.count(len(id.Pool) + 20)
+	n.h.countMessage(len(id.Pool) + 20)
 	if node := n.h.node(to); node != nil {
 		node.homes.Withdraw(id, n.self, upto)
 	}
 	return nil
 }
 
-// Grant is not measured here.
+// Grant returns nothing: rate limits are not measured here.
 func (n network) Grant(context.Context, ident.Router, ident.Workspace, int) (int, time.Duration, error) {
 	return 0, 0, nil
 }
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -1,7 +1,7 @@
-// Command measure drives the real placement, waiting and gossip code with a fake
-// clock and seeded arrivals, and prints what the documentation quotes. The same
-// seed gives the same figures. It is no simulator of a cluster: messages between
-// routers are calls, and only time, arrivals, reports and engines are made up.
+// Command measure drives the placement, queueing and gossip code of the router with a fake clock and
+// seeded arrivals, and prints the figures that the documentation quotes. Equal seeds give equal
+// figures. It does not simulate a cluster: messages between routers are function calls, and only
+// time, arrivals, reports and engines are simulated.
 package main
 
 import (
@@ -12,35 +12,35 @@
 	"github.com/jessevdk/go-flags"
 )
 
-// options are the command line's.
+// options are the command-line options.
 type options struct {
-	JSON bool   `long:"json" description:"print one JSON line a row"`
-	Plot string `long:"plot" description:"write pictures into this directory" value-name:"DIR"`
-	Seed uint64 `long:"seed" default:"1" description:"seed of arrivals and choices"`
-	Full bool   `long:"full" description:"also the cases that take minutes"`
+	JSON bool   `long:"json" description:"print one JSON object per line for each row"`
+	Plot string `long:"plot" description:"write charts to this directory" value-name:"DIR"`
+	Seed uint64 `long:"seed" default:"1" description:"seed of arrivals and random choices"`
+	Full bool   `long:"full" description:"include the cases that take minutes"`
 
 	Args struct {
 		What string `positional-arg-name:"skew|reuse|fair|control|capacity|path"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// row is one line of a table.
+// row is one row of a table.
 type row struct {
-	Case          string  `json:"case"`
-	Way           string  `json:"way"`
-	Routers       int     `json:"routers"`
-	Engines       int     `json:"engines"`
-	MaxRatio      float64 `json:"max_ratio"`
-	P99Ratio      float64 `json:"p99_ratio"`
-	MaxExcess     float64 `json:"max_excess_requests"`
-	OverShare     float64 `json:"share_over_bound"`
-	Reuse         float64 `json:"reuse"`
-	ReuseOfOracle float64 `json:"reuse_of_oracle"`
-	AsksPerCall   float64 `json:"asks_per_request"`
-	ControlBytes  float64 `json:"control_bytes_s"`
-	CPUMicros     float64 `json:"cpu_us_per_decision"`
-	BytesPer      float64 `json:"bytes_per_router"`
-	Note          string  `json:"note,omitempty"`
+	Case           string  `json:"case"`
+	Strategy       string  `json:"way"`
+	Routers        int     `json:"routers"`
+	Engines        int     `json:"engines"`
+	MaxRatio       float64 `json:"max_ratio"`
+	P99Ratio       float64 `json:"p99_ratio"`
+	MaxExcess      float64 `json:"max_excess_requests"`
+	OverShare      float64 `json:"share_over_bound"`
+	Reuse          float64 `json:"reuse"`
+	ReuseOfOracle  float64 `json:"reuse_of_oracle"`
+	AsksPerRequest float64 `json:"asks_per_request"`
+	ControlBytes   float64 `json:"control_bytes_s"`
+	CPUMicros      float64 `json:"cpu_us_per_decision"`
+	BytesPer       float64 `json:"bytes_per_router"`
+	Note           string  `json:"note,omitempty"`
 }
 
 func main() {
@@ -56,11 +56,11 @@
 	}
 	measure, ok := measures[o.Args.What]
 	if !ok {
-		fmt.Fprintf(os.Stderr, "measure: no measure is called %q\n", o.Args.What)
+		fmt.Fprintf(os.Stderr, "measure: unknown measurement %q\n", o.Args.What)
 		os.Exit(2)
 	}
 	rows := measure(o)
-	print(o.Args.What, rows, o.JSON)
+	printRows(o.Args.What, rows, o.JSON)
 	if o.Plot != "" {
 		if err := plotRows(o.Plot, o.Args.What, rows); err != nil {
 			fmt.Fprintln(os.Stderr, "measure:", err)
@@ -69,12 +69,12 @@
 	}
 }
 
-func print(what string, rows []row, asJSON bool) {
+func printRows(what string, rows []row, asJSON bool) {
 	if asJSON {
 		for _, r := range rows {
 			line, err := json.Marshal(r)
 			if err != nil {
-				// A row holds texts and numbers.
+				// A row contains only strings and numbers.
 				panic(err)
 			}
 			fmt.Println(string(line))
@@ -82,52 +82,52 @@
 		return
 	}
 	table := tables[what]
-	fmt.Println(table.head)
+	fmt.Println(table.header)
 	for _, r := range rows {
 		fmt.Println(table.line(r))
 	}
 }
 
-// table is how one measure's rows are printed.
+// table is the format in which the rows of one measurement are printed.
 type table struct {
-	head string
-	line func(row) string
+	header string
+	line   func(row) string
 }
 
-const placeHead = `| case | way | routers | engines | worst load/mean | p99 | worst excess over the bound (requests) | share of admissions over it by more than one | reuse | of the oracle's | asks a request | control B/s a router | note |
+const placementHeader = `| case | way | routers | engines | worst load/mean | p99 | worst excess over the bound (requests) | share of admissions over it by more than one | reuse | of the oracle's | asks a request | control B/s a router | note |
 | --- | --- | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | ---: | --- |`
 
-func placeLine(r row) string {
+func formatPlacement(r row) string {
 	return fmt.Sprintf("| %s | %s | %d | %d | %.2f | %.2f | %.2f | %.4f | %.3f | %.3f | %.2f | %.0f | %s |",
-		r.Case, r.Way, r.Routers, r.Engines, r.MaxRatio, r.P99Ratio, r.MaxExcess, r.OverShare,
-		r.Reuse, r.ReuseOfOracle, r.AsksPerCall, r.ControlBytes, r.Note)
+		r.Case, r.Strategy, r.Routers, r.Engines, r.MaxRatio, r.P99Ratio, r.MaxExcess, r.OverShare,
+		r.Reuse, r.ReuseOfOracle, r.AsksPerRequest, r.ControlBytes, r.Note)
 }
 
 var tables = map[string]table{
-	"skew":  {placeHead, placeLine},
-	"reuse": {placeHead, placeLine},
+	"skew":  {placementHeader, formatPlacement},
+	"reuse": {placementHeader, formatPlacement},
 	"fair": {
 		"| case | order | quiet workspaces' time to the end, over no surge | their p99 wait (s) |\n| --- | --- | ---: | ---: |",
 		func(r row) string {
-			return fmt.Sprintf("| %s | %s | %.3f | %.2f |", r.Case, r.Way, r.MaxRatio, r.P99Ratio)
+			return fmt.Sprintf("| %s | %s | %.3f | %.2f |", r.Case, r.Strategy, r.MaxRatio, r.P99Ratio)
 		},
 	},
 	"control": {
 		"| fleet | part | routers | engines a region | B/s a router | note |\n| --- | --- | ---: | ---: | ---: | --- |",
 		func(r row) string {
-			return fmt.Sprintf("| %s | %s | %d | %d | %.0f | %s |", r.Case, r.Way, r.Routers, r.Engines, r.ControlBytes, r.Note)
+			return fmt.Sprintf("| %s | %s | %d | %d | %.0f | %s |", r.Case, r.Strategy, r.Routers, r.Engines, r.ControlBytes, r.Note)
 		},
 	},
 	"path": {
 		"| load | way | p50 of the first byte, ratio | p99, ratio | router's processor a request (us) | note |\n| --- | --- | ---: | ---: | ---: | --- |",
 		func(r row) string {
-			return fmt.Sprintf("| %s | %s | %.2f | %.2f | %.0f | %s |", r.Case, r.Way, r.P99Ratio, r.MaxRatio, r.CPUMicros, r.Note)
+			return fmt.Sprintf("| %s | %s | %.2f | %.2f | %.0f | %s |", r.Case, r.Strategy, r.P99Ratio, r.MaxRatio, r.CPUMicros, r.Note)
 		},
 	},
 	"capacity": {
 		"| what | size | memory (bytes) | one call (us) | slope |\n| --- | --- | ---: | ---: | --- |",
 		func(r row) string {
-			return fmt.Sprintf("| %s | %s | %.0f | %.2f | %s |", r.Case, r.Way, r.BytesPer, r.CPUMicros, r.Note)
+			return fmt.Sprintf("| %s | %s | %.0f | %.2f | %s |", r.Case, r.Strategy, r.BytesPer, r.CPUMicros, r.Note)
 		},
 	},
 }
--- a/cmd/measure/path.go
+++ b/cmd/measure/path.go
@@ -16,13 +16,13 @@
 )
 
 const (
-	pathRequests = 4000
-	pathAtOnce   = 16
-	pathBody     = `{"model":"m","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"q"}]}`
+	pathRequests    = 4000
+	pathConcurrency = 16
+	pathBody        = `{"model":"m","stream":true,"max_tokens":8,"messages":[{"role":"user","content":"q"}]}`
 )
 
-// path measures what the router costs: the same requests to an engine directly and
-// through a router, on loopback and in one process, so only the ratios say something.
+// path measures the overhead of the router: the same requests are sent to an engine directly and
+// through a router. All run on loopback in one process, so only the ratios are meaningful.
 func path(options) []row {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -51,19 +51,19 @@
 	if err := f.AwaitReady(ctx, revision); err != nil {
 		panic(err)
 	}
-	transport := &http.Transport{MaxIdleConnsPerHost: 2 * pathAtOnce}
+	transport := &http.Transport{MaxIdleConnsPerHost: 2 * pathConcurrency}
 	defer transport.CloseIdleConnections()
 	client := &http.Client{Transport: transport}
 	direct := "http://" + f.Engines[0].Addr() + "/v1/chat/completions"
 	routed := "http://" + f.Routers[0].CallerAddr() + "/v1/chat/completions"
 	var rows []row
-	for _, atOnce := range []int{1, pathAtOnce} {
-		burst(client, direct, atOnce, pathRequests/4)
-		burst(client, routed, atOnce, pathRequests/4)
-		a := burst(client, direct, atOnce, pathRequests)
-		b := burst(client, routed, atOnce, pathRequests)
+	for _, concurrency := range []int{1, pathConcurrency} {
+		burst(client, direct, concurrency, pathRequests/4)
+		burst(client, routed, concurrency, pathRequests/4)
+		a := burst(client, direct, concurrency, pathRequests)
+		b := burst(client, routed, concurrency, pathRequests)
 		rows = append(rows, row{
-			Case: fmt.Sprintf("%d at once", atOnce), Way: "router over direct", MaxRatio: b.p99 / a.p99, P99Ratio: b.p50 / a.p50,
+			Case: fmt.Sprintf("%d at once", concurrency), Strategy: "router over direct", MaxRatio: b.p99 / a.p99, P99Ratio: b.p50 / a.p50,
 			CPUMicros: b.micros - a.micros,
 			Note: fmt.Sprintf("processor a request: direct %.0f us, routed %.0f us (caller and engine included); a core's worth of the router's part is %.0f requests/s",
 				a.micros, b.micros, 1e6/(b.micros-a.micros)),
@@ -72,23 +72,24 @@
 	return rows
 }
 
-// burstResult is what a burst showed.
+// burstResult is the latency in seconds and the CPU time per request of a burst.
 type burstResult struct {
 	p50    float64
 	p99    float64
 	micros float64
 }
 
-// burst sends requests, so many at once, and times the first byte of each answer.
-func burst(client *http.Client, url string, atOnce, requests int) burstResult {
+// burst sends requests with the given concurrency and measures the time to the first byte of each
+// answer.
+func burst(client *http.Client, url string, concurrency, requests int) burstResult {
 	var mu sync.Mutex
 	var times []float64
 	var wg sync.WaitGroup
-	started := processor()
-	for w := range atOnce {
+	started := cpuTime()
+	for w := range concurrency {
 		wg.Go(func() {
-			for n := range requests / atOnce {
-				d, err := firstByte(client, url, fmt.Sprintf("%d-%d", w, n))
+			for n := range requests / concurrency {
+				d, err := timeToFirstByte(client, url, fmt.Sprintf("%d-%d", w, n))
 				if err != nil {
 					panic(err)
 				}
@@ -99,7 +100,7 @@
 		})
 	}
 	wg.Wait()
-	spent := processor() - started
+	spent := cpuTime() - started
 	sort.Float64s(times)
 	return burstResult{
 		p50: times[len(times)/2], p99: times[len(times)*99/100],
@@ -107,7 +108,7 @@
 	}
 }
 
-func firstByte(client *http.Client, url, chat string) (float64, error) {
+func timeToFirstByte(client *http.Client, url, chat string) (float64, error) {
 	req, err := http.NewRequest(http.MethodPost, url, strings.NewReader(pathBody))
 	if err != nil {
 		return 0, err
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -11,17 +11,17 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// picture says what a measure's bars show.
-type picture struct {
+// figure is a bar chart of one measurement.
+type figure struct {
 	file  string
 	title string
 	label string
-	// most cuts off higher bars; zero shows all.
-	most  float64
+	// maxY cuts off higher bars; zero shows all.
+	maxY  float64
 	value func(row) float64
 }
 
-var pictures = map[string][]picture{
+var figures = map[string][]figure{
 	"skew": {
 		{"skew.png", "Worst load over mean at admission", "load / mean (cut off at 4)", 4, func(r row) float64 { return r.MaxRatio }},
 		{"reuse.png", "Cache reuse as a share of the oracle's", "share", 0, func(r row) float64 { return r.ReuseOfOracle }},
@@ -30,12 +30,12 @@
 	"fair":    {{"fair.png", "Quiet workspaces' time to the end, over no surge", "ratio", 0, func(r row) float64 { return r.MaxRatio }}},
 }
 
-// plotRows writes a measure's pictures: a group of bars for each case, a bar for each way.
+// plotRows writes the charts of a measurement: a group of bars for each case, a bar for each strategy.
 func plotRows(dir, what string, rows []row) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Wrap(err, "plot")
 	}
-	for _, p := range pictures[what] {
+	for _, p := range figures[what] {
 		if err := p.draw(filepath.Join(dir, p.file), rows); err != nil {
 			return err
 		}
@@ -44,59 +44,59 @@
 }
 
 const (
-	barWidth  = vg.Length(7)
-	perCase   = 1.5 * vg.Inch
-	pictureH  = 4.5 * vg.Inch
-	extraWide = 2 * vg.Inch
-	// legendRoom is left free on the right, in cases.
+	barWidth     = vg.Length(7)
+	caseWidth    = 1.5 * vg.Inch
+	figureHeight = 4.5 * vg.Inch
+	extraWidth   = 2 * vg.Inch
+	// legendRoom is the space for the legend on the right, in widths of a case.
 	legendRoom = 1.2
 )
 
-// colours are told apart more easily than the library's seven, which repeat.
-var colours = []color.Color{
+// palette has nine distinct colours; the default palette of the library has seven and then repeats.
+var palette = []color.Color{
 	color.RGBA{0x99, 0x99, 0x99, 0xff}, color.RGBA{0x56, 0xb4, 0xe9, 0xff}, color.RGBA{0xd5, 0x5e, 0x00, 0xff},
 	color.RGBA{0xf0, 0xe4, 0x42, 0xff}, color.RGBA{0xcc, 0x79, 0xa7, 0xff}, color.RGBA{0x00, 0x72, 0xb2, 0xff},
 	color.RGBA{0xe6, 0x9f, 0x00, 0xff}, color.RGBA{0x00, 0x9e, 0x73, 0xff}, color.RGBA{0x22, 0x22, 0x22, 0xff},
 }
 
-func (p picture) draw(path string, rows []row) error {
-	var cases, ways []string
+func (p figure) draw(path string, rows []row) error {
+	var cases, strategies []string
 	values := map[string]map[string]float64{}
 	for _, r := range rows {
 		if values[r.Case] == nil {
 			values[r.Case] = map[string]float64{}
 			cases = append(cases, r.Case)
 		}
-		if !contains(ways, r.Way) {
-			ways = append(ways, r.Way)
+		if !contains(strategies, r.Strategy) {
+			strategies = append(strategies, r.Strategy)
 		}
-		values[r.Case][r.Way] = p.value(r)
+		values[r.Case][r.Strategy] = p.value(r)
 	}
 	chart := plot.New()
 	chart.Title.Text = p.title
 	chart.Y.Label.Text = p.label
 	chart.Y.Min = 0
 	chart.Legend.Top = true
-	for i, way := range ways {
+	for i, strategy := range strategies {
 		heights := make(plotter.Values, len(cases))
 		for j, c := range cases {
-			heights[j] = values[c][way]
+			heights[j] = values[c][strategy]
 		}
 		bars, err := plotter.NewBarChart(heights, barWidth)
 		if err != nil {
 			return errors.Wrap(err, "plot")
 		}
-		bars.Color = colours[i%len(colours)]
-		bars.Offset = barWidth * vg.Length(float64(i)-float64(len(ways)-1)/2)
+		bars.Color = palette[i%len(palette)]
+		bars.Offset = barWidth * vg.Length(float64(i)-float64(len(strategies)-1)/2)
 		chart.Add(bars)
-		chart.Legend.Add(way, bars)
+		chart.Legend.Add(strategy, bars)
 	}
 	chart.NominalX(cases...)
 	chart.X.Max = float64(len(cases)) - 1 + legendRoom
-	if p.most > 0 {
-		chart.Y.Max = p.most
+	if p.maxY > 0 {
+		chart.Y.Max = p.maxY
 	}
-	return errors.Wrap(chart.Save(perCase*vg.Length(len(cases))+extraWide, pictureH, path), "plot")
+	return errors.Wrap(chart.Save(caseWidth*vg.Length(len(cases))+extraWidth, figureHeight, path), "plot")
 }
 
 func contains(list []string, value string) bool {
--- a/cmd/measure/reuse.go
+++ b/cmd/measure/reuse.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// reuse follows cache reuse through churn: engines flap, a zone goes, a third of
-// the routers is replaced, chats are many more than the caches hold.
+// reuse measures cache reuse under churn: engines flap, a zone fails, a third of the routers is
+// replaced, and there are many more chats than the caches hold.
 func reuse(o options) []row {
-	// Few enough chats that most requests are of a chat that has been there before.
+	// With so few chats, most requests belong to a chat that has had a request before.
 	returning := today
 	returning.chats, returning.run = 1000, 10*time.Minute
 	calm := returning
@@ -19,16 +19,16 @@
 	crashed := returning
 	crashed.name, crashed.crash = "8x20 a home crashes each 20 s", true
 	many := returning
-	many.name, many.slack = "8x20 caches hold half the chats", 0.5
-	shapes := []shape{calm, flap, zone, replaced, crashed, many}
+	many.name, many.cacheRatio = "8x20 caches hold half the chats", 0.5
+	scenarios := []scenario{calm, flap, zone, replaced, crashed, many}
 	if o.Full {
 		large := future
 		large.name, large.replace = "80x124 third of routers replaced", true
-		shapes = append(shapes, large)
+		scenarios = append(scenarios, large)
 	}
 	var rows []row
-	for _, s := range shapes {
-		rows = append(rows, compare(s, []way{random{}, rendezvous{}, &lateReports{}, newHomesWay(), oracle{}}, o.Seed)...)
+	for _, s := range scenarios {
+		rows = append(rows, compare(s, []strategy{random{}, rendezvous{}, &lateReports{}, newHomesStrategy(), oracle{}}, o.Seed)...)
 	}
 	return rows
 }
--- a/cmd/measure/simulation.go
+++ b/cmd/measure/simulation.go
@@ -13,8 +13,8 @@
 	"valescale/internal/plat/ident"
 )
 
-// shape is a case: how large, how loaded, and what goes wrong.
-type shape struct {
+// scenario is the size and the load of a fleet, and the faults that are injected into it.
+type scenario struct {
 	name     string
 	routers  int
 	engines  int
@@ -22,45 +22,46 @@
 	mean     float64
 	duration time.Duration
 	chats    int
-	// slack is how many times the chats fit in all caches together.
-	slack float64
-	skew  float64
-	run   time.Duration
-	// flap takes an engine away and back, with its cache lost, at this interval.
+	// cacheRatio is the capacity of all caches together as a multiple of the number of chats.
+	cacheRatio float64
+	skew       float64
+	run        time.Duration
+	// flap is the interval at which an engine fails and comes back with an empty cache.
 	flap time.Duration
-	// disagree makes half of the routers miss a router for a while, now and then.
-	disagree bool
-	// surge doubles the arrivals for a while.
+	// viewsDiffer periodically removes a router from the membership view of half of the routers for five
+	// seconds.
+	viewsDiffer bool
+	// surge doubles the arrival rate for a fifth of the run.
 	surge bool
-	// heavy gives one workspace this share of the arrivals.
-	heavy float64
-	// lag is how old engines' reports are.
-	lag time.Duration
-	// zoneLost takes a third of the engines away for good.
+	// heavyShare is the share of the arrivals that belong to a single workspace.
+	heavyShare float64
+	// reportDelay is the age of the engines' reports.
+	reportDelay time.Duration
+	// zoneLost makes a third of the engines fail for the rest of the run.
 	zoneLost bool
-	// replace stops a third of the routers as planned, one after the other, and brings new ones.
+	// replace stops a third of the routers gracefully, one after the other, and starts new ones.
 	replace bool
-	// crash ends a router without notice now and then and brings a new one.
+	// crash makes a router crash every 20 s and starts a new one.
 	crash bool
 }
 
-const warmUp = 0.4
+const warmUpShare = 0.4
 
 var epoch = time.Date(2026, 12, 1, 0, 0, 0, 0, time.UTC)
 
-// world is a run: a clock, engines, chats and one way of choosing.
-type world struct {
-	shape
-	now     time.Time
-	rng     *rand.Rand
-	events  eventHeap
-	seq     int
-	engines []*engine
-	chats   []*chat
-	way     way
-	bound   float64
-	sample  sample
-	zipf    []float64
+// simulation is one run: a clock, engines, chats and one placement strategy.
+type simulation struct {
+	scenario
+	now      time.Time
+	rng      *rand.Rand
+	events   eventHeap
+	seq      int
+	engines  []*engine
+	chats    []*chat
+	strategy strategy
+	bound    float64
+	sample   sample
+	zipf     []float64
 }
 
 type engine struct {
@@ -72,7 +73,7 @@
 	up          bool
 	joined      time.Time
 	running     int
-	// active are the requests that run here.
+	// active holds the requests in flight on this engine.
 	active   map[*request]bool
 	lru      *list.List
 	cached   map[int]*list.Element
@@ -95,29 +96,29 @@
 	end    func()
 }
 
-// way is a way of choosing engines.
-type way interface {
+// strategy is a way of choosing engines.
+type strategy interface {
 	name() string
-	// start is called once the world is there.
-	start(w *world)
-	// choose returns an engine, or nil when there is none.
-	choose(w *world, r *request) *engine
-	// joined and left tell of engines; reports come by themselves.
-	changed(w *world)
-	// evicted tells that an engine dropped a chat's prefix.
-	evicted(w *world, e *engine, c *chat)
-	stats() wayStats
+	// start is called once after the simulation is set up.
+	start(w *simulation)
+	// choose returns an engine, or nil if there is none.
+	choose(w *simulation, r *request) *engine
+	// enginesChanged is called after an engine has failed or come back; reports need no call.
+	enginesChanged(w *simulation)
+	// evicted is called after an engine has evicted a chat's prefix.
+	evicted(w *simulation, e *engine, c *chat)
+	stats() strategyStats
 }
 
-type wayStats struct {
-	asks    float64
-	bytes   float64
-	note    string
-	cpu     time.Duration
-	choices int
+type strategyStats struct {
+	permitRequests float64
+	bytes          float64
+	note           string
+	cpu            time.Duration
+	choices        int
 }
 
-// sample is what a run has shown after its warm-up.
+// sample holds the measurements of a run after its warm-up.
 type sample struct {
 	ratios []float64
 	excess float64
@@ -152,14 +153,14 @@
 
 const workspaceCount = 10
 
-func newWorld(s shape, way way, seed uint64) *world {
-	w := &world{shape: s, now: epoch, rng: rand.New(rand.NewPCG(seed, 7)), way: way, bound: 1.25}
+func newSimulation(s scenario, strategy strategy, seed uint64) *simulation {
+	w := &simulation{scenario: s, now: epoch, rng: rand.New(rand.NewPCG(seed, 7)), strategy: strategy, bound: 1.25}
 	for i := range s.engines {
 		id := ident.Target("engine-" + itoa(i))
 		w.engines = append(w.engines, &engine{
 			index: i, id: id, hash: id.Hash(), zone: ident.Zone("zone-" + itoa(i%3)), incarnation: 1, up: true,
 			active: map[*request]bool{}, lru: list.New(), cached: map[int]*list.Element{},
-			capacity: int(s.slack * float64(s.chats) / float64(s.engines)),
+			capacity: int(s.cacheRatio * float64(s.chats) / float64(s.engines)),
 		})
 	}
 	for i := range s.chats {
@@ -185,32 +186,32 @@
 	return itoa(i/10) + digits[i%10:i%10+1]
 }
 
-func (w *world) after(d time.Duration, run func()) {
+func (w *simulation) schedule(d time.Duration, run func()) {
 	w.seq++
 	heap.Push(&w.events, event{at: w.now.Add(d), seq: w.seq, run: run})
 }
 
-// every runs something at intervals.
-func (w *world) every(d time.Duration, run func()) {
+// schedulePeriodic runs a function at an interval.
+func (w *simulation) schedulePeriodic(d time.Duration, run func()) {
 	var again func()
 	again = func() {
 		run()
-		w.after(d, again)
+		w.schedule(d, again)
 	}
-	w.after(d, again)
+	w.schedule(d, again)
 }
 
-// play runs the world to its end.
-func (w *world) play() {
+// simulate runs the simulation to its end.
+func (w *simulation) simulate() {
 	end := w.now.Add(w.run)
-	w.way.start(w)
-	w.after(0, w.arrive)
-	w.every(100*time.Millisecond, w.report)
+	w.strategy.start(w)
+	w.schedule(0, w.arrive)
+	w.schedulePeriodic(100*time.Millisecond, w.recordReports)
 	if w.flap > 0 {
-		w.every(w.flap, w.flapOne)
+		w.schedulePeriodic(w.flap, w.flapEngine)
 	}
 	if w.zoneLost {
-		w.after(w.run*6/10, w.loseZone)
+		w.schedule(w.run*6/10, w.failZone)
 	}
 	for len(w.events) > 0 {
 		e := heap.Pop(&w.events).(event)
@@ -222,41 +223,41 @@
 	}
 }
 
-func (w *world) progress() float64 { return float64(w.now.Sub(epoch)) / float64(w.run) }
+func (w *simulation) progress() float64 { return float64(w.now.Sub(epoch)) / float64(w.run) }
 
-// rate is arrivals a second now.
-func (w *world) rate() float64 {
-	rate := w.mean * float64(w.shape.engines) / w.duration.Seconds()
+// rate returns the present arrival rate per second.
+func (w *simulation) rate() float64 {
+	rate := w.mean * float64(w.scenario.engines) / w.duration.Seconds()
 	if p := w.progress(); w.surge && p > 0.6 && p < 0.8 {
 		rate *= 2
 	}
 	return rate
 }
 
-func (w *world) arrive() {
-	w.after(time.Duration(w.rng.ExpFloat64()/w.rate()*float64(time.Second)), w.arrive)
+func (w *simulation) arrive() {
+	w.schedule(time.Duration(w.rng.ExpFloat64()/w.rate()*float64(time.Second)), w.arrive)
 	c := w.pickChat()
 	if c == nil {
 		return
 	}
 	r := &request{chat: c, router: w.rng.IntN(w.routers)}
-	e := w.way.choose(w, r)
+	e := w.strategy.choose(w, r)
 	if e == nil {
 		return
 	}
 	c.busy = true
 	r.engine = e
 	e.running++
-	w.note(e, c)
-	// Lognormal with the wanted mean; sigma 0.8 is a long but not wild tail.
+	w.recordAdmission(e, c)
+	// The duration is lognormal with the given mean; sigma 0.8 gives a long tail without extreme values.
 	const sigma = 0.8
 	d := time.Duration(math.Exp(w.rng.NormFloat64()*sigma-sigma*sigma/2) * float64(w.duration))
 	e.active[r] = true
-	w.after(d, func() { w.finish(r) })
+	w.schedule(d, func() { w.finish(r) })
 }
 
-// finish ends a request once: when it is done or its engine is lost.
-func (w *world) finish(r *request) {
+// finish ends a request when it has completed or its engine has failed; a second call does nothing.
+func (w *simulation) finish(r *request) {
 	if !r.engine.active[r] {
 		return
 	}
@@ -269,11 +270,11 @@
 }
 
 // pickChat draws a chat that has no request in flight.
-func (w *world) pickChat() *chat {
+func (w *simulation) pickChat() *chat {
 	for range 50 {
 		x := w.rng.Float64() * w.zipf[len(w.zipf)-1]
 		c := w.chats[sort.SearchFloat64s(w.zipf, x)]
-		if w.heavy > 0 && w.rng.Float64() < w.heavy && c.workspace != 0 {
+		if w.heavyShare > 0 && w.rng.Float64() < w.heavyShare && c.workspace != 0 {
 			c = w.chats[c.id/workspaceCount*workspaceCount]
 		}
 		if !c.busy {
@@ -283,10 +284,10 @@
 	return nil
 }
 
-// note samples one admission.
-func (w *world) note(e *engine, c *chat) {
-	warm := w.touch(e, c)
-	if w.progress() < warmUp {
+// recordAdmission records the load and the cache hit of one admission.
+func (w *simulation) recordAdmission(e *engine, c *chat) {
+	warm := w.usePrefix(e, c)
+	if w.progress() < warmUpShare {
 		return
 	}
 	total, n := 0, 0
@@ -309,8 +310,8 @@
 	}
 }
 
-// touch uses a chat's prefix at an engine and reports whether it was cached.
-func (w *world) touch(e *engine, c *chat) bool {
+// usePrefix marks a chat's prefix as used at an engine and reports whether it was cached.
+func (w *simulation) usePrefix(e *engine, c *chat) bool {
 	if el, ok := e.cached[c.id]; ok {
 		e.lru.MoveToFront(el)
 		return true
@@ -319,17 +320,17 @@
 	if e.lru.Len() > e.capacity {
 		gone := e.lru.Remove(e.lru.Back()).(*chat)
 		delete(e.cached, gone.id)
-		// Cache events come late, and one in ten never.
+		// Cache events arrive late, and one in ten is lost.
 		if w.rng.IntN(10) > 0 {
-			w.after(2*time.Second, func() { w.way.evicted(w, e, gone) })
+			w.schedule(2*time.Second, func() { w.strategy.evicted(w, e, gone) })
 		}
 	}
 	return false
 }
 
-// report records what the engines will be known to have had.
-func (w *world) report() {
-	keep := int(w.lag/(100*time.Millisecond)) + 1
+// recordReports records the load of each engine, to be reported after reportDelay.
+func (w *simulation) recordReports() {
+	keep := int(w.reportDelay/(100*time.Millisecond)) + 1
 	for _, e := range w.engines {
 		e.history = append(e.history, e.running)
 		if len(e.history) > keep {
@@ -338,60 +339,60 @@
 	}
 }
 
-// reported is an engine's load as its latest report has it.
-func (e *engine) reported() int {
+// reportedLoad returns the load in the engine's latest report.
+func (e *engine) reportedLoad() int {
 	if len(e.history) == 0 {
 		return 0
 	}
 	return e.history[0]
 }
 
-// flapOne takes an engine away and brings it back with an empty cache.
-func (w *world) flapOne() {
+// flapEngine makes an engine fail and come back with an empty cache.
+func (w *simulation) flapEngine() {
 	e := w.engines[w.rng.IntN(len(w.engines))]
 	if !e.up {
 		return
 	}
-	w.lose(e)
-	w.after(5*time.Second, func() {
+	w.failEngine(e)
+	w.schedule(5*time.Second, func() {
 		e.up = true
 		e.joined = w.now
-		w.way.changed(w)
+		w.strategy.enginesChanged(w)
 	})
 }
 
-// inOrder lists what runs on an engine: the order in which a map is walked must not
-// change the figures.
-func (e *engine) inOrder() []*request {
+// sortedRequests returns the requests on an engine in a fixed order, so that the random iteration
+// order of maps does not change the figures.
+func (e *engine) sortedRequests() []*request {
 	return slices.SortedFunc(maps.Keys(e.active), func(a, b *request) int { return a.chat.id - b.chat.id })
 }
 
-func (w *world) lose(e *engine) {
+func (w *simulation) failEngine(e *engine) {
 	e.up = false
 	e.incarnation++
-	for _, r := range e.inOrder() {
+	for _, r := range e.sortedRequests() {
 		w.finish(r)
 	}
 	e.lru.Init()
 	clear(e.cached)
-	w.way.changed(w)
+	w.strategy.enginesChanged(w)
 }
 
-// loseZone takes the engines of one zone away.
-func (w *world) loseZone() {
+// failZone makes the engines of one zone fail.
+func (w *simulation) failZone() {
 	for _, e := range w.engines {
 		if e.zone == "zone-0" {
-			w.lose(e)
+			w.failEngine(e)
 		}
 	}
 }
 
-// result turns a run into a row.
-func (w *world) result() row {
-	st := w.way.stats()
-	r := row{Case: w.shape.name, Way: w.way.name(), Routers: w.routers, Engines: w.shape.engines, Note: st.note}
+// result returns the figures of a run as a row.
+func (w *simulation) result() row {
+	st := w.strategy.stats()
+	r := row{Case: w.scenario.name, Strategy: w.strategy.name(), Routers: w.routers, Engines: w.scenario.engines, Note: st.note}
 	r.MaxExcess = w.sample.excess
-	r.AsksPerCall = st.asks
+	r.AsksPerRequest = st.permitRequests
 	r.ControlBytes = st.bytes / w.run.Seconds() / float64(w.routers)
 	if st.choices > 0 {
 		r.CPUMicros = float64(st.cpu.Microseconds()) / float64(st.choices)
--- a/cmd/measure/skew.go
+++ b/cmd/measure/skew.go
@@ -2,61 +2,61 @@
 
 import "time"
 
-// today and future are the two sizes of the brief and the letter: the fleet of
-// each user now, and one of five pools in one of five regions in two years.
+// today and future are the two fleet sizes: the fleet of one user at present, and the fleet of one of
+// five pools in one of five regions in two years.
 var (
-	today = shape{
-		routers: 8, engines: 20, shards: 2, mean: 10, duration: 14 * time.Second, chats: 4000, slack: 1.7, skew: 0.9,
-		run: 4 * time.Minute, lag: time.Second,
+	today = scenario{
+		routers: 8, engines: 20, shards: 2, mean: 10, duration: 14 * time.Second, chats: 4000, cacheRatio: 1.7, skew: 0.9,
+		run: 4 * time.Minute, reportDelay: time.Second,
 	}
-	future = shape{
-		routers: 80, engines: 124, shards: 16, mean: 13.5, duration: 14 * time.Second, chats: 40_000, slack: 1.7, skew: 0.9,
-		run: 4 * time.Minute, lag: time.Second,
+	future = scenario{
+		routers: 80, engines: 124, shards: 16, mean: 13.5, duration: 14 * time.Second, chats: 40_000, cacheRatio: 1.7, skew: 0.9,
+		run: 4 * time.Minute, reportDelay: time.Second,
 	}
 )
 
-// cases are what each size goes through.
-func cases(base shape, prefix string) []shape {
+// cases returns the scenarios that are run for each size.
+func cases(base scenario, prefix string) []scenario {
 	calm := base
 	calm.name = prefix + " calm"
 	flap := base
 	flap.name, flap.flap = prefix+" flapping", 20*time.Second
 	views := base
-	views.name, views.disagree = prefix+" views differ", true
+	views.name, views.viewsDiffer = prefix+" views differ", true
 	surge := base
-	surge.name, surge.surge, surge.heavy = prefix+" surge", true, 0.8
+	surge.name, surge.surge, surge.heavyShare = prefix+" surge", true, 0.8
 	all := base
-	all.name, all.flap, all.disagree, all.surge, all.heavy = prefix+" all at once", 20*time.Second, true, true, 0.8
-	return []shape{calm, flap, views, surge, all}
+	all.name, all.flap, all.viewsDiffer, all.surge, all.heavyShare = prefix+" all at once", 20*time.Second, true, true, 0.8
+	return []scenario{calm, flap, views, surge, all}
 }
 
-func everyWay() []way {
-	return []way{
-		random{}, &roundRobin{}, leastReported{}, twoChoices{}, rendezvous{}, &localShare{}, &lateReports{}, newHomesWay(), oracle{},
+func allStrategies() []strategy {
+	return []strategy{
+		random{}, &roundRobin{}, leastReported{}, twoChoices{}, rendezvous{}, &localShare{}, &lateReports{}, newHomesStrategy(), oracle{},
 	}
 }
 
 func skew(o options) []row {
-	shapes := cases(today, "8x20")
+	scenarios := cases(today, "8x20")
 	if o.Full {
-		shapes = append(shapes, cases(future, "80x124")...)
+		scenarios = append(scenarios, cases(future, "80x124")...)
 	}
 	var rows []row
-	for _, s := range shapes {
-		rows = append(rows, compare(s, everyWay(), o.Seed)...)
+	for _, s := range scenarios {
+		rows = append(rows, compare(s, allStrategies(), o.Seed)...)
 	}
 	return rows
 }
 
-// compare runs each way through the same arrivals.
-func compare(s shape, ways []way, seed uint64) []row {
+// compare runs each strategy with the same arrivals.
+func compare(s scenario, strategies []strategy, seed uint64) []row {
 	var rows []row
 	best := 0.0
-	for _, way := range ways {
-		w := newWorld(s, way, seed)
-		w.play()
+	for _, strategy := range strategies {
+		w := newSimulation(s, strategy, seed)
+		w.simulate()
 		r := w.result()
-		if r.Way == "oracle" {
+		if r.Strategy == "oracle" {
 			best = r.Reuse
 		}
 		rows = append(rows, r)
--- a/cmd/measure/strategies.go
+++ b/cmd/measure/strategies.go
@@ -4,14 +4,14 @@
 	"valescale/internal/plat/ident"
 )
 
-// plain is what the simple ways have in common.
-type plain struct{}
-
-func (plain) start(*world)                   {}
-func (plain) changed(*world)                 {}
-func (plain) evicted(*world, *engine, *chat) {}
-func (plain) stats() wayStats                { return wayStats{} }
-func upEngines(w *world) (out []*engine) {
+// baseStrategy has the methods that the simple strategies share.
+type baseStrategy struct{}
+
+func (baseStrategy) start(*simulation)                   {}
+func (baseStrategy) enginesChanged(*simulation)          {}
+func (baseStrategy) evicted(*simulation, *engine, *chat) {}
+func (baseStrategy) stats() strategyStats                { return strategyStats{} }
+func upEngines(w *simulation) (out []*engine) {
 	for _, e := range w.engines {
 		if e.up {
 			out = append(out, e)
@@ -20,21 +20,21 @@
 	return out
 }
 
-type random struct{ plain }
+type random struct{ baseStrategy }
 
 func (random) name() string { return "random" }
-func (random) choose(w *world, _ *request) *engine {
+func (random) choose(w *simulation, _ *request) *engine {
 	up := upEngines(w)
 	return up[w.rng.IntN(len(up))]
 }
 
 type roundRobin struct {
-	plain
+	baseStrategy
 	next []int
 }
 
 func (*roundRobin) name() string { return "round robin" }
-func (b *roundRobin) choose(w *world, r *request) *engine {
+func (b *roundRobin) choose(w *simulation, r *request) *engine {
 	if b.next == nil {
 		b.next = make([]int, w.routers)
 		for i := range b.next {
@@ -46,36 +46,36 @@
 	return up[b.next[r.router]%len(up)]
 }
 
-type leastReported struct{ plain }
+type leastReported struct{ baseStrategy }
 
 func (leastReported) name() string { return "least reported" }
-func (leastReported) choose(w *world, _ *request) *engine {
+func (leastReported) choose(w *simulation, _ *request) *engine {
 	up := upEngines(w)
 	best := up[0]
 	for _, e := range up[1:] {
-		if e.reported() < best.reported() {
+		if e.reportedLoad() < best.reportedLoad() {
 			best = e
 		}
 	}
 	return best
 }
 
-type twoChoices struct{ plain }
+type twoChoices struct{ baseStrategy }
 
 func (twoChoices) name() string { return "two choices" }
-func (twoChoices) choose(w *world, _ *request) *engine {
+func (twoChoices) choose(w *simulation, _ *request) *engine {
 	up := upEngines(w)
 	a, b := up[w.rng.IntN(len(up))], up[w.rng.IntN(len(up))]
-	if b.reported() < a.reported() {
+	if b.reportedLoad() < a.reportedLoad() {
 		return b
 	}
 	return a
 }
 
-type rendezvous struct{ plain }
+type rendezvous struct{ baseStrategy }
 
 func (rendezvous) name() string { return "rendezvous" }
-func (rendezvous) choose(w *world, r *request) *engine {
+func (rendezvous) choose(w *simulation, r *request) *engine {
 	var best *engine
 	var score uint64
 	for _, e := range w.engines {
@@ -86,36 +86,37 @@
 	return best
 }
 
-// localShare is way A: each router keeps its own load under its own bound.
+// localShare is strategy A: each router bounds the load of its own requests only.
 type localShare struct {
-	plain
-	own [][]int
+	baseStrategy
+	ownLoad [][]int
 }
 
 func (*localShare) name() string { return "A local share" }
-func (b *localShare) choose(w *world, r *request) *engine {
-	if b.own == nil {
-		b.own = make([][]int, w.routers)
-		for i := range b.own {
-			b.own[i] = make([]int, len(w.engines))
+func (b *localShare) choose(w *simulation, r *request) *engine {
+	if b.ownLoad == nil {
+		b.ownLoad = make([][]int, w.routers)
+		for i := range b.ownLoad {
+			b.ownLoad[i] = make([]int, len(w.engines))
 		}
 	}
-	own := b.own[r.router]
+	ownLoad := b.ownLoad[r.router]
 	total, n := 0, 0
 	for i, e := range w.engines {
 		if e.up {
-			total += own[i]
+			total += ownLoad[i]
 			n++
 		}
 	}
-	e := bounded(w, r, w.bound*float64(total+1)/float64(n), func(e *engine) float64 { return float64(own[e.index]) })
-	own[e.index]++
-	r.end = func() { own[e.index]-- }
+	e := boundedChoice(w, r, w.bound*float64(total+1)/float64(n), func(e *engine) float64 { return float64(ownLoad[e.index]) })
+	ownLoad[e.index]++
+	r.end = func() { ownLoad[e.index]-- }
 	return e
 }
 
-// bounded is the first engine in the chat's order below a limit, or the least loaded.
-func bounded(w *world, r *request, limit float64, load func(*engine) float64) *engine {
+// boundedChoice returns the first engine in the chat's rendezvous order with a load below the limit,
+// or else the least loaded.
+func boundedChoice(w *simulation, r *request, limit float64, load func(*engine) float64) *engine {
 	var best, least *engine
 	var score uint64
 	for _, e := range w.engines {
@@ -135,23 +136,24 @@
 	return best
 }
 
-// lateReports is way B: late reports corrected by the router's own sends and ends since.
+// lateReports is strategy B: delayed reports, corrected by the requests that the router itself has
+// started and finished since.
 type lateReports struct {
-	plain
-	since [][]int
+	baseStrategy
+	unreported [][]int
 }
 
 func (*lateReports) name() string { return "B late reports" }
-func (b *lateReports) start(w *world) {
-	b.since = make([][]int, w.routers)
-	for i := range b.since {
-		b.since[i] = make([]int, len(w.engines))
+func (b *lateReports) start(w *simulation) {
+	b.unreported = make([][]int, w.routers)
+	for i := range b.unreported {
+		b.unreported[i] = make([]int, len(w.engines))
 	}
 }
 
-func (b *lateReports) choose(w *world, r *request) *engine {
-	since := b.since[r.router]
-	load := func(e *engine) float64 { return float64(max(e.reported()+since[e.index], 0)) }
+func (b *lateReports) choose(w *simulation, r *request) *engine {
+	unreported := b.unreported[r.router]
+	load := func(e *engine) float64 { return float64(max(e.reportedLoad()+unreported[e.index], 0)) }
 	total, n := 0.0, 0
 	for _, e := range w.engines {
 		if e.up {
@@ -159,23 +161,23 @@
 			n++
 		}
 	}
-	e := bounded(w, r, w.bound*(total+1)/float64(n), load)
+	e := boundedChoice(w, r, w.bound*(total+1)/float64(n), load)
 	b.correct(w, r.router, e, 1)
 	r.end = func() { b.correct(w, r.router, e, -1) }
 	return e
 }
 
-// correct counts a change until reports contain it.
-func (b *lateReports) correct(w *world, router int, e *engine, by int) {
-	b.since[router][e.index] += by
-	w.after(w.lag, func() { b.since[router][e.index] -= by })
+// correct counts a change of load until the reports include it.
+func (b *lateReports) correct(w *simulation, router int, e *engine, by int) {
+	b.unreported[router][e.index] += by
+	w.schedule(w.reportDelay, func() { b.unreported[router][e.index] -= by })
 }
 
-// oracle sees every load and every cache and keeps the same bound.
-type oracle struct{ plain }
+// oracle has the exact load and cache content of every engine, and applies the same bound.
+type oracle struct{ baseStrategy }
 
 func (oracle) name() string { return "oracle" }
-func (oracle) choose(w *world, r *request) *engine {
+func (oracle) choose(w *simulation, r *request) *engine {
 	total, n := 0, 0
 	for _, e := range w.engines {
 		if e.up {
@@ -192,8 +194,9 @@
 		if _, ok := e.cached[r.chat.id]; ok && (warm == nil || e.running < warm.running) {
 			warm = e
 		}
-		// A cold chat goes where the least is lost: free cache first, then the least loaded.
-		if cold == nil || colder(e, cold) {
+		// A cold chat is placed where it evicts the least: on engines with free cache first, then on the
+		// least loaded.
+		if cold == nil || prefersCold(e, cold) {
 			cold = e
 		}
 	}
@@ -203,7 +206,7 @@
 	return cold
 }
 
-func colder(a, b *engine) bool {
+func prefersCold(a, b *engine) bool {
 	freeA, freeB := a.capacity > a.lru.Len(), b.capacity > b.lru.Len()
 	if freeA != freeB {
 		return freeA
