--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -303,16 +303,16 @@
 }
 
 func (h *homesStrategy) stats() strategyStats {
-	var permitRequests, must, fallback uint64
+	var requested, must, fallback uint64
 	for _, n := range h.nodes {
 		s := n.router.Stats()
-		permitRequests += s.Asked
+		requested += s.Asked
 		must += s.Must
 		fallback += s.Fallback
 	}
 	return strategyStats{
-		permitRequests: float64(permitRequests) / float64(max(h.choices, 1)), bytes: h.bytes, choices: h.choices,
-		note: "must " + percent(must, permitRequests) + ", alone " + percent(fallback, uint64(h.choices)),
+		permitRequests: float64(requested) / float64(max(h.choices, 1)), bytes: h.bytes, choices: h.choices,
+		note: "must " + percent(must, requested) + ", alone " + percent(fallback, uint64(h.choices)),
 	}
 }
 
--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -57,7 +57,7 @@
 	state   string
 	faults  *fake.Faults
 	server  *http.Server
-	handler *targetHandler
+	handler *handler
 }
 
 // Services and path prefixes of the configuration.
@@ -120,7 +120,7 @@
 	if i%2 == 1 {
 		t.service = engineService
 	}
-	handler := w.newTargetHandler(t, uint64(i))
+	handler := w.newHandler(t, uint64(i))
 	faults, server, err := w.serve(&fake.Target{ID: t.id, Work: handler.serve})
 	if err != nil {
 		return err
--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -220,7 +220,7 @@
 	client := &http.Client{Timeout: time.Second}
 	deadline := time.Now().Add(timeout)
 	for _, r := range w.routers {
-		for !isReady(client, r) {
+		for !ready(client, r) {
 			if time.Now().After(deadline) {
 				return false
 			}
@@ -230,7 +230,7 @@
 	return true
 }
 
-func isReady(client *http.Client, r *router) bool {
+func ready(client *http.Client, r *router) bool {
 	resp, err := client.Get("http://" + r.ready + fake.ReadyPath)
 	if err != nil {
 		return false
--- a/cmd/soak/target.go
+++ b/cmd/soak/target.go
@@ -13,8 +13,8 @@
 	"valescale/platform/fake"
 )
 
-// targetHandler serves the requests of one target and injects faults into some of its responses.
-type targetHandler struct {
+// handler serves the requests of one target and injects faults into some of its responses.
+type handler struct {
 	target *target
 	ledger *ledger
 	mu     sync.Mutex
@@ -30,14 +30,14 @@
 }
 
 // receivedCount returns the number of requests so far.
-func (k *targetHandler) receivedCount() int {
+func (k *handler) receivedCount() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	return k.received
 }
 
-func (w *harness) newTargetHandler(t *target, n uint64) *targetHandler {
-	return &targetHandler{target: t, ledger: w.ledger, rng: rand.New(rand.NewPCG(w.Seed, n))}
+func (w *harness) newHandler(t *target, n uint64) *handler {
+	return &handler{target: t, ledger: w.ledger, rng: rand.New(rand.NewPCG(w.Seed, n))}
 }
 
 // Shares of requests with an injected fault, in percent.
@@ -55,14 +55,14 @@
 const eventInterval = 10 * time.Millisecond
 
 // countAndDraw counts a request and returns the random number that selects its fault.
-func (k *targetHandler) countAndDraw() int {
+func (k *handler) countAndDraw() int {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.received++
 	return k.rng.IntN(100)
 }
 
-func (k *targetHandler) serve(w http.ResponseWriter, r *http.Request) {
+func (k *handler) serve(w http.ResponseWriter, r *http.Request) {
 	id := r.Header.Get(fake.HeaderID)
 	body, err := io.ReadAll(r.Body)
 	if err != nil {
@@ -108,30 +108,30 @@
 )
 
 // startLeaving makes the target report that it is leaving.
-func (k *targetHandler) startLeaving() {
+func (k *handler) startLeaving() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leavingSince = time.Now()
 }
 
 // startBackoff makes the target reject all requests for backoffDuration.
-func (k *targetHandler) startBackoff() {
+func (k *handler) startBackoff() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.backoffUntil = time.Now().Add(backoffDuration)
 }
 
 // reset clears what the target reports of itself, as after a start.
-func (k *targetHandler) reset() {
+func (k *handler) reset() {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	k.leavingSince, k.backoffUntil = time.Time{}, time.Time{}
 }
 
 // writeStatus writes the target's status to the response headers and counts a request that arrives
-// although an earlier response reported that the target accepts none. It reports whether the request is to be
-// rejected.
-func (k *targetHandler) writeStatus(w http.ResponseWriter) bool {
+// although an earlier response reported that the target accepts none. It reports whether the
+// request is to be rejected.
+func (k *handler) writeStatus(w http.ResponseWriter) bool {
 	k.mu.Lock()
 	defer k.mu.Unlock()
 	now := time.Now()
@@ -168,7 +168,7 @@
 }
 
 // serveStream sends the events of a stream and aborts some streams midway.
-func (k *targetHandler) serveStream(w http.ResponseWriter, r *http.Request, id string) {
+func (k *handler) serveStream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from := 1
 	if after, err := strconv.Atoi(r.Header.Get(fake.HeaderAfter)); err == nil {
