--- /dev/null
+++ b/cmd/soak/harness.go
@@ -0,0 +1,195 @@
+package main
+
+import (
+	"fmt"
+	"math/rand/v2"
+	"net"
+	"net/http"
+	"os"
+	"path/filepath"
+	"sync"
+	"time"
+
+	"github.com/pkg/errors"
+
+	"valescale/platform/fake"
+)
+
+// harness holds the store, the targets, the routers and the callers of one run.
+type harness struct {
+	options
+	rng         *rand.Rand
+	store       *fake.Store
+	storeFaults *fake.Faults
+	routers     []*router
+	targets     []*target
+	ledger      *ledger
+	// version is the version of the latest configuration, extraID the number of the route that only it
+	// has.
+	version int
+	extraID int
+	// prober sends requests that show which configuration is in force.
+	prober *caller
+	// rollbacks is the number of times the store was restored from an older snapshot.
+	rollbacks int
+	// snapshots are snapshots of the store, the oldest first.
+	snapshots []fake.Copy
+	stop      chan struct{}
+	callers   sync.WaitGroup
+	servers   []*http.Server
+}
+
+// router is the name and the addresses of one router.
+type router struct {
+	name    string
+	callers string
+	ready   string
+}
+
+// target is a fake target behind connections with fault injection.
+type target struct {
+	id      string
+	service string
+	addr    string
+	// startedMs is the time of the target's last start, in Unix milliseconds.
+	startedMs int64
+	// state is the state that it announced last, empty after its row was removed.
+	state   string
+	faults  *fake.Faults
+	server  *http.Server
+	handler *handler
+}
+
+// Services and path prefixes of the configuration.
+const (
+	plainService  = "plain"
+	engineService = "engine"
+	oncePath      = "/once/"
+	safePath      = "/safe/"
+	streamPath    = "/stream/"
+	resumePath    = "/resume/"
+	extraPath     = "/extra/"
+	// fatalPath is the path of requests that crash each target which executes them. Their bodies are
+	// equal, so that all attempts count as the same request.
+	fatalPath = "/safe/fatal"
+	fatalBody = "fatal"
+)
+
+func newHarness(o options) (*harness, func(), error) {
+	w := &harness{
+		options: o, rng: rand.New(rand.NewPCG(o.Seed, o.Seed)), store: fake.NewStore(), ledger: newLedger(), stop: make(chan struct{}),
+	}
+	w.prober = w.newCaller(o.Callers + 1)
+	var err error
+	if w.storeFaults, _, err = w.serve(w.store); err != nil {
+		return nil, nil, err
+	}
+	for i := range 2 * o.Targets {
+		if err := w.addTarget(i); err != nil {
+			return nil, nil, err
+		}
+	}
+	w.writeNextConfig()
+	if err := w.writeSettings(); err != nil {
+		return nil, nil, err
+	}
+	return w, w.close, nil
+}
+
+func (w *harness) close() {
+	for _, s := range w.servers {
+		_ = s.Close()
+	}
+}
+
+// serve serves on a port chosen by the kernel, behind connections with fault injection.
+func (w *harness) serve(h http.Handler) (*fake.Faults, *http.Server, error) {
+	l, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, nil, errors.WithStack(err)
+	}
+	faults := fake.NewFaults(l)
+	server := &http.Server{Handler: h, ReadHeaderTimeout: time.Minute}
+	w.servers = append(w.servers, server)
+	go func() { _ = server.Serve(faults) }()
+	return faults, server, nil
+}
+
+func (w *harness) addTarget(i int) error {
+	t := &target{id: fmt.Sprintf("i-%d", i), service: plainService}
+	if i%2 == 1 {
+		t.service = engineService
+	}
+	handler := w.newHandler(t, uint64(i))
+	faults, server, err := w.serve(&fake.Target{ID: t.id, Work: handler.serve})
+	if err != nil {
+		return err
+	}
+	handler.crash = func() { w.crash(t) }
+	t.handler = handler
+	t.server = server
+	t.faults, t.addr, t.startedMs = faults, faults.Addr().String(), time.Now().UnixMilli()
+	w.targets = append(w.targets, t)
+	w.announce(t, "ready")
+	return nil
+}
+
+// restartDelay is the time until a target crashed by a fatal request starts again.
+const restartDelay = 2 * time.Second
+
+// crash closes a target with all its connections and starts it again after restartDelay. Its
+// heartbeats in the store go on meanwhile, since a crashed target's row expires only later.
+func (w *harness) crash(t *target) {
+	// The restarted target listens on a new socket. A target that is closed already has crashed
+	// before, so the error is ignored.
+	_ = t.server.Close()
+	time.AfterFunc(restartDelay, func() {
+		l, err := net.Listen("tcp", t.addr)
+		if err != nil {
+			w.ledger.addViolation("cannot restart target %s: %v", t.id, err)
+			return
+		}
+		server := &http.Server{Handler: t.server.Handler, ReadHeaderTimeout: time.Minute}
+		t.server = server
+		go func() { _ = server.Serve(t.faults.Again(l)) }()
+	})
+}
+
+func (w *harness) announce(t *target, state string) {
+	t.state = state
+	fake.Announce(w.store, fake.Announcement{
+		ID: t.id, Service: t.service, Addr: t.addr, Zone: "a", State: state, Slots: 16, Born: t.startedMs,
+	})
+}
+
+func (w *harness) extraPrefix(n int) string { return fmt.Sprint(extraPath, n, "/") }
+
+// writeSettings finds free ports for the routers and writes a settings file for each.
+func (w *harness) writeSettings() error {
+	var ports []string
+	for range 3 * w.Routers {
+		l, err := net.Listen("tcp", "127.0.0.1:0")
+		if err != nil {
+			return errors.WithStack(err)
+		}
+		ports = append(ports, l.Addr().String())
+		// After Close the port stays free until the router listens on it, unless the machine is
+		// overloaded.
+		defer func() { _ = l.Close() }()
+	}
+	seeds := []string{ports[2], ports[5]}
+	for i := range w.Routers {
+		own := ports[3*i : 3*i+3]
+		r := &router{name: fmt.Sprint("r", i), callers: own[0], ready: own[1]}
+		zone := string(rune('a' + i%2))
+		text := fake.Settings(r.name, zone, own[0], own[1], own[2], w.storeFaults.Addr().String(), seeds)
+		if err := os.WriteFile(filepath.Join(w.Dir, r.name+".conf"), []byte(text), 0o600); err != nil {
+			return errors.WithStack(err)
+		}
+		w.routers = append(w.routers, r)
+	}
+	return nil
+}
+
+// printOrder prints an order for bench/soak to carry out on a router's process.
+func printOrder(verb string, r *router) { fmt.Println(verb, r.name) }
