--- a/Makefile
+++ b/Makefile
@@ -16,7 +16,7 @@
 spec:
 	bash spec/check
 
-# Needs protoc; the generated code is committed, so a build does not.
+# Requires protoc. The generated code is committed, so that a build does not need it.
 generate:
 	mkdir -p .bin
 	GOBIN=$(CURDIR)/.bin go install google.golang.org/protobuf/cmd/protoc-gen-go connectrpc.com/connect/cmd/protoc-gen-connect-go
@@ -25,16 +25,16 @@
 demo:
 	go run ./cmd/demo
 
-# Walks 120,000 random schedules over claims, configuration and leases; takes minutes.
+# Runs 120,000 random schedules of claims, configuration and leases; takes minutes.
 schedules:
 	SCHEDULES=40000 go test -timeout 30m -run Schedules -v ./internal/share/...
 
-# The pages that are made from the program itself.
+# Generates the reference pages from the program.
 docs: build
 	{ printf '# Settings of `valescale serve`\n\nMade by `make docs` from the options in `internal/oper/conf/options.go`.\n'; ./valescale settings | head -c -1; } > docs/SETTINGS.md
 	./valescale man > docs/valescale.1
 
-# The tables and pictures that docs/MEASUREMENTS.md shows; takes some minutes.
+# Generates the tables and charts of docs/MEASUREMENTS.md; takes several minutes.
 figures:
 	mkdir -p docs/figures
 	go build -o .bin/measure ./cmd/measure
@@ -42,7 +42,7 @@
 		.bin/measure --full --plot docs/figures $$what > docs/figures/$$what.md || exit 1; \
 	done
 
-# Each parser's fuzz target for a while.
+# Runs the fuzz target of each parser for 30 s.
 fuzz:
 	go test -run xxx -fuzz '^FuzzEvents$$' -fuzztime 30s ./internal/edge/relay
 	go test -run xxx -fuzz '^FuzzOpen$$' -fuzztime 30s ./internal/edge/relay
@@ -55,6 +55,6 @@
 	go test -run xxx -fuzz '^FuzzSettings$$' -fuzztime 30s ./platform
 	go test -run xxx -fuzz '^FuzzHeaders$$' -fuzztime 30s ./platform
 
-# Random faults against routers as processes of their own, fifty seeds.
+# Runs the fault soak against separate router processes with 50 seeds.
 soak:
 	bench/soak $$(seq 1 50)
