--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -1,12 +1,12 @@
-/* At most once over a table service (internal/share/claim).
+/* At-most-once execution by claims in a table service (internal/share/claim).
  *
- * Two routers get requests with the same key. The store's answers may be lost
- * after the write took effect; a router may crash or pause between any two steps
- * (a pause is the other router's steps coming between). The target may lose its
- * answer after it ran the request.
+ * Two routers receive requests with the same key. A response of the store may be
+ * lost after the write took effect. A router may crash or pause between any two
+ * steps; a pause is modelled by interleaved steps of the other router. The
+ * target's answer may be lost after the target ran the request.
  *
- * Must hold: the request runs at most once; a caller that is told "not run" is
- * right, then and later.
+ * Invariants: the request runs at most once; an attempt whose caller received "not
+ * run" has not run and does not run later.
  *
  * Mutants: TAKEOVER, RESEND, NO_CHECK, RELEASE_SENT. */
 
@@ -16,12 +16,12 @@
 mtype = { none, sent, done, released };
 mtype = { unsaid, not_run, unknown, finished };
 
-mtype state = none;     /* the claim's row */
-byte owner = 0;         /* attempt that wrote it */
+mtype state = none;     /* of the claim's row */
+byte owner = 0;         /* attempt that wrote the row */
 byte version = 0;
 byte runs = 0;
 byte attempts = 0;
-bool ran[8];            /* by attempt */
+bool ran[8];            /* indexed by attempt */
 
 inline commit(ok, lost, mine, seen, want) {
   atomic {
@@ -62,10 +62,10 @@
   :: else
   fi;
   if
-  :: told = not_run; goto tell           /* gives up: nothing was sent, and nothing will be */
+  :: told = not_run; goto tell           /* abort: nothing was sent or will be */
   :: skip
   fi;
-  /* the answer was lost, or somebody is there: read the row back */
+  /* the response was lost or another attempt holds the claim: read the row */
   atomic { row = state; rowOwner = owner; seen = version };
   if
   :: rowOwner == mine && row == sent -> held = true
@@ -75,7 +75,7 @@
   :: row == sent && rowOwner != mine ->
 #ifdef TAKEOVER
      if
-     :: held = true                     /* it seems to have lapsed */
+     :: held = true                     /* assumes that the other claim has expired */
      :: told = unknown; goto tell
      fi
 #else
@@ -85,17 +85,17 @@
 
 holding:
   if
-  :: goto end                            /* crash: the claim stays sent */
+  :: goto end                            /* crash: the row stays in state sent */
   :: skip                                /* send */
-  :: told = not_run; goto release        /* could not reach the target */
+  :: told = not_run; goto release        /* the target is unreachable */
   fi;
 
 send:
   atomic { runs++; ran[mine] = true };
   if
-  :: skip                                /* answered */
+  :: skip                                /* the target answered */
      commit(ok, lost, mine, seen, done); told = finished
-  :: told = unknown                      /* the answer is lost */
+  :: told = unknown                      /* the answer was lost */
 #ifdef RESEND
   :: goto send
 #endif
@@ -112,7 +112,7 @@
 tell:
   assert(told != not_run || !ran[mine]);
   if
-  :: goto again                          /* the caller asks once more */
+  :: goto again                          /* the caller retries */
   :: skip
   fi;
 end:
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -1,13 +1,15 @@
-/* Recorded, spread and accepted configuration (internal/share/config, peer).
+/* Recording, distribution and acceptance of configuration (internal/share/config,
+ * peer).
  *
- * Two operators race to record changes through the store's compare-and-set on the
- * head, with answers that may be lost. Three routers install what they hear of
- * from the store, which may answer reads with an older revision or not at all, and
- * from each other. A router may be replaced by a diskless one at any time; it gets
- * ready from the store, or from a ready router that has heard of it first.
+ * Two operators race to record changes by compare-and-set on the head in the
+ * store; responses may be lost. Three routers install revisions that they receive
+ * from the store, which may return an older revision or not respond, and from
+ * each other. A router may be replaced at any time by one without local state; it
+ * becomes ready from the store, or from a ready router whose membership view
+ * already includes it.
  *
- * Must hold: an accepted revision is in force on every ready router, and nothing
- * lower ever is again; each revision is recorded once.
+ * Invariants: an accepted revision is in force on every ready router, and no lower
+ * revision is in force there afterwards; each revision is recorded once.
  *
  * Mutants: LOWER, NO_CAS, READY_EMPTY, ACCEPT_EARLY, UNANNOUNCED. */
 
@@ -16,12 +18,12 @@
 #define REVISIONS 2
 #define RESTARTS 1
 
-byte head = 0;                 /* the store's */
-byte recordedBy[4];            /* how many changes were recorded under a revision */
+byte head = 0;                 /* revision in the store */
+byte recordedBy[4];            /* number of changes recorded per revision */
 byte accepted = 0;
 byte inForce[ROUTERS];
 bool ready[ROUTERS];
-bool known[ROUTERS];           /* on the list that acceptance waits for */
+bool known[ROUTERS];           /* acceptance waits for this router */
 byte restarts = 0;
 
 #define HOLDS(i) (!ready[i] || inForce[i] >= accepted)
@@ -54,7 +56,7 @@
      fi
   :: head >= REVISIONS -> break
   od;
-  /* wait until every router that is known has it, then call it accepted */
+  /* the revision is accepted once it is in force on every known router */
   if
   :: mine > 0 ->
 #ifdef ACCEPT_EARLY
@@ -76,7 +78,7 @@
 proctype Router(byte me) {
   byte heard, from;
   do
-  :: /* poll the store: a read may be old */
+  :: /* poll the store: a read may be stale */
      atomic {
        if
        :: heard = head
@@ -95,7 +97,7 @@
 #endif
        checkAll()
      }
-  :: /* hear from a peer */
+  :: /* receive from a peer */
      from = (me + 1) % ROUTERS;
      atomic {
        heard = inForce[from];
@@ -106,13 +108,13 @@
        checkAll()
      }
   :: restarts < RESTARTS && ready[me] ->
-     /* the box is replaced: nothing is left, and it is not known any more */
+     /* the box is replaced: its state is lost and it is no longer known */
      atomic { restarts++; ready[me] = false; known[me] = false; inForce[me] = 0 };
      from = (me + 2) % ROUTERS;
      if
-     :: /* from the store, whose transaction shows the true head */
+     :: /* from the store, whose transaction returns the current head */
         atomic { known[me] = true; inForce[me] = head; ready[me] = true; checkAll() }
-     :: /* the store is down: announce, then copy from a ready router */
+     :: /* the store is down: announce itself, then copy from a ready router */
 #ifndef UNANNOUNCED
         known[me] = true;
 #endif
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -1,12 +1,14 @@
 /* Leases with epochs, and orders to targets (internal/share/lease).
  *
- * Two holders. A lease may lapse at any moment as far as the other can tell: that
- * is what a paused holder looks like. The paused holder wakes and still sends
- * orders under its epoch, late. Answers of the store may be lost after the write.
+ * There are two holders. To the other holder, a lease may appear expired at any
+ * moment, because a paused holder does not renew it. A paused holder resumes and
+ * still sends late orders under its epoch. A response of the store may be lost
+ * after the write took effect.
  *
- * Must hold: a target that checks never follows an order of an older epoch after
- * one of a later epoch; two holders never have the same epoch; a target that does
- * not check ends with what is wanted, since the holder sends until the report matches.
+ * Invariants: a target that checks epochs never executes an order of an older epoch
+ * after one of a later epoch; two holders never have the same epoch; a target that
+ * does not check epochs ends in the desired state, because the holder sends orders
+ * until the reported state matches.
  *
  * Mutants: NO_FENCE, NO_BUMP, NO_CAS, ONCE. */
 
@@ -14,11 +16,11 @@
 #define STEPS 3
 
 byte rowEpoch = 0, rowHolder = 0, rowVersion = 0;
-byte takenBy[16];              /* which holder had an epoch */
-byte seenEpoch = 0;            /* the checking target's */
-byte lastRun = 0;              /* epoch of the order that it followed last */
-byte wanted = 1;               /* the recorded wish; changes once */
-byte plain = 0;                /* the state of the target that does not check */
+byte takenBy[16];              /* holder of each epoch */
+byte seenEpoch = 0;            /* highest epoch that the checking target has accepted */
+byte lastRun = 0;              /* epoch of the last order that it executed */
+byte wanted = 1;               /* the recorded desired state; changes once */
+byte plain = 0;                /* state of the target that does not check epochs */
 bool settled = false;
 byte finished = 0;
 
@@ -28,7 +30,7 @@
   do
   :: steps < STEPS ->
      steps++;
-     /* take or renew; whether the other's lease has lapsed is anybody's guess */
+     /* take or renew the lease; the other's lease may or may not have expired */
      atomic { version = rowVersion; holder = rowHolder; old = rowEpoch };
      if
      :: holder == me -> order = old
@@ -55,10 +57,10 @@
        fi
      };
      if
-     :: ok -> epoch = order              /* the answer came */
-     :: true                             /* it was lost: the next step reads it back */
+     :: ok -> epoch = order              /* the response arrived */
+     :: true                             /* it was lost: the next step reads the row */
      fi;
-     /* an order under the epoch that this holder believes in, perhaps long after */
+     /* an order under this holder's epoch, which may be outdated */
      if
      :: epoch > 0 ->
         atomic {
@@ -76,7 +78,7 @@
           fi
         };
         atomic { order = wanted };
-        plain = order                    /* late: the wish may have changed */
+        plain = order                    /* late: the desired state may have changed */
      :: else
      fi
   :: steps == STEPS -> break
@@ -88,7 +90,7 @@
   wanted = 2
 }
 
-/* Whoever holds the lease when the others are quiet sends until the report matches. */
+/* Models the final lease holder, which sends orders until the reported state matches. */
 proctype Settler() {
   finished == HOLDERS && wanted == 2;
 #ifndef ONCE
