--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -95,7 +95,7 @@
 	d.node.SetHooks(peer.Hooks{
 		Changed: d.mesh.MarkDirty,
 		Head:    d.onLaterRevision,
-		Era:     d.table.Hear,
+		Era:     d.table.AdvanceTo,
 	})
 	d.table.OnChange(d.onStoreRollback)
 }
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -35,8 +35,8 @@
 	return e.latest
 }
 
-// Hear updates the era to one received from another client, if that is later.
-func (e *Eras) Hear(era Era) {
+// AdvanceTo updates the era to one received from another client, if that is later.
+func (e *Eras) AdvanceTo(era Era) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	if era > e.latest {
--- a/internal/plat/table/eras_test.go
+++ b/internal/plat/table/eras_test.go
@@ -39,8 +39,8 @@
 			t.Errorf("%s: era %d, want %d", step.name, got, step.want)
 		}
 	}
-	e.Hear(4)
-	e.Hear(7)
+	e.AdvanceTo(4)
+	e.AdvanceTo(7)
 	if diff := cmp.Diff([][]Era{{1, 2, 5, 7}, {0, 1, 2, 5}}, [][]Era{changes, before}); diff != "" {
 		t.Errorf("eras passed to the callbacks: %s", diff)
 	}
--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -18,8 +18,8 @@
 	All(ctx context.Context, name table.Name) (table.Page, error)
 	// Changes waits up to wait for changes after a version.
 	Changes(ctx context.Context, name table.Name, after table.Version, wait time.Duration) (table.Page, error)
-	// Hear reports the era of the replica, which may have been updated from a peer.
-	Hear(era table.Era)
+	// AdvanceTo reports the era of the replica, which may have been updated from a peer.
+	AdvanceTo(era table.Era)
 }
 
 // Follower updates one table's replica from the store while the router's role requires it.
@@ -69,7 +69,7 @@
 // Step makes one call to the store and applies its response.
 func (f *Follower) Step(ctx context.Context) error {
 	at, loaded := f.board.Position(f.name)
-	f.source.Hear(at.Era)
+	f.source.AdvanceTo(at.Era)
 	if !loaded || f.needsFullRead {
 		return f.readAll(ctx)
 	}
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -37,7 +37,7 @@
 	return s.next("changes")
 }
 
-func (s *fakeSource) Hear(table.Era) {}
+func (s *fakeSource) AdvanceTo(table.Era) {}
 
 func follower(b *Board, s *fakeSource) *Follower {
 	return NewFollower(b, s, tableName, DefaultPace, NewRoles(), log.NewNopLogger(), 1)
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -73,7 +73,7 @@
 	return table.Page{At: at}, nil
 }
 
-func (z *fakeZone) Hear(table.Era) {}
+func (z *fakeZone) AdvanceTo(table.Era) {}
 
 // zonePeers implements Peers for one router of the zone.
 type zonePeers struct {
