--- a/internal/oper/node/catchup.go
+++ b/internal/oper/node/catchup.go
@@ -46,7 +46,7 @@
 
 // pullFromPeers queries peers in turn until this router is no longer behind.
 func (n *Node) pullFromPeers(ctx context.Context, from ident.Router) {
-	candidates := append([]ident.Router{from}, slices.DeleteFunc(peerRows{n}.Others(), func(r ident.Router) bool { return r == from })...)
+	candidates := append([]ident.Router{from}, slices.DeleteFunc(peerRows{n}.Candidates(), func(r ident.Router) bool { return r == from })...)
 	for _, id := range candidates[:min(len(candidates), maxCatchUpPeers)] {
 		if ctx.Err() != nil || !n.behind() {
 			return
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -78,7 +78,7 @@
 	return r.reply(from)
 }
 
-func (r *fakePeers) Others() []ident.Router { return r.others }
+func (r *fakePeers) Candidates() []ident.Router { return r.others }
 
 // A router whose parent fails reads from other peers and meanwhile from the store, and returns to
 // the parent later.
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -98,7 +98,7 @@
 	return out, nil
 }
 
-func (z zonePeers) Others() []ident.Router {
+func (z zonePeers) Candidates() []ident.Router {
 	var out []ident.Router
 	for i := range routersPerZone {
 		if id := routerAt(i); id != z.self {
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -33,8 +33,8 @@
 type Peers interface {
 	// Rows returns the changes since the given states. The peer may hold the call for up to wait.
 	Rows(ctx context.Context, from ident.Router, have []State, wait time.Duration) ([]Reply, error)
-	// Others returns the routers that may have fresh data, in order of preference.
-	Others() []ident.Router
+	// Candidates returns the routers that may have fresh data, in order of preference.
+	Candidates() []ident.Router
 }
 
 // Puller updates the replicas of all tables from peers while the router's role requires it.
@@ -96,7 +96,7 @@
 	if !reader && parent != "" && !p.clock().Before(p.avoidUntil[parent]) {
 		return parent, true
 	}
-	others := p.peers.Others()
+	others := p.peers.Candidates()
 	if len(others) == 0 {
 		return parent, parent != ""
 	}
