--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -44,9 +44,9 @@
 
 // Guard quarantines requests under which targets crash.
 type Guard interface {
-	// HeldFor returns the remaining quarantine time of a request, or zero if it is not
+	// QuarantineLeft returns the remaining quarantine time of a request, or zero if it is not
 	// quarantined.
-	HeldFor(request ident.Fingerprint) time.Duration
+	QuarantineLeft(request ident.Fingerprint) time.Duration
 	// Broke records an answer that broke off.
 	Broke(b guard.Break)
 	// Served records a complete answer.
@@ -246,7 +246,7 @@
 // quarantineProblem returns the problem for a quarantined request, or nil. Such a request would
 // crash its target, with all other requests that run there, and still get no answer.
 func (h *Handler) quarantineProblem(j *job) *problem {
-	wait := h.Guard.HeldFor(j.fingerprint())
+	wait := h.Guard.QuarantineLeft(j.fingerprint())
 	switch {
 	case wait == 0:
 		return nil
--- a/internal/edge/entry/quarantine_test.go
+++ b/internal/edge/entry/quarantine_test.go
@@ -53,8 +53,8 @@
 	quarantineAfter int
 }
 
-func (g *fakeGuard) HeldFor(ident.Fingerprint) time.Duration { return g.quarantine }
-func (g *fakeGuard) Served(ident.Fingerprint)                { g.served++ }
+func (g *fakeGuard) QuarantineLeft(ident.Fingerprint) time.Duration { return g.quarantine }
+func (g *fakeGuard) Served(ident.Fingerprint)                       { g.served++ }
 func (g *fakeGuard) Broke(guard.Break) {
 	if g.broke++; g.broke == g.quarantineAfter {
 		g.quarantine = time.Minute
--- a/internal/edge/front/chat.go
+++ b/internal/edge/front/chat.go
@@ -176,7 +176,7 @@
 // continueOnOtherEngine continues an interrupted stream on another engine.
 func (f *Front) continueOnOtherEngine(ctx context.Context, j *job, s *response, out *eventWriter, cause error) (*response, *Problem) {
 	j.outcome = retry.Unknown
-	allowed := j.decision.OnLoss == policy.Continue && j.decision.Repeat != retry.Never && f.Guard.HeldFor(j.fingerprint) == 0
+	allowed := j.decision.OnLoss == policy.Continue && j.decision.Repeat != retry.Never && f.Guard.QuarantineLeft(j.fingerprint) == 0
 	if ctx.Err() != nil || out.callerGone || !allowed || j.attempts >= f.limits.Tries || !f.takeRetryToken() {
 		return nil, attemptProblem(cause, retry.Unknown)
 	}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -50,8 +50,8 @@
 
 // Guard quarantines requests under which targets crash.
 type Guard interface {
-	// HeldFor returns the remaining quarantine time of a request; zero if it is not quarantined.
-	HeldFor(request ident.Fingerprint) time.Duration
+	// QuarantineLeft returns the remaining quarantine time of a request; zero if it is not quarantined.
+	QuarantineLeft(request ident.Fingerprint) time.Duration
 	// Broke records an interrupted response.
 	Broke(b guard.Break)
 	// Served records a complete response.
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -121,7 +121,7 @@
 	}, limits).Handler()
 }
 
-func (p *fakeParts) HeldFor(ident.Fingerprint) time.Duration {
+func (p *fakeParts) QuarantineLeft(ident.Fingerprint) time.Duration {
 	if p.acquired < p.quarantineAcquired || p.sent < p.quarantineSent {
 		return 0
 	}
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -134,7 +134,7 @@
 // crash a target with all requests that run there, and still get no answer. It has to be called after the
 // claim has begun: an earlier request with the same key may have run, and its answer may be stored.
 func (f *Front) rejectQuarantined(w http.ResponseWriter, j *job) bool {
-	wait := f.Guard.HeldFor(j.fingerprint)
+	wait := f.Guard.QuarantineLeft(j.fingerprint)
 	if wait == 0 {
 		return false
 	}
@@ -181,7 +181,7 @@
 		if err != nil {
 			return nil, f.mergeOutcome(j, routeProblem(err))
 		}
-		if wait := f.Guard.HeldFor(j.fingerprint); wait > 0 {
+		if wait := f.Guard.QuarantineLeft(j.fingerprint); wait > 0 {
 			placement.Release()
 			return nil, f.mergeOutcome(j, quarantineProblem(wait))
 		}
@@ -285,7 +285,7 @@
 	switch {
 	case ctx.Err() != nil:
 		return &Problem{Status: statusCallerGone, Code: CodeCallerGone, Message: "the caller has gone", Outcome: j.outcome}
-	case f.Guard.HeldFor(j.fingerprint) > 0:
+	case f.Guard.QuarantineLeft(j.fingerprint) > 0:
 		return attemptProblem(err, j.outcome)
 	case retry.MaySend(j.decision.Repeat, step, !j.firstByteAt.IsZero()) && j.attempts < f.limits.Tries && (retry.Free(step) || f.takeRetryToken()):
 		return nil
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -66,11 +66,11 @@
 	Ran time.Duration
 }
 
-// HeldFor returns the remaining quarantine time of a request; zero if it is not quarantined.
-func (g *Guard) HeldFor(request ident.Fingerprint) time.Duration {
+// QuarantineLeft returns the remaining quarantine time of a request; zero if it is not quarantined.
+func (g *Guard) QuarantineLeft(request ident.Fingerprint) time.Duration {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.record.HeldFor(g.Clock(), request)
+	return g.record.QuarantineLeft(g.Clock(), request)
 }
 
 // Served records that a target sent a complete response to a request.
@@ -147,7 +147,7 @@
 	if change == crash.Nothing {
 		return
 	}
-	left := g.record.HeldFor(g.Clock(), request)
+	left := g.record.QuarantineLeft(g.Clock(), request)
 	s, own, _ := g.record.Find(request)
 	if quarantined := left > 0; quarantined != g.quarantined[request] || quarantined && own {
 		_ = level.Info(g.Logger).Log("msg", "request quarantine updated", "fingerprint", request, "held", quarantined,
@@ -176,7 +176,7 @@
 	defer g.mu.Unlock()
 	g.record.Sweep(g.Clock())
 	for request := range g.quarantined {
-		if g.record.HeldFor(g.Clock(), request) == 0 {
+		if g.record.QuarantineLeft(g.Clock(), request) == 0 {
 			delete(g.quarantined, request)
 		}
 	}
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -109,16 +109,16 @@
 	p := newFakeDeps(false)
 	g := newGuard(t, p, &now)
 	g.interrupt("a", "b", "c", "d")
-	if g.HeldFor(request) != 0 || g.spreads != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
-		t.Errorf("before crashes: quarantined for %v, %d probes", g.HeldFor(request), p.probes)
+	if g.QuarantineLeft(request) != 0 || g.spreads != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
+		t.Errorf("before crashes: quarantined for %v, %d probes", g.QuarantineLeft(request), p.probes)
 	}
 	p.gone = true
 	g.interrupt("a", "b")
-	if g.HeldFor(request) == 0 || g.spreads != 1 || g.Held() != 1 {
-		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.HeldFor(request), g.spreads)
+	if g.QuarantineLeft(request) == 0 || g.spreads != 1 || g.Held() != 1 {
+		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.QuarantineLeft(request), g.spreads)
 	}
 	g.Served(request)
-	if g.HeldFor(request) != 0 {
+	if g.QuarantineLeft(request) != 0 {
 		t.Error("request is still quarantined after a complete response")
 	}
 }
@@ -145,15 +145,15 @@
 	if next.load(t.Context()) || !next.load(t.Context()) {
 		t.Error("load did not report whether the store responded")
 	}
-	if diff := cmp.Diff(first.HeldFor(request), next.HeldFor(request)); diff != "" || next.HeldFor(request) == 0 {
+	if diff := cmp.Diff(first.QuarantineLeft(request), next.QuarantineLeft(request)); diff != "" || next.QuarantineLeft(request) == 0 {
 		t.Errorf("quarantine after the restart: %s", diff)
 	}
 	if len(p.rows) != 1 {
 		t.Errorf("%d rows in the store, want only the valid one", len(p.rows))
 	}
 	now = now.Add(24 * time.Hour)
-	if late := newGuard(t, p, &now); !late.load(t.Context()) || late.HeldFor(request) != 0 || len(p.rows) != 0 {
-		t.Errorf("after a day: quarantined for %v, %d rows", late.HeldFor(request), len(p.rows))
+	if late := newGuard(t, p, &now); !late.load(t.Context()) || late.QuarantineLeft(request) != 0 || len(p.rows) != 0 {
+		t.Errorf("after a day: quarantined for %v, %d rows", late.QuarantineLeft(request), len(p.rows))
 	}
 }
 
@@ -166,7 +166,7 @@
 	first.writeUnsaved(t.Context())
 	next := newGuard(t, p, &now)
 	next.load(t.Context())
-	if diff := cmp.Diff(first.HeldFor(request), next.HeldFor(request)); diff != "" {
+	if diff := cmp.Diff(first.QuarantineLeft(request), next.QuarantineLeft(request)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -197,7 +197,7 @@
 	}
 	time.AfterFunc(10*time.Millisecond, func() { prober.proceed <- struct{}{} })
 	g.Broke(breakAt("b"))
-	if g.HeldFor(request) == 0 {
+	if g.QuarantineLeft(request) == 0 {
 		t.Error("Broke returned before the probe of the second target")
 	}
 }
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -81,7 +81,7 @@
 	if run.crashAfter == 0 {
 		m.harmlessAttempts++
 	}
-	if m.routers[run.router].HeldFor(m.now, run.request) > 0 {
+	if m.routers[run.router].QuarantineLeft(m.now, run.request) > 0 {
 		if run.crashAfter == 0 {
 			m.rejected++
 			m.unserved++
@@ -309,7 +309,7 @@
 	quarantining := func() int {
 		count := 0
 		for _, r := range all[unresponsive:] {
-			if r.HeldFor(now, 1) > 0 {
+			if r.QuarantineLeft(now, 1) > 0 {
 				count++
 			}
 		}
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -145,8 +145,8 @@
 	}
 }
 
-// HeldFor returns the remaining quarantine of a request, or zero if it is not quarantined.
-func (r *Record) HeldFor(now time.Time, request ident.Fingerprint) time.Duration {
+// QuarantineLeft returns the remaining quarantine of a request, or zero if it is not quarantined.
+func (r *Record) QuarantineLeft(now time.Time, request ident.Fingerprint) time.Duration {
 	e, found := r.entries[request]
 	if !found {
 		return 0
--- a/internal/rule/crash/record_test.go
+++ b/internal/rule/crash/record_test.go
@@ -27,10 +27,10 @@
 	var got []time.Duration
 	for start := range Start(6) {
 		r.Ended(now, crashingRequest, start, time.Second)
-		quarantine := r.HeldFor(now, crashingRequest)
+		quarantine := r.QuarantineLeft(now, crashingRequest)
 		got = append(got, quarantine)
 		now = now.Add(quarantine)
-		if r.HeldFor(now, crashingRequest) != 0 {
+		if r.QuarantineLeft(now, crashingRequest) != 0 {
 			t.Errorf("after crash %d: still quarantined at the end of the quarantine", start+1)
 		}
 	}
@@ -51,7 +51,7 @@
 			t.Errorf("the same crash is reported as a change of urgency %d", urgency)
 		}
 	}
-	if quarantine := a.HeldFor(at(0.2), crashingRequest); quarantine != 0 {
+	if quarantine := a.QuarantineLeft(at(0.2), crashingRequest); quarantine != 0 {
 		t.Errorf("quarantined for %v after one crash", quarantine)
 	}
 }
@@ -77,7 +77,7 @@
 	}
 	send(b, late, at(2))
 	for name, r := range map[string]*Record{"a": a, "b": b, "late": late} {
-		if diff := cmp.Diff(firstQuarantine-time.Second, r.HeldFor(at(2), crashingRequest)); diff != "" {
+		if diff := cmp.Diff(firstQuarantine-time.Second, r.QuarantineLeft(at(2), crashingRequest)); diff != "" {
 			t.Errorf("%s: %s", name, diff)
 		}
 	}
@@ -102,13 +102,13 @@
 	for start := range Start(6) {
 		a.Ended(at(3), harmlessRequest, start, time.Second)
 	}
-	if a.HeldFor(at(3), crashingRequest)+b.HeldFor(at(3), crashingRequest)+a.HeldFor(at(3), harmlessRequest) != 0 {
+	if a.QuarantineLeft(at(3), crashingRequest)+b.QuarantineLeft(at(3), crashingRequest)+a.QuarantineLeft(at(3), harmlessRequest) != 0 {
 		t.Error("a request that was served is quarantined")
 	}
 	for start := range Start(2) {
 		a.Ended(at(3+grace.Seconds()), harmlessRequest, 20+start, time.Second)
 	}
-	if a.HeldFor(at(3+grace.Seconds()), harmlessRequest) == 0 {
+	if a.QuarantineLeft(at(3+grace.Seconds()), harmlessRequest) == 0 {
 		t.Error("a request that was served long ago is not blamed for new crashes")
 	}
 }
@@ -121,8 +121,8 @@
 		r.Ended(at(1), harmlessRequest, start, 2*time.Second)
 		r.Ended(at(1), crashingRequest, start, 60*time.Millisecond)
 	}
-	if r.HeldFor(at(1), crashingRequest) == 0 || r.HeldFor(at(1), harmlessRequest) != 0 {
-		t.Errorf("quarantined for %v, and for %v the request that ran beside it", r.HeldFor(at(1), crashingRequest), r.HeldFor(at(1), harmlessRequest))
+	if r.QuarantineLeft(at(1), crashingRequest) == 0 || r.QuarantineLeft(at(1), harmlessRequest) != 0 {
+		t.Errorf("quarantined for %v, and for %v the request that ran beside it", r.QuarantineLeft(at(1), crashingRequest), r.QuarantineLeft(at(1), harmlessRequest))
 	}
 }
 
@@ -135,8 +135,8 @@
 	for i := range ident.Fingerprint(3 * maxEntries) {
 		r.Ended(at(1), 100+i, Start(i), time.Second)
 	}
-	if len(r.entries) > maxEntries || r.HeldFor(at(1), crashingRequest) == 0 {
-		t.Errorf("%d entries, quarantined for %v", len(r.entries), r.HeldFor(at(1), crashingRequest))
+	if len(r.entries) > maxEntries || r.QuarantineLeft(at(1), crashingRequest) == 0 {
+		t.Errorf("%d entries, quarantined for %v", len(r.entries), r.QuarantineLeft(at(1), crashingRequest))
 	}
 	if got := len(r.Outgoing(at(1), 400)); got > maxChangedPerMessage+maxUnchangedPerMessage {
 		t.Errorf("%d suspects in one message", got)
