--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -163,11 +163,11 @@
 	}
 }
 
-// Held returns the number of quarantined requests.
-func (g *Guard) Held() int {
+// Quarantined returns the number of quarantined requests.
+func (g *Guard) Quarantined() int {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	return g.record.Held(g.Clock())
+	return g.record.Quarantined(g.Clock())
 }
 
 // Sweep removes expired entries.
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -114,7 +114,7 @@
 	}
 	p.gone = true
 	g.interrupt("a", "b")
-	if g.QuarantineLeft(request) == 0 || g.spreads != 1 || g.Held() != 1 {
+	if g.QuarantineLeft(request) == 0 || g.spreads != 1 || g.Quarantined() != 1 {
 		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.QuarantineLeft(request), g.spreads)
 	}
 	g.Served(request)
--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -26,7 +26,7 @@
 		SentBytes: func() float64 { return float64(d.peerBytes.Traffic().Sent + d.platformBytes.Traffic().Sent) },
 		ReadBytes: func() float64 { return float64(d.peerBytes.Traffic().Received + d.platformBytes.Traffic().Received) },
 		LoadRatio: d.homes.LoadRatio,
-		Held:      func() float64 { return float64(d.guard.Held()) },
+		Held:      func() float64 { return float64(d.guard.Quarantined()) },
 		StoreCalls: func() float64 {
 			c := d.table.Counts()
 			return float64(c.Reads + c.Writes)
--- a/internal/oper/node/metrics.go
+++ b/internal/oper/node/metrics.go
@@ -22,7 +22,7 @@
 			func() float64 { permits, _ := n.homes.InFlight(); return float64(permits) }),
 		gauge("valescale_load_ratio", "Highest load over mean of the targets that this router is home of.", n.homes.LoadRatio),
 		gauge("valescale_held_requests", "Requests held back because targets end under them.",
-			func() float64 { return float64(n.guard.Held()) }),
+			func() float64 { return float64(n.guard.Quarantined()) }),
 		counter("valescale_target_dials_total", "Connections made to targets.",
 			func() float64 { return float64(n.conns.Dialed()) }),
 		counter("valescale_store_calls_total", "Calls to the store.",
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -213,8 +213,8 @@
 	return s
 }
 
-// Held returns the number of requests that are quarantined now.
-func (r *Record) Held(now time.Time) int {
+// Quarantined returns the number of requests that are quarantined now.
+func (r *Record) Quarantined(now time.Time) int {
 	quarantined := 0
 	for _, e := range r.entries {
 		if r.heldFor(now, e) > 0 {
