--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -47,8 +47,8 @@
 	// QuarantineLeft returns the remaining quarantine time of a request, or zero if it is not
 	// quarantined.
 	QuarantineLeft(request ident.Fingerprint) time.Duration
-	// Broke records an answer that broke off.
-	Broke(b guard.Break)
+	// ReportInterrupted records an answer that broke off.
+	ReportInterrupted(b guard.Break)
 	// Served records a complete answer.
 	Served(request ident.Fingerprint)
 }
@@ -262,7 +262,7 @@
 func (h *Handler) reportToGuard(j *job, placement *route.Placement, attempt result) {
 	switch {
 	case attempt.connBroken:
-		h.Guard.Broke(guard.Break{
+		h.Guard.ReportInterrupted(guard.Break{
 			Request: string(j.call.ID), Fingerprint: j.fingerprint(), Target: placement.Target, Ran: attempt.took,
 		})
 	case attempt.complete:
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -52,8 +52,8 @@
 type Guard interface {
 	// QuarantineLeft returns the remaining quarantine time of a request; zero if it is not quarantined.
 	QuarantineLeft(request ident.Fingerprint) time.Duration
-	// Broke records an interrupted response.
-	Broke(b guard.Break)
+	// ReportInterrupted records an interrupted response.
+	ReportInterrupted(b guard.Break)
 	// Served records a complete response.
 	Served(request ident.Fingerprint)
 }
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -82,10 +82,10 @@
 	g.spreadUrgent(change)
 }
 
-// Broke records an interrupted response and probes whether the target crashed. It waits for the probe only
+// ReportInterrupted records an interrupted response and probes whether the target crashed. It waits for the probe only
 // if the request is already suspect and may be quarantined as a result, since that has to be known before
 // the request is sent again.
-func (g *Guard) Broke(b Break) {
+func (g *Guard) ReportInterrupted(b Break) {
 	g.mu.Lock()
 	suspect := g.record.Doubted(b.Fingerprint)
 	g.mu.Unlock()
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -188,7 +188,7 @@
 	breakAt := func(id ident.Target) Break {
 		return Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id)}, Ran: time.Second}
 	}
-	g.Broke(breakAt("a"))
+	g.ReportInterrupted(breakAt("a"))
 	prober.proceed <- struct{}{}
 	for suspect := false; !suspect; {
 		g.mu.Lock()
@@ -196,7 +196,7 @@
 		g.mu.Unlock()
 	}
 	time.AfterFunc(10*time.Millisecond, func() { prober.proceed <- struct{}{} })
-	g.Broke(breakAt("b"))
+	g.ReportInterrupted(breakAt("b"))
 	if g.QuarantineLeft(request) == 0 {
 		t.Error("Broke returned before the probe of the second target")
 	}
