--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -62,7 +62,7 @@
 		return h.sendFailed(ctx, j, placement, began, err)
 	}
 	defer answer.Close()
-	h.Finder.Heard(placement.Hash)
+	h.Finder.ReportReceived(placement.Hash)
 	idleTimeout.reset(j.idleTimeout())
 	j.sends++
 	reply := h.Dialect.Reply(answer.Status, answer.Header)
--- a/internal/edge/entry/events.go
+++ b/internal/edge/entry/events.go
@@ -36,7 +36,7 @@
 		}
 		if end > 0 {
 			idleTimeout.reset(j.eventTimeout())
-			h.Finder.Heard(j.lastPlacement.Hash)
+			h.Finder.ReportReceived(j.lastPlacement.Hash)
 			if reason := h.forwardComplete(w, j, answer, pending[:end]); reason != "" {
 				return result{ended: true, reason: reason, status: answer.Status}
 			}
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -25,8 +25,8 @@
 	Report(target ident.TargetHash, ok bool)
 	// Cancelled records the end of a request that gives no evidence about its target.
 	Cancelled(target ident.TargetHash)
-	// Heard records that a target has sent bytes of an answer.
-	Heard(target ident.TargetHash)
+	// ReportReceived records that a target has sent bytes of an answer.
+	ReportReceived(target ident.TargetHash)
 	// Silent records that a request sent at the given time has received nothing for too long. It
 	// reports whether the target has sent nothing to other requests either.
 	Silent(target ident.TargetHash, since time.Time) bool
--- a/internal/edge/route/evict_test.go
+++ b/internal/edge/route/evict_test.go
@@ -29,7 +29,7 @@
 	r.Move(context.Background(), r.Set(pool(kept, removed), place.Assign(nil, nil)))
 	for _, hash := range []ident.TargetHash{kept, removed} {
 		r.Unreachable(hash)
-		r.Heard(hash)
+		r.ReportReceived(hash)
 	}
 	r.Set(pool(kept), place.Assign(nil, nil))
 	if diff := cmp.Diff([2]int{1, 1}, [2]int{len(r.breakers), len(r.lastReceived)}); diff != "" {
@@ -53,7 +53,7 @@
 	r.Set(pool(1), place.Assign(nil, nil))
 	for _, hash := range []ident.TargetHash{restarted, kept} {
 		r.Unreachable(hash)
-		r.Heard(hash)
+		r.ReportReceived(hash)
 	}
 	r.Set(pool(2), place.Assign(nil, nil))
 	id := place.ShardID{Pool: "p"}
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -62,8 +62,8 @@
 	return place.ShardID{Pool: p.Name, Shard: place.ShardOf(target, p.state.Shards())}
 }
 
-// Heard records that bytes of an answer arrived from a target.
-func (r *Router) Heard(target ident.TargetHash) {
+// ReportReceived records that bytes of an answer arrived from a target.
+func (r *Router) ReportReceived(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.lastReceived[target] = r.clock()
