--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -119,7 +119,7 @@
 	if h.Clock().Sub(since)-j.suspectAfter() > relay.HeldUpAfter {
 		return
 	}
-	if h.Finder.Silent(placement.Hash, since) {
+	if h.Finder.ReportSilent(placement.Hash, since) {
 		_ = level.Info(h.Logger).Log("msg", "target sent no data within the expected time", "request", j.call.ID,
 			"target", placement.Target.ID, "silence_ms", j.suspectAfter().Milliseconds())
 	}
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -27,9 +27,9 @@
 	Cancelled(target ident.TargetHash)
 	// ReportReceived records that a target has sent bytes of an answer.
 	ReportReceived(target ident.TargetHash)
-	// Silent records that a request sent at the given time has received nothing for too long. It
+	// ReportSilent records that a request sent at the given time has received nothing for too long. It
 	// reports whether the target has sent nothing to other requests either.
-	Silent(target ident.TargetHash, since time.Time) bool
+	ReportSilent(target ident.TargetHash, since time.Time) bool
 	// Unreachable records that no connection to a target could be made.
 	Unreachable(target ident.TargetHash)
 	// Observe records the draining state and backoff that a target reported in an answer.
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -94,11 +94,11 @@
 	f.reports = append(f.reports, report)
 }
 
-func (f *finder) Report(_ ident.TargetHash, ok bool)      { f.record(fmt.Sprint("ok ", ok)) }
-func (f *finder) Cancelled(ident.TargetHash)              { f.record("cancelled") }
-func (f *finder) ReportReceived(ident.TargetHash)         {}
-func (f *finder) Silent(ident.TargetHash, time.Time) bool { return false }
-func (f *finder) Unreachable(ident.TargetHash)            { f.record("unreachable") }
+func (f *finder) Report(_ ident.TargetHash, ok bool)            { f.record(fmt.Sprint("ok ", ok)) }
+func (f *finder) Cancelled(ident.TargetHash)                    { f.record("cancelled") }
+func (f *finder) ReportReceived(ident.TargetHash)               {}
+func (f *finder) ReportSilent(ident.TargetHash, time.Time) bool { return false }
+func (f *finder) Unreachable(ident.TargetHash)                  { f.record("unreachable") }
 
 func (f *finder) Observe(target route.Target, n route.Notice) {
 	if n.Leaving {
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -69,10 +69,10 @@
 	r.lastReceived[target] = r.clock()
 }
 
-// Silent records that a request sent at the given time got no answer within the time limit. If
+// ReportSilent records that a request sent at the given time got no answer within the time limit. If
 // nothing at all has arrived from the target since then, its circuit breaker opens and Silent
 // returns true.
-func (r *Router) Silent(target ident.TargetHash, since time.Time) bool {
+func (r *Router) ReportSilent(target ident.TargetHash, since time.Time) bool {
 	r.mu.Lock()
 	silent := r.lastReceived[target].Before(since)
 	r.mu.Unlock()
