--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -69,7 +69,7 @@
 	h.reportNotice(j, placement, answer, reply)
 	if reply.NotRun {
 		if reply.Elsewhere {
-			h.Finder.Unreachable(placement.Hash)
+			h.Finder.ReportUnreachable(placement.Hash)
 		}
 		return result{step: retry.Refused, reason: Refused, status: answer.Status, took: h.Clock().Sub(began)}
 	}
@@ -157,7 +157,7 @@
 		// all targets of a pool from new work of this router and overload the rest.
 		h.Finder.Cancelled(placement.Hash)
 	case retry.Free(step) && ctx.Err() == nil:
-		h.Finder.Unreachable(placement.Hash)
+		h.Finder.ReportUnreachable(placement.Hash)
 	default:
 		h.reportResult(ctx, placement, false)
 	}
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -30,8 +30,8 @@
 	// ReportSilent records that a request sent at the given time has received nothing for too long. It
 	// reports whether the target has sent nothing to other requests either.
 	ReportSilent(target ident.TargetHash, since time.Time) bool
-	// Unreachable records that no connection to a target could be made.
-	Unreachable(target ident.TargetHash)
+	// ReportUnreachable records that no connection to a target could be made.
+	ReportUnreachable(target ident.TargetHash)
 	// Observe records the draining state and backoff that a target reported in an answer.
 	Observe(target route.Target, n route.Notice)
 }
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -98,7 +98,7 @@
 func (f *finder) Cancelled(ident.TargetHash)                    { f.record("cancelled") }
 func (f *finder) ReportReceived(ident.TargetHash)               {}
 func (f *finder) ReportSilent(ident.TargetHash, time.Time) bool { return false }
-func (f *finder) Unreachable(ident.TargetHash)                  { f.record("unreachable") }
+func (f *finder) ReportUnreachable(ident.TargetHash)            { f.record("unreachable") }
 
 func (f *finder) Observe(target route.Target, n route.Notice) {
 	if n.Leaving {
--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -212,7 +212,7 @@
 	without.Roster = without.Roster.With(nil, []ident.TargetHash{rejecting})
 	r.Set([]route.Pool{without}, assigned)
 	r.Set(f.pools, assigned)
-	r.Unreachable(other)
+	r.ReportUnreachable(other)
 	f.now = f.now.Add(2 * time.Second)
 	for _, avoid := range [][]ident.TargetHash{nil, {other}, {rejecting, other}} {
 		p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 1, Work: ident.OneRequest, Avoid: avoid})
--- a/internal/edge/route/evict_test.go
+++ b/internal/edge/route/evict_test.go
@@ -28,7 +28,7 @@
 	}
 	r.Move(context.Background(), r.Set(pool(kept, removed), place.Assign(nil, nil)))
 	for _, hash := range []ident.TargetHash{kept, removed} {
-		r.Unreachable(hash)
+		r.ReportUnreachable(hash)
 		r.ReportReceived(hash)
 	}
 	r.Set(pool(kept), place.Assign(nil, nil))
@@ -52,7 +52,7 @@
 	}
 	r.Set(pool(1), place.Assign(nil, nil))
 	for _, hash := range []ident.TargetHash{restarted, kept} {
-		r.Unreachable(hash)
+		r.ReportUnreachable(hash)
 		r.ReportReceived(hash)
 	}
 	r.Set(pool(2), place.Assign(nil, nil))
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -77,14 +77,14 @@
 	silent := r.lastReceived[target].Before(since)
 	r.mu.Unlock()
 	if silent {
-		r.Unreachable(target)
+		r.ReportUnreachable(target)
 	}
 	return silent
 }
 
-// Unreachable opens the circuit breaker of a target to which no connection could be made, or whose
+// ReportUnreachable opens the circuit breaker of a target to which no connection could be made, or whose
 // address belongs to another target.
-func (r *Router) Unreachable(target ident.TargetHash) {
+func (r *Router) ReportUnreachable(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.recordFailure(target)
--- a/internal/edge/route/leaving_test.go
+++ b/internal/edge/route/leaving_test.go
@@ -89,7 +89,7 @@
 // the next one.
 func TestProbeWithoutResult(t *testing.T) {
 	f, r, _ := newFleet()
-	r.Unreachable(ident.Target("engine-1").Hash())
+	r.ReportUnreachable(ident.Target("engine-1").Hash())
 	f.now = f.now.Add(2 * time.Second)
 	probes := 0
 	for key := range ident.ChatKey(20) {
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -224,7 +224,7 @@
 	r.Report(one, false)
 	r.Report(one, true)
 	r.Report(two, false)
-	r.Unreachable(one)
+	r.ReportUnreachable(one)
 	for key := range ident.ChatKey(2) {
 		p := acquire(t, r, key)
 		p.Release()
