--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -136,7 +136,7 @@
 func (h *Handler) reportResult(ctx context.Context, placement *route.Placement, ok bool) {
 	cause := context.Cause(ctx)
 	if !ok && (errors.Is(cause, context.Canceled) || errors.Is(cause, errRouterDelayed)) {
-		h.Finder.Cancelled(placement.Hash)
+		h.Finder.ReportCancelled(placement.Hash)
 		return
 	}
 	h.Finder.Report(placement.Hash, ok)
@@ -155,7 +155,7 @@
 	case relay.Blameless(err):
 		// The failure is local to this box. Reporting it as a target failure would exclude nearly
 		// all targets of a pool from new work of this router and overload the rest.
-		h.Finder.Cancelled(placement.Hash)
+		h.Finder.ReportCancelled(placement.Hash)
 	case retry.Free(step) && ctx.Err() == nil:
 		h.Finder.ReportUnreachable(placement.Hash)
 	default:
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -23,8 +23,8 @@
 	Acquire(ctx context.Context, ask route.Ask) (*route.Placement, error)
 	// Report records whether a target answered a request correctly.
 	Report(target ident.TargetHash, ok bool)
-	// Cancelled records the end of a request that gives no evidence about its target.
-	Cancelled(target ident.TargetHash)
+	// ReportCancelled records the end of a request that gives no evidence about its target.
+	ReportCancelled(target ident.TargetHash)
 	// ReportReceived records that a target has sent bytes of an answer.
 	ReportReceived(target ident.TargetHash)
 	// ReportSilent records that a request sent at the given time has received nothing for too long. It
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -95,7 +95,7 @@
 }
 
 func (f *finder) Report(_ ident.TargetHash, ok bool)            { f.record(fmt.Sprint("ok ", ok)) }
-func (f *finder) Cancelled(ident.TargetHash)                    { f.record("cancelled") }
+func (f *finder) ReportCancelled(ident.TargetHash)              { f.record("cancelled") }
 func (f *finder) ReportReceived(ident.TargetHash)               {}
 func (f *finder) ReportSilent(ident.TargetHash, time.Time) bool { return false }
 func (f *finder) ReportUnreachable(ident.TargetHash)            { f.record("unreachable") }
--- a/internal/edge/front/chat.go
+++ b/internal/edge/front/chat.go
@@ -124,7 +124,7 @@
 			return
 		}
 		if out.callerGone {
-			f.Finder.Cancelled(s.placement.Hash)
+			f.Finder.ReportCancelled(s.placement.Hash)
 			f.finish(j, retry.Unknown, CodeCallerGone)
 			return
 		}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -28,7 +28,7 @@
 	Acquire(ctx context.Context, ask route.Ask) (*route.Placement, error)
 	Admit(ctx context.Context, w policy.Workspace) error
 	Report(target ident.TargetHash, ok bool)
-	Cancelled(target ident.TargetHash)
+	ReportCancelled(target ident.TargetHash)
 	// Observe processes the state that a target reported in a response.
 	Observe(target route.Target, n route.Notice)
 	// BackoffLeft returns the remaining backoff of a target, during which it accepts no requests of this
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -88,7 +88,7 @@
 
 func (p *fakeParts) Admit(context.Context, policy.Workspace) error              { return p.admit }
 func (p *fakeParts) Report(ident.TargetHash, bool)                              {}
-func (p *fakeParts) Cancelled(ident.TargetHash)                                 {}
+func (p *fakeParts) ReportCancelled(ident.TargetHash)                           {}
 func (p *fakeParts) BackoffLeft(route.Target) time.Duration                     { return p.backoff }
 func (p *fakeParts) Finished(front.Finished)                                    {}
 func (p *fakeParts) Finish(*claim.Ticket, claim.Answer)                         {}
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -226,7 +226,7 @@
 	if err != nil {
 		placement.Release()
 		if relay.Blameless(err) {
-			f.Finder.Cancelled(placement.Hash)
+			f.Finder.ReportCancelled(placement.Hash)
 		} else {
 			f.recordResult(ctx, placement, false)
 		}
@@ -270,7 +270,7 @@
 // disconnected is not counted against the target.
 func (f *Front) recordResult(ctx context.Context, placement *route.Placement, ok bool) {
 	if !ok && ctx.Err() != nil {
-		f.Finder.Cancelled(placement.Hash)
+		f.Finder.ReportCancelled(placement.Hash)
 		return
 	}
 	f.Finder.Report(placement.Hash, ok)
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -92,11 +92,11 @@
 	r.breaker(now, target).Trip(now)
 }
 
-// Cancelled records that an attempt ended without a result for the target's circuit breaker.
-func (r *Router) Cancelled(target ident.TargetHash) {
+// ReportCancelled records that an attempt ended without a result for the target's circuit breaker.
+func (r *Router) ReportCancelled(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if b := r.breakers[target]; b != nil {
-		b.Cancelled()
+		b.ReportCancelled()
 	}
 }
--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -54,7 +54,7 @@
 		defer r.mu.Unlock()
 		p.state.End(permit.Engine, permit.Work)
 		if probe != nil {
-			probe.Cancelled()
+			probe.ReportCancelled()
 		}
 		if counted {
 			delete(r.held[id], permit.ID)
--- a/internal/rule/retry/breaker.go
+++ b/internal/rule/retry/breaker.go
@@ -102,9 +102,9 @@
 	}
 }
 
-// Cancelled ends a probe whose request finished without an outcome that reflects the state of
+// ReportCancelled ends a probe whose request finished without an outcome that reflects the state of
 // the target, for example because the caller disconnected. The next request may probe again.
-func (b *Breaker) Cancelled() { b.probing = false }
+func (b *Breaker) ReportCancelled() { b.probing = false }
 
 func (b *Breaker) open(now time.Time, openDuration time.Duration) {
 	b.state = Open
--- a/internal/rule/retry/retry_test.go
+++ b/internal/rule/retry/retry_test.go
@@ -102,7 +102,7 @@
 	}
 	afterSecondOpen := afterOpen.Add(3 * time.Second)
 	b.Allow(afterSecondOpen)
-	b.Cancelled()
+	b.ReportCancelled()
 	if !b.Allow(afterSecondOpen) {
 		t.Error("a cancelled probe blocks the next one")
 	}
