--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -93,7 +93,7 @@
 		// The answer comes from another target that has taken over the address.
 		return
 	}
-	h.Finder.Observe(placement.Target, route.Notice{
+	h.Finder.ReportNotice(placement.Target, route.Notice{
 		Request: string(j.call.ID), Status: answer.Status, Leaving: reply.Leaving,
 		Backoff: relay.BackoffOf(answer.Status, answer.Header, h.Clock()),
 	})
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -32,8 +32,8 @@
 	ReportSilent(target ident.TargetHash, since time.Time) bool
 	// ReportUnreachable records that no connection to a target could be made.
 	ReportUnreachable(target ident.TargetHash)
-	// Observe records the draining state and backoff that a target reported in an answer.
-	Observe(target route.Target, n route.Notice)
+	// ReportNotice records the draining state and backoff that a target reported in an answer.
+	ReportNotice(target route.Target, n route.Notice)
 }
 
 // Sender sends requests to targets.
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -100,7 +100,7 @@
 func (f *finder) ReportSilent(ident.TargetHash, time.Time) bool { return false }
 func (f *finder) ReportUnreachable(ident.TargetHash)            { f.record("unreachable") }
 
-func (f *finder) Observe(target route.Target, n route.Notice) {
+func (f *finder) ReportNotice(target route.Target, n route.Notice) {
 	if n.Leaving {
 		f.record(fmt.Sprint("leaving ", target.ID))
 	}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -29,8 +29,8 @@
 	Admit(ctx context.Context, w policy.Workspace) error
 	Report(target ident.TargetHash, ok bool)
 	ReportCancelled(target ident.TargetHash)
-	// Observe processes the state that a target reported in a response.
-	Observe(target route.Target, n route.Notice)
+	// ReportNotice processes the state that a target reported in a response.
+	ReportNotice(target route.Target, n route.Notice)
 	// BackoffLeft returns the remaining backoff of a target, during which it accepts no requests of this
 	// router.
 	BackoffLeft(target route.Target) time.Duration
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -94,8 +94,8 @@
 func (p *fakeParts) Finish(*claim.Ticket, claim.Answer)                         {}
 func (p *fakeParts) Decided(policy.Workspace, *policy.Request, policy.Decision) {}
 
-// Observe records the notices.
-func (p *fakeParts) Observe(_ route.Target, n route.Notice) { p.notices = append(p.notices, n) }
+// ReportNotice records the notices.
+func (p *fakeParts) ReportNotice(_ route.Target, n route.Notice) { p.notices = append(p.notices, n) }
 
 // Target returns the target with the id "known", for resuming a stream.
 func (p *fakeParts) Target(id ident.Target) (route.Target, bool) {
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -250,7 +250,7 @@
 
 // observe reports the state that a target indicated in a response to the finder.
 func (f *Front) observe(j *job, target route.Target, reply *relay.Reply) {
-	f.Finder.Observe(target, route.Notice{
+	f.Finder.ReportNotice(target, route.Notice{
 		Request: string(j.id), Status: reply.Status, Leaving: reply.Leaving,
 		Backoff: relay.BackoffOf(reply.Status, reply.Header, f.Clock()),
 	})
--- a/internal/edge/route/backoff.go
+++ b/internal/edge/route/backoff.go
@@ -27,10 +27,10 @@
 	Backoff time.Duration
 }
 
-// Observe records the state that a target reported in an answer, whatever the outcome of the
+// ReportNotice records the state that a target reported in an answer, whatever the outcome of the
 // request. The target's row shows the same later, or never while the store is unreachable: of 18
 // targets that left during a store outage of 12 s, one got 59 more requests.
-func (r *Router) Observe(target Target, n Notice) {
+func (r *Router) ReportNotice(target Target, n Notice) {
 	if !n.Leaving && n.Backoff <= 0 {
 		return
 	}
--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -140,7 +140,7 @@
 			return p
 		}
 		c.rejected++
-		r.Observe(p.Target, route.Notice{Backoff: backoffFor})
+		r.ReportNotice(p.Target, route.Notice{Backoff: backoffFor})
 		avoid = append(avoid, p.Hash)
 		p.Release()
 	}
@@ -168,7 +168,7 @@
 
 // reportBackoff reports a backoff of the first incarnation of a target.
 func reportBackoff(r *route.Router, target ident.Target, wait time.Duration) {
-	r.Observe(route.Target{ID: target, Incarnation: 1}, route.Notice{Backoff: wait})
+	r.ReportNotice(route.Target{ID: target, Incarnation: 1}, route.Notice{Backoff: wait})
 }
 
 // acquireNow requests a placement without waiting.
--- a/internal/edge/route/leaving_test.go
+++ b/internal/edge/route/leaving_test.go
@@ -48,7 +48,7 @@
 func TestLeavingAppliesBeforePoolUpdate(t *testing.T) {
 	f, r, assigned := newFleet()
 	leaver, _ := f.pools[0].Target(ident.Target("engine-1").Hash())
-	r.Observe(leaver, route.Notice{Leaving: true})
+	r.ReportNotice(leaver, route.Notice{Leaving: true})
 	chats := ident.ChatKey(0)
 	sent := func() int {
 		count := 0
