--- a/internal/edge/route/backoff.go
+++ b/internal/edge/route/backoff.go
@@ -46,7 +46,7 @@
 	watcher := r.watcher
 	r.mu.Unlock()
 	if watcher != nil {
-		watcher.Noticed(target, n)
+		watcher.TargetReported(target, n)
 	}
 }
 
--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -9,8 +9,8 @@
 // Watcher receives the changes of a router's state of homes and targets. Its methods may be called
 // with the router's lock held and must not call the router.
 type Watcher interface {
-	// Noticed receives the state that a target reported in an answer.
-	Noticed(target Target, n Notice)
+	// TargetReported receives the state that a target reported in an answer.
+	TargetReported(target Target, n Notice)
 	// PassedOver receives a home that did not respond, and for how long its standby is used.
 	PassedOver(home ident.Router, wait time.Duration)
 	// CutOff receives true when this router becomes isolated and places requests locally, and false
--- a/internal/oper/mesh/log.go
+++ b/internal/oper/mesh/log.go
@@ -15,8 +15,8 @@
 // peers.
 type watcher struct{ mesh *Mesh }
 
-// Noticed implements route.Watcher.
-func (w watcher) Noticed(target route.Target, n route.Notice) {
+// TargetReported implements route.Watcher.
+func (w watcher) TargetReported(target route.Target, n route.Notice) {
 	_ = level.Info(w.mesh.Logger).Log("msg", "target reported its state", "request", n.Request, "target", target.ID,
 		"incarnation", target.Incarnation, "status", n.Status, "leaving", n.Leaving, "backoff_ms", n.Backoff.Milliseconds())
 	if n.Leaving {
