--- a/internal/edge/route/home.go
+++ b/internal/edge/route/home.go
@@ -47,7 +47,7 @@
 	alreadySkipped := now.Before(r.skipped[home])
 	r.skipped[home] = now.Add(homeSkipTime)
 	if r.watcher != nil && !alreadySkipped {
-		r.watcher.PassedOver(home, homeSkipTime)
+		r.watcher.HomeSkipped(home, homeSkipTime)
 	}
 	moved := r.movedShards()
 	r.mu.Unlock()
--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -11,8 +11,8 @@
 type Watcher interface {
 	// TargetReported receives the state that a target reported in an answer.
 	TargetReported(target Target, n Notice)
-	// PassedOver receives a home that did not respond, and for how long its standby is used.
-	PassedOver(home ident.Router, wait time.Duration)
+	// HomeSkipped receives a home that did not respond, and for how long its standby is used.
+	HomeSkipped(home ident.Router, wait time.Duration)
 	// CutOff receives true when this router becomes isolated and places requests locally, and false
 	// when a home responds again.
 	CutOff(isolated bool)
--- a/internal/oper/mesh/log.go
+++ b/internal/oper/mesh/log.go
@@ -24,8 +24,8 @@
 	}
 }
 
-// PassedOver implements route.Watcher.
-func (w watcher) PassedOver(home ident.Router, wait time.Duration) {
+// HomeSkipped implements route.Watcher.
+func (w watcher) HomeSkipped(home ident.Router, wait time.Duration) {
 	_ = level.Info(w.mesh.Logger).Log("msg", "skipping unresponsive home", "home", home, "for_ms", wait.Milliseconds())
 }
 
