--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -13,9 +13,9 @@
 	TargetReported(target Target, n Notice)
 	// HomeSkipped receives a home that did not respond, and for how long its standby is used.
 	HomeSkipped(home ident.Router, wait time.Duration)
-	// CutOff receives true when this router becomes isolated and places requests locally, and false
+	// Isolated receives true when this router becomes isolated and places requests locally, and false
 	// when a home responds again.
-	CutOff(isolated bool)
+	Isolated(isolated bool)
 }
 
 // Watch sets the watcher.
@@ -30,14 +30,14 @@
 	r.homeFailures++
 	r.isolatedUntil = r.clock().Add(isolatedRetryInterval)
 	if r.homeFailures == isolationThreshold && r.watcher != nil {
-		r.watcher.CutOff(true)
+		r.watcher.Isolated(true)
 	}
 }
 
 // recordHomeResponse records that a home responded. The caller holds the lock.
 func (r *Router) recordHomeResponse() {
 	if r.homeFailures >= isolationThreshold && r.watcher != nil {
-		r.watcher.CutOff(false)
+		r.watcher.Isolated(false)
 	}
 	r.homeFailures = 0
 }
--- a/internal/oper/mesh/log.go
+++ b/internal/oper/mesh/log.go
@@ -29,8 +29,8 @@
 	_ = level.Info(w.mesh.Logger).Log("msg", "skipping unresponsive home", "home", home, "for_ms", wait.Milliseconds())
 }
 
-// CutOff implements route.Watcher.
-func (w watcher) CutOff(cut bool) {
+// Isolated implements route.Watcher.
+func (w watcher) Isolated(cut bool) {
 	if cut {
 		_ = level.Warn(w.mesh.Logger).Log("msg", "dependency lost", "dependency", "homes")
 		return
