--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -339,7 +339,7 @@
 	var c linkCosts
 	c.bytes, c.micros = measureCall(meter, func(i int) {
 		permit := firstPermit + uint64(i)
-		_, err := remote.Place(context.Background(), "router-home", home.Ask{
+		_, err := remote.Place(context.Background(), "router-home", home.PermitRequest{
 			Request: place.Request{
 				Edge: "router-edge", Permit: permit, Key: ident.ChatKey(ident.Mix(uint64(i), 2)), Work: ident.OneRequest, Zone: "zone-a",
 			},
--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -333,7 +333,7 @@
 }
 
 // Place requests a permit from a home.
-func (n network) Place(ctx context.Context, to ident.Router, ask home.Ask, released []uint64) (home.Answer, error) {
+func (n network) Place(ctx context.Context, to ident.Router, ask home.PermitRequest, released []uint64) (home.Answer, error) {
 	node := n.h.node(to)
 	if node == nil {
 		return home.Answer{}, fault.New("measure.Place", home.Unreachable, nil)
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -194,7 +194,7 @@
 // preparePermitRequest returns the permit request with the released permits and the backoffs that
 // are sent with it.
 func (r *Router) preparePermitRequest(p *pool, id place.ShardID, step place.Step, request Ask, now time.Time) (
-	to ident.Router, placeRequest home.Ask, released []uint64, backoffs map[ident.TargetHash]backoff,
+	to ident.Router, placeRequest home.PermitRequest, released []uint64, backoffs map[ident.TargetHash]backoff,
 ) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -211,7 +211,7 @@
 	delete(r.unsentFailures, id)
 	backoffs, included := r.takeBackoffs(id, now)
 	r.stats.Asked++
-	placeRequest = home.Ask{
+	placeRequest = home.PermitRequest{
 		Request:   r.placeRequest(p, request),
 		Shard:     id,
 		Workspace: request.Workspace,
@@ -263,7 +263,7 @@
 
 // acceptPermit returns the placement for a granted permit. The caller holds the lock.
 func (r *Router) acceptPermit(p *pool, id place.ShardID, to ident.Router,
-	placeRequest home.Ask, resp home.Answer) (home.Answer, *Placement, error) {
+	placeRequest home.PermitRequest, resp home.Answer) (home.Answer, *Placement, error) {
 	target, ok := p.Target(resp.Engine)
 	if !ok {
 		r.queueRelease(id, placeRequest.Permit)
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -47,7 +47,7 @@
 	return f.homes[to], nil
 }
 
-func (f *fleet) Place(ctx context.Context, to ident.Router, request home.Ask, released []uint64) (home.Answer, error) {
+func (f *fleet) Place(ctx context.Context, to ident.Router, request home.PermitRequest, released []uint64) (home.Answer, error) {
 	f.requested = append(f.requested, to)
 	f.failures = append(f.failures, request.Failed...)
 	f.backoffs = append(f.backoffs, request.Backoffs...)
--- a/internal/share/home/blocked.go
+++ b/internal/share/home/blocked.go
@@ -30,7 +30,7 @@
 
 // recordEngineReports records the failures and backoffs of engines that an edge router reports with
 // a permit request.
-func (h *Homes) recordEngineReports(now time.Time, s *shard, req Ask) {
+func (h *Homes) recordEngineReports(now time.Time, s *shard, req PermitRequest) {
 	for _, engine := range s.home.Blame(now, req.Edge, req.Zone, req.Failed) {
 		h.reportBlocked(req, engine, 0)
 	}
@@ -41,7 +41,7 @@
 
 // reportBlocked calls the OnBlocked function for an engine that was blocked because of a report of
 // an edge router.
-func (h *Homes) reportBlocked(req Ask, engine ident.TargetHash, backoff time.Duration) {
+func (h *Homes) reportBlocked(req PermitRequest, engine ident.TargetHash, backoff time.Duration) {
 	if h.onBlocked != nil {
 		h.onBlocked(Blocked{Shard: req.Shard, Engine: engine, Edge: req.Edge, Zone: req.Zone, Backoff: backoff})
 	}
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -14,7 +14,7 @@
 
 // encodePermitRequest returns the wire form of a permit request. Permit numbers are encoded
 // relative to base.
-func encodePermitRequest(req Ask, released []uint64, base uint64) *peerpb.PlaceRequest {
+func encodePermitRequest(req PermitRequest, released []uint64, base uint64) *peerpb.PlaceRequest {
 	return &peerpb.PlaceRequest{
 		Permit:    req.Permit - base,
 		Pool:      uint32(req.Shard.Pool.Hash()),
@@ -89,8 +89,8 @@
 
 // decodePermitRequest decodes a permit request. Edge, zone, pool and permit base are properties of
 // the link and are set by the session.
-func decodePermitRequest(m *peerpb.PlaceRequest) Ask {
-	return Ask{
+func decodePermitRequest(m *peerpb.PlaceRequest) PermitRequest {
+	return PermitRequest{
 		Request: place.Request{
 			Permit: m.GetPermit(),
 			Key:    ident.ChatKey(m.GetKey()),
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -54,7 +54,7 @@
 	if permits, _ := h.InFlight(); permits != 0 {
 		t.Fatalf("replica transfer added %d permits", permits)
 	}
-	req := home.Ask{Shard: id, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
+	req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	if a := h.Place(t.Context(), req, nil); a.Result != home.Placed || !a.Warm {
 		t.Errorf("got %+v, want a warm placement", a)
 	}
@@ -65,7 +65,7 @@
 func TestPermitsExpireAfterLease(t *testing.T) {
 	h, engine, now := newHomes()
 	for permit := range uint64(3) {
-		req := home.Ask{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true}}
+		req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true}}
 		h.Place(t.Context(), req, nil)
 	}
 	*now = now.Add(time.Second)
@@ -89,7 +89,7 @@
 	want := []home.Result{home.Placed, home.Placed, home.TimedOut}
 	var got []home.Result
 	for permit := range uint64(3) {
-		req := home.Ask{
+		req := home.PermitRequest{
 			Shard: id, Wait: time.Millisecond,
 			Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true},
 		}
@@ -106,7 +106,7 @@
 func TestTransferredShardServesUntilPermitsAreReleased(t *testing.T) {
 	h, _, _ := newHomes()
 	otherHome := func(place.ShardID) ident.Router { return "router-c" }
-	req := home.Ask{Shard: id, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
+	req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	h.Place(t.Context(), req, nil)
 	transfers := h.Misplaced(otherHome)
 	if len(transfers) != 1 || transfers[0].To != "router-c" || len(transfers[0].Places) != 1 {
@@ -144,7 +144,7 @@
 	two := place.Engine{ID: "engine-2", Hash: ident.Target("engine-2").Hash(), Incarnation: 1}
 	h.SetPool(pool, bound, place.NewRoster(1, []place.Engine{one, two}))
 	for permit := range uint64(4) {
-		req := home.Ask{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit + 1, Key: 7, Work: ident.OneRequest}}
+		req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit + 1, Key: 7, Work: ident.OneRequest}}
 		h.Place(t.Context(), req, nil)
 	}
 	highest := max(h.RequestsAt(pool, one.Hash), h.RequestsAt(pool, two.Hash))
@@ -160,7 +160,7 @@
 func TestShardOutsidePool(t *testing.T) {
 	h, _, _ := newHomes()
 	outside := place.ShardID{Pool: pool, Shard: 3}
-	req := home.Ask{Shard: outside, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
+	req := home.PermitRequest{Shard: outside, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	engine := place.Engine{ID: "engine-2", Hash: ident.Target("engine-2").Hash(), Incarnation: 1}
 	for _, shards := range []int{2, 1, 4, 2} {
 		if a := h.Place(t.Context(), req, nil); a.Result != home.Empty && a.Result != home.Placed {
--- a/internal/share/home/link.go
+++ b/internal/share/home/link.go
@@ -223,7 +223,7 @@
 }
 
 // place requests a permit and waits for the response.
-func (l *link) place(ctx context.Context, req Ask, released []uint64) (Answer, error) {
+func (l *link) place(ctx context.Context, req PermitRequest, released []uint64) (Answer, error) {
 	const op = "home.Place"
 	ch, open := l.register(req.Permit)
 	if !open {
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -11,7 +11,7 @@
 
 // queuedRequest is a permit request in the queue of its shard.
 type queuedRequest struct {
-	req      Ask
+	req      PermitRequest
 	shard    *shard
 	queuedAt time.Time
 	entry    *quota.Waiter
@@ -19,7 +19,7 @@
 }
 
 // Place processes a permit request. It waits for a free engine if the request allows that.
-func (h *Homes) Place(ctx context.Context, req Ask, released []uint64) Answer {
+func (h *Homes) Place(ctx context.Context, req PermitRequest, released []uint64) Answer {
 	resp, w := h.placeOrQueue(req, released)
 	if w == nil {
 		return resp
@@ -28,7 +28,7 @@
 }
 
 // placeOrQueue returns a response if there is one at once, and otherwise the queued request.
-func (h *Homes) placeOrQueue(req Ask, released []uint64) (Answer, *queuedRequest) {
+func (h *Homes) placeOrQueue(req PermitRequest, released []uint64) (Answer, *queuedRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, known := h.pools[req.Shard.Pool]; !known {
@@ -60,7 +60,7 @@
 }
 
 // newQueuedRequest returns a permit request with its queue entry, which is not queued yet.
-func (s *shard) newQueuedRequest(now time.Time, req Ask) *queuedRequest {
+func (s *shard) newQueuedRequest(now time.Time, req PermitRequest) *queuedRequest {
 	w := &queuedRequest{req: req, shard: s, queuedAt: now, response: make(chan Answer, 1)}
 	w.entry = &quota.Waiter{
 		Workspace: req.Workspace, Priority: req.Priority, Weight: req.Weight, Work: req.Work,
@@ -127,7 +127,7 @@
 
 // rejection returns a response without a permit. It contains a Retry-After delay only if the
 // request must be placed on this shard, which is the last one that the edge router tries.
-func (s *shard) rejection(now time.Time, req Ask, result Result) Answer {
+func (s *shard) rejection(now time.Time, req PermitRequest, result Result) Answer {
 	resp := Answer{Result: result, Held: s.home.Held(req.Edge), Work: s.home.SureWork()}
 	if req.Must {
 		queue, _ := s.rate.queueDelay(s.queue.Len())
@@ -137,7 +137,7 @@
 }
 
 // decisionResponse returns the response to a request that does not have to wait.
-func (s *shard) decisionResponse(now time.Time, req Ask, d place.Decision) Answer {
+func (s *shard) decisionResponse(now time.Time, req PermitRequest, d place.Decision) Answer {
 	if req.Must && d.Result == place.Full {
 		// Only engines that this edge router avoids have room, so its callers may be served
 		// elsewhere.
--- a/internal/share/home/queue_deadline_test.go
+++ b/internal/share/home/queue_deadline_test.go
@@ -23,7 +23,7 @@
 	permit := uint64(0)
 	request := func(priority int) (Answer, bool) {
 		permit++
-		a, w := h.placeOrQueue(Ask{
+		a, w := h.placeOrQueue(PermitRequest{
 			Request: place.Request{Edge: "edge", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, Must: true},
 			Shard:   id, Priority: priority, Wait: 400 * time.Millisecond,
 		}, nil)
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -55,7 +55,7 @@
 }
 
 // Place requests a permit from a home.
-func (r *Remote) Place(ctx context.Context, home ident.Router, req Ask, released []uint64) (Answer, error) {
+func (r *Remote) Place(ctx context.Context, home ident.Router, req PermitRequest, released []uint64) (Answer, error) {
 	if home == r.self {
 		return r.local.Place(ctx, req, released), nil
 	}
@@ -149,7 +149,7 @@
 
 // PlaceSize returns the encoded size of a permit request and its response in bytes, without
 // framing.
-func PlaceSize(req Ask, released []uint64, resp Answer) int {
+func PlaceSize(req PermitRequest, released []uint64, resp Answer) int {
 	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(resp))
 }
 
--- a/internal/share/home/request.go
+++ b/internal/share/home/request.go
@@ -26,8 +26,8 @@
 	Moved
 )
 
-// Ask is a permit request.
-type Ask struct {
+// PermitRequest is a permit request.
+type PermitRequest struct {
 	place.Request
 	Shard     place.ShardID
 	Workspace ident.Workspace
--- a/internal/share/home/reshard_test.go
+++ b/internal/share/home/reshard_test.go
@@ -24,7 +24,7 @@
 	const chats = 200
 	firstEngine := map[ident.ChatKey]ident.TargetHash{}
 	request := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.Answer {
-		return h.Place(t.Context(), home.Ask{
+		return h.Place(t.Context(), home.PermitRequest{
 			Shard:   place.ShardID{Pool: pool, Shard: shard},
 			Request: place.Request{Edge: "edge", Permit: permit, Key: key, Work: ident.OneRequest, Must: true},
 		}, nil)
--- a/internal/share/home/session.go
+++ b/internal/share/home/session.go
@@ -101,7 +101,7 @@
 }
 
 // permitRequest decodes a permit request of the session's edge router.
-func (s *session) permitRequest(m *peerpb.PlaceRequest) Ask {
+func (s *session) permitRequest(m *peerpb.PlaceRequest) PermitRequest {
 	permitRequest := decodePermitRequest(m)
 	permitRequest.Edge, permitRequest.Zone = s.edge, s.zone
 	permitRequest.Permit += s.base
--- a/internal/share/home/warm_slot_test.go
+++ b/internal/share/home/warm_slot_test.go
@@ -71,7 +71,7 @@
 func (m *overloadedHome) request(priority int, prefix ident.ChatKey) {
 	m.permit++
 	workspace := ident.Workspace(rune('a' + m.rng.IntN(8)))
-	a, w := m.homes.placeOrQueue(Ask{
+	a, w := m.homes.placeOrQueue(PermitRequest{
 		Request: place.Request{
 			Edge: "edge", Permit: m.permit, Key: prefix, Work: ident.OneRequest, Must: true,
 		},
