--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -333,10 +333,10 @@
 }
 
 // Place requests a permit from a home.
-func (n network) Place(ctx context.Context, to ident.Router, ask home.PermitRequest, released []uint64) (home.Answer, error) {
+func (n network) Place(ctx context.Context, to ident.Router, ask home.PermitRequest, released []uint64) (home.PermitResponse, error) {
 	node := n.h.node(to)
 	if node == nil {
-		return home.Answer{}, fault.New("measure.Place", home.Unreachable, nil)
+		return home.PermitResponse{}, fault.New("measure.Place", home.Unreachable, nil)
 	}
 	answer := node.homes.Place(ctx, ask, released)
 	if to != ask.Edge {
--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -35,7 +35,7 @@
 	id ident.Router
 }
 
-func (m simHomes) Place(ctx context.Context, _ ident.Router, request home.PermitRequest, released []uint64) (home.Answer, error) {
+func (m simHomes) Place(ctx context.Context, _ ident.Router, request home.PermitRequest, released []uint64) (home.PermitResponse, error) {
 	return m.homes.Place(ctx, request, released), nil
 }
 
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -70,7 +70,7 @@
 // returns unknown as true if the home offered a target that is not. Changes of targets reach the
 // two routers up to a second apart, and either may be ahead.
 func (r *Router) requestKnownTarget(ctx context.Context, p *pool, step place.Step, request Ask) (
-	resp home.Answer, placement *Placement, unknown bool, err error,
+	resp home.PermitResponse, placement *Placement, unknown bool, err error,
 ) {
 	for range 1 + maxUnknownRetries {
 		resp, placement, err = r.request(ctx, p, step, request)
@@ -125,7 +125,7 @@
 }
 
 // rejectionError returns the error for the response of the last home.
-func (r *Router) rejectionError(ctx context.Context, p *pool, shard ident.Shard, resp home.Answer) error {
+func (r *Router) rejectionError(ctx context.Context, p *pool, shard ident.Shard, resp home.PermitResponse) error {
 	const op = "route.Acquire"
 	r.mu.Lock()
 	p.saturatedUntil = r.clock().Add(saturationTTL)
@@ -155,7 +155,7 @@
 
 // request sends a permit request to one home. A response with result Placed but without a placement
 // means that the permit is for a target that this router does not have.
-func (r *Router) request(ctx context.Context, p *pool, step place.Step, request Ask) (home.Answer, *Placement, error) {
+func (r *Router) request(ctx context.Context, p *pool, step place.Step, request Ask) (home.PermitResponse, *Placement, error) {
 	id := place.ShardID{Pool: p.Name, Shard: step.Shard}
 	now := r.clock()
 	to, placeRequest, released, backoffs := r.preparePermitRequest(p, id, step, request, now)
@@ -254,7 +254,7 @@
 }
 
 // updateShardLoads records the shard loads of a permit response.
-func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.Answer) {
+func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.PermitResponse) {
 	p.state.NoteSum(now, place.Sum{Shard: shard, Work: resp.Work})
 	for _, sum := range resp.Sums {
 		p.state.NoteSum(now, sum)
@@ -263,7 +263,7 @@
 
 // acceptPermit returns the placement for a granted permit. The caller holds the lock.
 func (r *Router) acceptPermit(p *pool, id place.ShardID, to ident.Router,
-	placeRequest home.PermitRequest, resp home.Answer) (home.Answer, *Placement, error) {
+	placeRequest home.PermitRequest, resp home.PermitResponse) (home.PermitResponse, *Placement, error) {
 	target, ok := p.Target(resp.Engine)
 	if !ok {
 		r.queueRelease(id, placeRequest.Permit)
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -18,7 +18,7 @@
 
 // Homes calls the homes of shards and workspaces, on this router or its peers.
 type Homes interface {
-	Place(ctx context.Context, home ident.Router, request home.PermitRequest, released []uint64) (home.Answer, error)
+	Place(ctx context.Context, home ident.Router, request home.PermitRequest, released []uint64) (home.PermitResponse, error)
 	Release(ctx context.Context, home ident.Router, id place.ShardID, released []uint64) error
 	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error
 	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, upto uint64) error
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -47,13 +47,13 @@
 	return f.homes[to], nil
 }
 
-func (f *fleet) Place(ctx context.Context, to ident.Router, request home.PermitRequest, released []uint64) (home.Answer, error) {
+func (f *fleet) Place(ctx context.Context, to ident.Router, request home.PermitRequest, released []uint64) (home.PermitResponse, error) {
 	f.requested = append(f.requested, to)
 	f.failures = append(f.failures, request.Failed...)
 	f.backoffs = append(f.backoffs, request.Backoffs...)
 	h, err := f.homeAt(to)
 	if err != nil {
-		return home.Answer{}, err
+		return home.PermitResponse{}, err
 	}
 	if f.dropReleases {
 		released = nil
@@ -63,10 +63,10 @@
 		f.onPlace()
 	}
 	if f.heldUp {
-		return home.Answer{}, fault.New("test", home.HeldUp, nil)
+		return home.PermitResponse{}, fault.New("test", home.HeldUp, nil)
 	}
 	if f.dropResponses {
-		return home.Answer{}, fault.New("test", home.Unreachable, nil)
+		return home.PermitResponse{}, fault.New("test", home.Unreachable, nil)
 	}
 	return resp, nil
 }
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -112,7 +112,7 @@
 	}
 }
 
-func encodePermitResponse(resp Answer) *peerpb.PlaceReply {
+func encodePermitResponse(resp PermitResponse) *peerpb.PlaceReply {
 	rule, load, mean := encodeBasis(resp.Basis)
 	return &peerpb.PlaceReply{
 		Result:       peerpb.PlaceResult(resp.Result),
@@ -129,8 +129,8 @@
 	}
 }
 
-func decodePermitResponse(m *peerpb.PlaceReply) Answer {
-	return Answer{
+func decodePermitResponse(m *peerpb.PlaceReply) PermitResponse {
+	return PermitResponse{
 		Result:     Result(m.GetResult()),
 		Engine:     ident.TargetHash(m.GetEngine()),
 		Warm:       m.GetWarm(),
--- a/internal/share/home/codec_test.go
+++ b/internal/share/home/codec_test.go
@@ -14,7 +14,7 @@
 // request.
 func TestBasisRoundTrip(t *testing.T) {
 	for _, rule := range []place.Rule{place.WithinBound, place.LeastLoaded, place.BeyondSlots} {
-		want := Answer{
+		want := PermitResponse{
 			Result: Placed, Engine: 7,
 			Basis: place.Basis{Rule: rule, Load: 12 * ident.OneRequest, Mean: 64 * ident.OneRequest / 10},
 		}
@@ -22,7 +22,7 @@
 			t.Error(diff)
 		}
 	}
-	rejected := Answer{Result: Shed, Held: 3}
+	rejected := PermitResponse{Result: Shed, Held: 3}
 	if diff := cmp.Diff(rejected, decodePermitResponse(encodePermitResponse(rejected)), cmpopts.EquateEmpty()); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/share/home/fleet_test.go
+++ b/internal/share/home/fleet_test.go
@@ -110,11 +110,11 @@
 	return c.f.member(to).homes, nil
 }
 
-func (c directCaller) Place(ctx context.Context, to ident.Router, req home.PermitRequest, released []uint64) (home.Answer, error) {
+func (c directCaller) Place(ctx context.Context, to ident.Router, req home.PermitRequest, released []uint64) (home.PermitResponse, error) {
 	// A response that arrives too late leaves its permit at the home.
 	a := c.f.member(to).homes.Place(ctx, req, released)
 	if _, err := c.homesAt(to); err != nil {
-		return home.Answer{}, err
+		return home.PermitResponse{}, err
 	}
 	return a, nil
 }
--- a/internal/share/home/link.go
+++ b/internal/share/home/link.go
@@ -23,7 +23,7 @@
 	done   chan struct{}
 	mu     sync.Mutex
 	// pending are the requests without a response, by permit.
-	pending map[uint64]chan Answer
+	pending map[uint64]chan PermitResponse
 	closed  bool
 	// localFailure is set when the link failed because this router lacks a resource.
 	localFailure bool
@@ -76,7 +76,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	l := &link{
 		cancel: cancel, out: make(chan linkItem, maxLinkQueue), done: make(chan struct{}),
-		pending: map[uint64]chan Answer{}, base: self.Base,
+		pending: map[uint64]chan PermitResponse{}, base: self.Base,
 	}
 	stream := client.Link(ctx)
 	go l.send(stream, self)
@@ -162,7 +162,7 @@
 }
 
 // deliver passes a response to the pending request.
-func (l *link) deliver(permit uint64, resp Answer) {
+func (l *link) deliver(permit uint64, resp PermitResponse) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.missedResponses = 0
@@ -223,38 +223,38 @@
 }
 
 // place requests a permit and waits for the response.
-func (l *link) place(ctx context.Context, req PermitRequest, released []uint64) (Answer, error) {
+func (l *link) place(ctx context.Context, req PermitRequest, released []uint64) (PermitResponse, error) {
 	const op = "home.Place"
 	ch, open := l.register(req.Permit)
 	if !open {
-		return Answer{}, l.closedError()
+		return PermitResponse{}, l.closedError()
 	}
 	if !l.enqueue(linkItem{place: encodePermitRequest(req, released, l.base)}) {
 		l.unregister(req.Permit)
-		return Answer{}, fault.New(op, Unreachable, nil)
+		return PermitResponse{}, fault.New(op, Unreachable, nil)
 	}
 	select {
 	case resp, ok := <-ch:
 		if !ok {
-			return Answer{}, l.closedError()
+			return PermitResponse{}, l.closedError()
 		}
 		return resp, nil
 	case <-ctx.Done():
 		l.unregister(req.Permit)
 		l.enqueue(linkItem{cancel: req.Permit - l.base})
-		return Answer{}, fault.New(op, Unreachable, ctx.Err())
+		return PermitResponse{}, fault.New(op, Unreachable, ctx.Err())
 	}
 }
 
 // register registers a pending request and returns the channel of its response. It returns false if
 // the link is closed.
-func (l *link) register(permit uint64) (<-chan Answer, bool) {
+func (l *link) register(permit uint64) (<-chan PermitResponse, bool) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if l.closed {
 		return nil, false
 	}
-	ch := make(chan Answer, 1)
+	ch := make(chan PermitResponse, 1)
 	l.pending[permit] = ch
 	return ch, true
 }
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -15,11 +15,11 @@
 	shard    *shard
 	queuedAt time.Time
 	entry    *quota.Waiter
-	response chan Answer
+	response chan PermitResponse
 }
 
 // Place processes a permit request. It waits for a free engine if the request allows that.
-func (h *Homes) Place(ctx context.Context, req PermitRequest, released []uint64) Answer {
+func (h *Homes) Place(ctx context.Context, req PermitRequest, released []uint64) PermitResponse {
 	resp, w := h.placeOrQueue(req, released)
 	if w == nil {
 		return resp
@@ -28,12 +28,12 @@
 }
 
 // placeOrQueue returns a response if there is one at once, and otherwise the queued request.
-func (h *Homes) placeOrQueue(req PermitRequest, released []uint64) (Answer, *queuedRequest) {
+func (h *Homes) placeOrQueue(req PermitRequest, released []uint64) (PermitResponse, *queuedRequest) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if _, known := h.pools[req.Shard.Pool]; !known {
 		// A home without the pool's engines cannot grant permits.
-		return Answer{Result: Empty}, nil
+		return PermitResponse{Result: Empty}, nil
 	}
 	s := h.getOrCreate(req.Shard)
 	h.release(s, req.Edge, released)
@@ -56,12 +56,12 @@
 	}
 	s.enqueue(now, w)
 	h.dispatch(s)
-	return Answer{}, w
+	return PermitResponse{}, w
 }
 
 // newQueuedRequest returns a permit request with its queue entry, which is not queued yet.
 func (s *shard) newQueuedRequest(now time.Time, req PermitRequest) *queuedRequest {
-	w := &queuedRequest{req: req, shard: s, queuedAt: now, response: make(chan Answer, 1)}
+	w := &queuedRequest{req: req, shard: s, queuedAt: now, response: make(chan PermitResponse, 1)}
 	w.entry = &quota.Waiter{
 		Workspace: req.Workspace, Priority: req.Priority, Weight: req.Weight, Work: req.Work,
 		Deadline: now.Add(req.Wait), Value: w,
@@ -85,7 +85,7 @@
 }
 
 // await waits for the response to a queued request for as long as the request can wait.
-func (h *Homes) await(ctx context.Context, w *queuedRequest) Answer {
+func (h *Homes) await(ctx context.Context, w *queuedRequest) PermitResponse {
 	timer := time.NewTimer(w.req.Wait)
 	defer timer.Stop()
 	select {
@@ -100,7 +100,7 @@
 
 // abandon removes a request from the queue. If callerGone is set, a permit granted in the meantime
 // is released.
-func (h *Homes) abandon(w *queuedRequest, callerGone bool) Answer {
+func (h *Homes) abandon(w *queuedRequest, callerGone bool) PermitResponse {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s := w.shard
@@ -127,8 +127,8 @@
 
 // rejection returns a response without a permit. It contains a Retry-After delay only if the
 // request must be placed on this shard, which is the last one that the edge router tries.
-func (s *shard) rejection(now time.Time, req PermitRequest, result Result) Answer {
-	resp := Answer{Result: result, Held: s.home.Held(req.Edge), Work: s.home.SureWork()}
+func (s *shard) rejection(now time.Time, req PermitRequest, result Result) PermitResponse {
+	resp := PermitResponse{Result: result, Held: s.home.Held(req.Edge), Work: s.home.SureWork()}
 	if req.Must {
 		queue, _ := s.rate.queueDelay(s.queue.Len())
 		resp.RetryAfter = s.retryDelays.Tell(now, s.rate.requestsPerSecond(), queue)
@@ -137,7 +137,7 @@
 }
 
 // decisionResponse returns the response to a request that does not have to wait.
-func (s *shard) decisionResponse(now time.Time, req PermitRequest, d place.Decision) Answer {
+func (s *shard) decisionResponse(now time.Time, req PermitRequest, d place.Decision) PermitResponse {
 	if req.Must && d.Result == place.Full {
 		// Only engines that this edge router avoids have room, so its callers may be served
 		// elsewhere.
@@ -147,8 +147,8 @@
 }
 
 // response returns the response for a placement decision.
-func (s *shard) response(now time.Time, edge ident.Router, d place.Decision) Answer {
-	resp := Answer{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), Sums: s.home.NextSums(now), Basis: d.Basis}
+func (s *shard) response(now time.Time, edge ident.Router, d place.Decision) PermitResponse {
+	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), Sums: s.home.NextSums(now), Basis: d.Basis}
 	switch d.Result {
 	case place.Placed:
 		resp.Result = Placed
--- a/internal/share/home/queue_deadline_test.go
+++ b/internal/share/home/queue_deadline_test.go
@@ -21,7 +21,7 @@
 	h.SetPool("p", place.DefaultBound, place.NewRoster(1, []place.Engine{engine}))
 	id := place.ShardID{Pool: "p"}
 	permit := uint64(0)
-	request := func(priority int) (Answer, bool) {
+	request := func(priority int) (PermitResponse, bool) {
 		permit++
 		a, w := h.placeOrQueue(PermitRequest{
 			Request: place.Request{Edge: "edge", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, Must: true},
@@ -42,7 +42,7 @@
 		t.Errorf("20 queued at 10 releases per second: Retry-After delay %v, want 2.1 s", a.RetryAfter)
 	}
 	a.RetryAfter = 0
-	if diff := cmp.Diff(Answer{Result: Shed, Held: 1, Work: ident.OneRequest}, a); diff != "" || queued {
+	if diff := cmp.Diff(PermitResponse{Result: Shed, Held: 1, Work: ident.OneRequest}, a); diff != "" || queued {
 		t.Errorf("20 queued at 10 releases per second: queued %v: %s", queued, diff)
 	}
 	if a, queued := request(1); !queued {
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -55,13 +55,13 @@
 }
 
 // Place requests a permit from a home.
-func (r *Remote) Place(ctx context.Context, home ident.Router, req PermitRequest, released []uint64) (Answer, error) {
+func (r *Remote) Place(ctx context.Context, home ident.Router, req PermitRequest, released []uint64) (PermitResponse, error) {
 	if home == r.self {
 		return r.local.Place(ctx, req, released), nil
 	}
 	l, err := r.links.to(home)
 	if err != nil {
-		return Answer{}, err
+		return PermitResponse{}, err
 	}
 	start := time.Now()
 	maxWait := r.timeout + req.Wait
@@ -149,7 +149,7 @@
 
 // PlaceSize returns the encoded size of a permit request and its response in bytes, without
 // framing.
-func PlaceSize(req PermitRequest, released []uint64, resp Answer) int {
+func PlaceSize(req PermitRequest, released []uint64, resp PermitResponse) int {
 	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(resp))
 }
 
--- a/internal/share/home/request.go
+++ b/internal/share/home/request.go
@@ -45,8 +45,8 @@
 	Backoffs []place.Backoff
 }
 
-// Answer is the response to a permit request.
-type Answer struct {
+// PermitResponse is the response to a permit request.
+type PermitResponse struct {
 	Result Result
 	Engine ident.TargetHash
 	Warm   bool
--- a/internal/share/home/reshard_test.go
+++ b/internal/share/home/reshard_test.go
@@ -23,7 +23,7 @@
 	before.SetPool(pool, place.BoundOf(4), place.NewRoster(1, engines))
 	const chats = 200
 	firstEngine := map[ident.ChatKey]ident.TargetHash{}
-	request := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.Answer {
+	request := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.PermitResponse {
 		return h.Place(t.Context(), home.PermitRequest{
 			Shard:   place.ShardID{Pool: pool, Shard: shard},
 			Request: place.Request{Edge: "edge", Permit: permit, Key: key, Work: ident.OneRequest, Must: true},
--- a/internal/share/home/session.go
+++ b/internal/share/home/session.go
@@ -110,7 +110,7 @@
 }
 
 // respond queues the response to a permit request.
-func (s *session) respond(permit uint64, resp Answer) {
+func (s *session) respond(permit uint64, resp PermitResponse) {
 	m := encodePermitResponse(resp)
 	m.Permit = permit - s.base
 	select {
--- a/internal/share/home/transfer.go
+++ b/internal/share/home/transfer.go
@@ -92,12 +92,12 @@
 	for {
 		next, expired := s.queue.Pop(time.Time{})
 		for _, w := range expired {
-			w.Value.(*queuedRequest).response <- Answer{Result: Moved}
+			w.Value.(*queuedRequest).response <- PermitResponse{Result: Moved}
 		}
 		if next == nil {
 			break
 		}
-		next.Value.(*queuedRequest).response <- Answer{Result: Moved}
+		next.Value.(*queuedRequest).response <- PermitResponse{Result: Moved}
 	}
 	// The new home receives the permits that are still counted here only from the next digest.
 	h.markUrgent(s)
--- a/internal/share/home/warm_slot_test.go
+++ b/internal/share/home/warm_slot_test.go
@@ -85,7 +85,7 @@
 }
 
 // recordResponse counts a response and schedules the release of its permit.
-func (m *overloadedHome) recordResponse(a Answer, priority int, permit uint64, waited time.Duration) {
+func (m *overloadedHome) recordResponse(a PermitResponse, priority int, permit uint64, waited time.Duration) {
 	if a.Result != Placed {
 		m.rejected[priority]++
 		if m.uncached[permit] {
