--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -285,7 +285,7 @@
 
 func (h *homesStrategy) choose(w *simulation, r *request) *engine {
 	h.choices++
-	placement, err := h.nodes[r.router].router.Acquire(context.Background(), route.Ask{
+	placement, err := h.nodes[r.router].router.Acquire(context.Background(), route.TargetRequest{
 		Service: service, Key: r.chat.key, Work: ident.OneRequest, Deadline: w.now,
 	})
 	if err != nil {
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -20,7 +20,7 @@
 // Finder places requests at targets.
 type Finder interface {
 	// Acquire waits for a target. The caller must release the placement.
-	Acquire(ctx context.Context, ask route.Ask) (*route.Placement, error)
+	Acquire(ctx context.Context, ask route.TargetRequest) (*route.Placement, error)
 	// Report records whether a target answered a request correctly.
 	Report(target ident.TargetHash, ok bool)
 	// ReportCancelled records the end of a request that gives no evidence about its target.
--- a/internal/edge/entry/job.go
+++ b/internal/edge/entry/job.go
@@ -113,8 +113,8 @@
 
 // placementRequest returns the request to the finder. The expected time is that from the placement
 // to the first byte of the answer.
-func (j *job) placementRequest(expected time.Duration) route.Ask {
-	return route.Ask{
+func (j *job) placementRequest(expected time.Duration) route.TargetRequest {
+	return route.TargetRequest{
 		Service:   j.service,
 		Workspace: j.workspace.Name,
 		Weight:    1,
--- a/internal/edge/entry/overload_test.go
+++ b/internal/edge/entry/overload_test.go
@@ -19,7 +19,7 @@
 // connections after five seconds at four times the traffic, and accepted no more callers.
 func TestRejectedCallersLeaveNoConnections(t *testing.T) {
 	s := newSetup(t, newRoute(nil))
-	s.finder.acquire = func(context.Context, route.Ask) (*route.Placement, error) {
+	s.finder.acquire = func(context.Context, route.TargetRequest) (*route.Placement, error) {
 		return nil, fault.New("route.Acquire", route.TimedOut, route.RetryAfter{})
 	}
 	var open atomic.Int64
--- a/internal/edge/entry/quarantine_test.go
+++ b/internal/edge/entry/quarantine_test.go
@@ -24,7 +24,7 @@
 	upstream := newFakeTarget(t, answer(200, "", "body"))
 	s := newSetup(t, newRoute(nil), upstream)
 	suspect := ident.NewFingerprint("w", "h", ident.HashRequest("POST", "/x", []byte("body")))
-	s.finder.acquire = func(context.Context, route.Ask) (*route.Placement, error) {
+	s.finder.acquire = func(context.Context, route.TargetRequest) (*route.Placement, error) {
 		s.handler.Guard.(*guard.Guard).Incoming([]crash.Suspect{{Request: suspect, Ends: []crash.End{
 			{Start: 1, At: time.Now()}, {Start: 2, At: time.Now()},
 		}}})
@@ -64,7 +64,7 @@
 // countAcquires counts the calls of the finder's Acquire.
 func countAcquires(s *setup) *int {
 	count := 0
-	s.finder.acquire = func(ctx context.Context, ask route.Ask) (*route.Placement, error) {
+	s.finder.acquire = func(ctx context.Context, ask route.TargetRequest) (*route.Placement, error) {
 		count++
 		return (&finder{targets: s.finder.targets}).Acquire(ctx, ask)
 	}
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -69,10 +69,10 @@
 	// holder is the cache holder of each placement.
 	holder *route.Target
 	// acquire replaces Acquire if it is set.
-	acquire func(context.Context, route.Ask) (*route.Placement, error)
+	acquire func(context.Context, route.TargetRequest) (*route.Placement, error)
 }
 
-func (f *finder) Acquire(ctx context.Context, ask route.Ask) (*route.Placement, error) {
+func (f *finder) Acquire(ctx context.Context, ask route.TargetRequest) (*route.Placement, error) {
 	if f.acquire != nil {
 		return f.acquire(ctx, ask)
 	}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -25,7 +25,7 @@
 
 // Finder finds targets for requests and enforces the rate limits of workspaces.
 type Finder interface {
-	Acquire(ctx context.Context, ask route.Ask) (*route.Placement, error)
+	Acquire(ctx context.Context, ask route.TargetRequest) (*route.Placement, error)
 	Admit(ctx context.Context, w policy.Workspace) error
 	Report(target ident.TargetHash, ok bool)
 	ReportCancelled(target ident.TargetHash)
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -67,7 +67,7 @@
 
 func (p *fakeParts) InForce() config.InForce { return config.InForce{Revision: 1, Set: p.set} }
 
-func (p *fakeParts) Acquire(context.Context, route.Ask) (*route.Placement, error) {
+func (p *fakeParts) Acquire(context.Context, route.TargetRequest) (*route.Placement, error) {
 	p.acquired++
 	return &route.Placement{Target: route.Target{ID: "t", Addr: "127.0.0.1:1"}}, p.acquire
 }
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -201,8 +201,8 @@
 }
 
 // placementRequest returns the request to the finder for the next attempt.
-func (j *job) placementRequest() route.Ask {
-	return route.Ask{
+func (j *job) placementRequest() route.TargetRequest {
+	return route.TargetRequest{
 		Service:   j.service.Name,
 		Workspace: j.workspace.Name,
 		Weight:    j.workspace.Weight,
--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -132,7 +132,7 @@
 func (c *fleetSim) send(r *route.Router, key ident.ChatKey) *route.Placement {
 	var avoid []ident.TargetHash
 	for range maxAttempts {
-		p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest, Avoid: avoid})
+		p, err := r.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: key, Work: ident.OneRequest, Avoid: avoid})
 		if err != nil {
 			break
 		}
@@ -173,7 +173,7 @@
 
 // acquireNow requests a placement without waiting.
 func acquireNow(r *route.Router) (*route.Placement, error) {
-	return r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 1, Work: ident.OneRequest})
+	return r.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: 1, Work: ident.OneRequest})
 }
 
 // If all targets are in backoff, the request is rejected at once without a permit request, with the
@@ -215,7 +215,7 @@
 	r.ReportUnreachable(other)
 	f.now = f.now.Add(2 * time.Second)
 	for _, avoid := range [][]ident.TargetHash{nil, {other}, {rejecting, other}} {
-		p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 1, Work: ident.OneRequest, Avoid: avoid})
+		p, err := r.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: 1, Work: ident.OneRequest, Avoid: avoid})
 		if err != nil || p.Target.ID != "engine-2" {
 			t.Errorf("avoiding %v: got %+v, %v, want engine-2", avoid, p, err)
 		}
--- a/internal/edge/route/choose.go
+++ b/internal/edge/route/choose.go
@@ -11,7 +11,7 @@
 )
 
 // placeLocally places a request by this router's own counts alone.
-func (r *Router) placeLocally(p *pool, request Ask) (*Placement, error) {
+func (r *Router) placeLocally(p *pool, request TargetRequest) (*Placement, error) {
 	const op = "route.Acquire"
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -57,7 +57,7 @@
 // Targets that accept no requests or are excluded are always avoided. Targets that failed this
 // request before and those with an open circuit breaker are avoided only as long as other targets
 // remain.
-func (r *Router) avoidedTargets(p *pool, request Ask) (avoid, unreachable []ident.TargetHash) {
+func (r *Router) avoidedTargets(p *pool, request TargetRequest) (avoid, unreachable []ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	now := r.clock()
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -17,7 +17,7 @@
 
 // searchShards requests a permit from the homes of the pool's shards, in the order of the search.
 // It returns retry as true if a shard's home changed in the meantime.
-func (r *Router) searchShards(ctx context.Context, p *pool, request Ask) (placement *Placement, retry bool, err error) {
+func (r *Router) searchShards(ctx context.Context, p *pool, request TargetRequest) (placement *Placement, retry bool, err error) {
 	r.mu.Lock()
 	search := p.state.NewSearch(request.Key, r.clock().Before(p.saturatedUntil))
 	skipHomes := r.isolated()
@@ -69,7 +69,7 @@
 // requestKnownTarget requests a permit from one home, on a target that is in this router's pool. It
 // returns unknown as true if the home offered a target that is not. Changes of targets reach the
 // two routers up to a second apart, and either may be ahead.
-func (r *Router) requestKnownTarget(ctx context.Context, p *pool, step place.Step, request Ask) (
+func (r *Router) requestKnownTarget(ctx context.Context, p *pool, step place.Step, request TargetRequest) (
 	resp home.PermitResponse, placement *Placement, unknown bool, err error,
 ) {
 	for range 1 + maxUnknownRetries {
@@ -145,7 +145,7 @@
 }
 
 // placeWithoutHome places a request locally after a home did not respond.
-func (r *Router) placeWithoutHome(ctx context.Context, p *pool, request Ask, cause error) (*Placement, bool, error) {
+func (r *Router) placeWithoutHome(ctx context.Context, p *pool, request TargetRequest, cause error) (*Placement, bool, error) {
 	if ctx.Err() != nil {
 		return nil, false, fault.New("route.Acquire", Gone, cause)
 	}
@@ -155,7 +155,7 @@
 
 // request sends a permit request to one home. A response with result Placed but without a placement
 // means that the permit is for a target that this router does not have.
-func (r *Router) request(ctx context.Context, p *pool, step place.Step, request Ask) (home.PermitResponse, *Placement, error) {
+func (r *Router) request(ctx context.Context, p *pool, step place.Step, request TargetRequest) (home.PermitResponse, *Placement, error) {
 	id := place.ShardID{Pool: p.Name, Shard: step.Shard}
 	now := r.clock()
 	to, placeRequest, released, backoffs := r.preparePermitRequest(p, id, step, request, now)
@@ -193,7 +193,7 @@
 
 // preparePermitRequest returns the permit request with the released permits and the backoffs that
 // are sent with it.
-func (r *Router) preparePermitRequest(p *pool, id place.ShardID, step place.Step, request Ask, now time.Time) (
+func (r *Router) preparePermitRequest(p *pool, id place.ShardID, step place.Step, request TargetRequest, now time.Time) (
 	to ident.Router, placeRequest home.PermitRequest, released []uint64, backoffs map[ident.TargetHash]backoff,
 ) {
 	r.mu.Lock()
@@ -231,7 +231,7 @@
 }
 
 // placeRequest returns the placement constraints of a request. The caller holds the lock.
-func (r *Router) placeRequest(p *pool, request Ask) place.Request {
+func (r *Router) placeRequest(p *pool, request TargetRequest) place.Request {
 	return place.Request{
 		Edge: r.self.ID, Key: request.Key, Work: request.Work, Zone: r.self.Zone,
 		Avoid: request.Avoid, Lost: request.unreachable, Last: p.state.Last(request.Key), Once: request.Once,
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -55,8 +55,8 @@
 	AfterFunc func(time.Duration, func())
 }
 
-// Ask is one request that needs a target.
-type Ask struct {
+// TargetRequest is one request that needs a target.
+type TargetRequest struct {
 	Service   ident.Service
 	Workspace ident.Workspace
 	Weight    int
@@ -303,7 +303,7 @@
 const offersRetryAfter = time.Second
 
 // Acquire finds a target and counts the request there until the placement is released.
-func (r *Router) Acquire(ctx context.Context, request Ask) (*Placement, error) {
+func (r *Router) Acquire(ctx context.Context, request TargetRequest) (*Placement, error) {
 	const op = "route.Acquire"
 	for range maxOffers {
 		p, err := r.poolFor(request.Service)
@@ -325,7 +325,7 @@
 }
 
 // findInPool finds a target in a pool. A home may offer a target that this router must not use.
-func (r *Router) findInPool(ctx context.Context, p *pool, request Ask) (*Placement, error) {
+func (r *Router) findInPool(ctx context.Context, p *pool, request TargetRequest) (*Placement, error) {
 	request.Avoid, request.unreachable = r.avoidedTargets(p, request)
 	if p.Service.Balance == policy.Local {
 		return r.placeLocally(p, request)
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -160,7 +160,7 @@
 
 func acquire(t *testing.T, r *route.Router, key ident.ChatKey) *route.Placement {
 	t.Helper()
-	p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest})
+	p, err := r.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: key, Work: ident.OneRequest})
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -295,7 +295,7 @@
 	f.runDeferred()
 	f.dropReleases = false
 	for range 4 {
-		if p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: 3, Work: ident.OneRequest}); err == nil {
+		if p, err := r.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: 3, Work: ident.OneRequest}); err == nil {
 			p.Release()
 		}
 		f.runDeferred()
--- a/internal/edge/route/throttle.go
+++ b/internal/edge/route/throttle.go
@@ -97,7 +97,7 @@
 
 // throttleOf returns the throttle of a request's class, which it creates on first use. The caller
 // holds the lock.
-func (p *pool) throttleOf(request Ask) *throttle {
+func (p *pool) throttleOf(request TargetRequest) *throttle {
 	key := requestClass{workspace: request.Workspace, priority: request.Priority}
 	t, known := p.throttles[key]
 	if !known {
@@ -111,7 +111,7 @@
 }
 
 // checkThrottle returns an error for a request that a home would reject.
-func (r *Router) checkThrottle(p *pool, request Ask) error {
+func (r *Router) checkThrottle(p *pool, request TargetRequest) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := p.throttleOf(request)
@@ -133,7 +133,7 @@
 
 // recordOutcome records the outcome of a request in its throttle. Every outcome but a rejection by
 // a home counts as granted.
-func (r *Router) recordOutcome(p *pool, request Ask, err error) {
+func (r *Router) recordOutcome(p *pool, request TargetRequest, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	t := p.throttleOf(request)
--- a/internal/edge/route/unknown_test.go
+++ b/internal/edge/route/unknown_test.go
@@ -43,7 +43,7 @@
 			f, r, assigned := newFleet()
 			f.setUnknownEngines(c.count, c.replace)
 			for key := range ident.ChatKey(100) {
-				p, err := r.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest})
+				p, err := r.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: key, Work: ident.OneRequest})
 				if err != nil {
 					t.Fatalf("chat %d was rejected although two targets are idle: %v", key, err)
 				}
--- a/internal/share/home/fleet_test.go
+++ b/internal/share/home/fleet_test.go
@@ -238,7 +238,7 @@
 	if f.rng.IntN(3) == 0 {
 		key = ident.ChatKey(1001 + f.rng.IntN(3))
 	}
-	p, err := m.router.Acquire(context.Background(), route.Ask{Service: "judge", Key: key, Work: ident.OneRequest, Deadline: f.now})
+	p, err := m.router.Acquire(context.Background(), route.TargetRequest{Service: "judge", Key: key, Work: ident.OneRequest, Deadline: f.now})
 	if err != nil {
 		return
 	}
--- a/internal/share/home/surge_test.go
+++ b/internal/share/home/surge_test.go
@@ -37,7 +37,7 @@
 			if !on() {
 				return
 			}
-			req := route.Ask{Service: "judge", Key: ident.ChatKey(1 + f.rng.IntN(surgePrefixes)), Work: ident.OneRequest, Deadline: f.now}
+			req := route.TargetRequest{Service: "judge", Key: ident.ChatKey(1 + f.rng.IntN(surgePrefixes)), Work: ident.OneRequest, Deadline: f.now}
 			counts.sent++
 			p, err := m.router.Acquire(context.Background(), req)
 			if err != nil {
