--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -331,9 +331,9 @@
 	remote, closeRemote := home.NewRemote(home.Edge{ID: "router-edge", Zone: "zone-a", Base: base}, nil, fixedClient{client}, 5*time.Second)
 	defer closeRemote()
 	id := place.ShardID{Pool: pool}
-	var sums []place.Sum
+	var sums []place.ShardLoad
 	for i := 1; i < min(shards, 5); i++ {
-		sums = append(sums, place.Sum{Shard: ident.Shard(i), Age: 400 * time.Millisecond, Work: 105_000})
+		sums = append(sums, place.ShardLoad{Shard: ident.Shard(i), Age: 400 * time.Millisecond, Work: 105_000})
 	}
 	const firstPermit = base + 1_000_000
 	var c linkCosts
--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -27,9 +27,9 @@
 	Places []ChatPlace
 }
 
-// Sum is the load of one shard as published by its home some time ago. Sums are sent with permit
+// ShardLoad is the load of one shard as published by its home some time ago. Sums are sent with permit
 // requests and responses, so that homes compute the pool's mean without additional messages.
-type Sum struct {
+type ShardLoad struct {
 	Shard ident.Shard
 	Age   time.Duration
 	Work  ident.Work
@@ -42,7 +42,7 @@
 }
 
 // update stores a shard load if it is newer than the stored one, and reports whether it was.
-func (s *shardLoads) update(now time.Time, sum Sum) bool {
+func (s *shardLoads) update(now time.Time, sum ShardLoad) bool {
 	if sum.Shard >= MaxShards {
 		return false
 	}
@@ -125,7 +125,7 @@
 func (h *Home) SureWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
 
 // MergeSums merges the loads of other shards that an edge router sent.
-func (h *Home) MergeSums(now time.Time, list []Sum) {
+func (h *Home) MergeSums(now time.Time, list []ShardLoad) {
 	for _, s := range list {
 		if s.Shard != h.id.Shard {
 			h.shardLoads.update(now, s)
@@ -138,8 +138,8 @@
 
 // NextSums returns the loads of some other shards, in rotation, so that shard loads spread between
 // edge routers through the homes to which they send permit requests.
-func (h *Home) NextSums(now time.Time) []Sum {
-	var out []Sum
+func (h *Home) NextSums(now time.Time) []ShardLoad {
+	var out []ShardLoad
 	shards := len(h.weights)
 	for range shards {
 		h.lastSentShard = (h.lastSentShard + 1) % shards
@@ -148,7 +148,7 @@
 		if ident.Shard(h.lastSentShard) == h.id.Shard || age > h.bound.DigestLife {
 			continue
 		}
-		out = append(out, Sum{Shard: ident.Shard(h.lastSentShard), Age: age, Work: s.work})
+		out = append(out, ShardLoad{Shard: ident.Shard(h.lastSentShard), Age: age, Work: s.work})
 		if len(out) == maxLoadsPerResponse {
 			break
 		}
@@ -163,7 +163,7 @@
 		return
 	}
 	if d.ID.Shard != h.id.Shard {
-		h.shardLoads.update(now, Sum{Shard: d.ID.Shard, Work: d.Work})
+		h.shardLoads.update(now, ShardLoad{Shard: d.ID.Shard, Work: d.Work})
 		return
 	}
 	if old, ok := h.peerShare[d.Home]; ok && old.digest.Seq >= d.Seq {
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -138,17 +138,17 @@
 }
 
 // NoteSum stores a shard's load received from its home.
-func (p *Pool) NoteSum(now time.Time, sum Sum) { p.shardLoads.update(now, sum) }
+func (p *Pool) NoteSum(now time.Time, sum ShardLoad) { p.shardLoads.update(now, sum) }
 
 // SumsFor appends to out the shard loads that this router has received since its last permit
 // request to a shard's home.
-func (p *Pool) SumsFor(now time.Time, to ident.Shard, out []Sum) []Sum {
+func (p *Pool) SumsFor(now time.Time, to ident.Shard, out []ShardLoad) []ShardLoad {
 	since := p.lastRequest[to]
 	p.lastRequest[to] = now
 	for i := range p.shardLoads[:p.Shards()] {
 		s := &p.shardLoads[i]
 		if ident.Shard(i) != to && s.at.After(since) && now.Sub(s.at) <= p.bound.DigestLife {
-			out = append(out, Sum{Shard: ident.Shard(i), Age: now.Sub(s.at), Work: s.work})
+			out = append(out, ShardLoad{Shard: ident.Shard(i), Age: now.Sub(s.at), Work: s.work})
 		}
 	}
 	return out
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -69,7 +69,7 @@
 	return out
 }
 
-func encodeShardLoads(sums []place.Sum) []*peerpb.Sum {
+func encodeShardLoads(sums []place.ShardLoad) []*peerpb.Sum {
 	out := make([]*peerpb.Sum, 0, len(sums))
 	for _, s := range sums {
 		out = append(out, &peerpb.Sum{Shard: uint32(s.Shard), AgeMs: uint32(s.Age.Milliseconds()), Work: int64(s.Work)})
@@ -77,10 +77,10 @@
 	return out
 }
 
-func decodeShardLoads(in []*peerpb.Sum) []place.Sum {
-	out := make([]place.Sum, 0, len(in))
+func decodeShardLoads(in []*peerpb.Sum) []place.ShardLoad {
+	out := make([]place.ShardLoad, 0, len(in))
 	for _, s := range in {
-		out = append(out, place.Sum{
+		out = append(out, place.ShardLoad{
 			Shard: ident.Shard(s.GetShard()), Age: time.Duration(s.GetAgeMs()) * time.Millisecond, Work: ident.Work(s.GetWork()),
 		})
 	}
--- a/internal/share/home/request.go
+++ b/internal/share/home/request.go
@@ -36,7 +36,7 @@
 	// Wait is how much longer the request can wait.
 	Wait time.Duration
 	// Sums are the loads of other shards as last received by the edge router.
-	Sums []place.Sum
+	Sums []place.ShardLoad
 	// Failed are the engines of the shard that have failed requests of the edge router since its
 	// previous permit request, one entry per failed request.
 	Failed []ident.TargetHash
@@ -58,7 +58,7 @@
 	Held int
 	// Work is the load of the shard after this response. Sums are the loads of some other shards.
 	Work ident.Work
-	Sums []place.Sum
+	Sums []place.ShardLoad
 	// Basis is the rule and the loads that decided a placement.
 	Basis place.Basis
 }
