--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -343,7 +343,7 @@
 			Request: place.Request{
 				Edge: "router-edge", Permit: permit, Key: ident.ChatKey(ident.Mix(uint64(i), 2)), Work: ident.OneRequest, Zone: "zone-a",
 			},
-			Shard: id, Workspace: "workspace-17", Weight: 1, Priority: 5, Sums: sums,
+			Shard: id, Workspace: "workspace-17", Weight: 1, Priority: 5, ShardLoads: sums,
 		}, nil)
 		if err != nil {
 			panic(err)
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -212,14 +212,14 @@
 	backoffs, included := r.takeBackoffs(id, now)
 	r.stats.Asked++
 	placeRequest = home.PermitRequest{
-		Request:   r.placeRequest(p, request),
-		Shard:     id,
-		Workspace: request.Workspace,
-		Weight:    request.Weight,
-		Priority:  request.Priority,
-		Sums:      p.state.SumsFor(now, step.Shard, nil),
-		Failed:    unsentFailures,
-		Backoffs:  included,
+		Request:    r.placeRequest(p, request),
+		Shard:      id,
+		Workspace:  request.Workspace,
+		Weight:     request.Weight,
+		Priority:   request.Priority,
+		ShardLoads: p.state.SumsFor(now, step.Shard, nil),
+		Failed:     unsentFailures,
+		Backoffs:   included,
 	}
 	placeRequest.Permit = r.permit
 	if step.Must {
@@ -256,7 +256,7 @@
 // updateShardLoads records the shard loads of a permit response.
 func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.PermitResponse) {
 	p.state.NoteSum(now, place.ShardLoad{Shard: shard, Work: resp.Work})
-	for _, sum := range resp.Sums {
+	for _, sum := range resp.ShardLoads {
 		p.state.NoteSum(now, sum)
 	}
 }
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -31,7 +31,7 @@
 		Lost:      encodeHashes(req.Lost),
 		Last:      uint32(req.Last),
 		Once:      req.Once,
-		Sums:      encodeShardLoads(req.Sums),
+		Sums:      encodeShardLoads(req.ShardLoads),
 		Failed:    encodeHashes(req.Failed),
 		Backoffs:  encodeBackoffs(req.Backoffs),
 	}
@@ -101,14 +101,14 @@
 			Last:   ident.TargetHash(m.GetLast()),
 			Once:   m.GetOnce(),
 		},
-		Shard:     place.ShardID{Shard: ident.Shard(m.GetShard())},
-		Workspace: ident.Workspace(m.GetWorkspace()),
-		Weight:    int(m.GetWeight()),
-		Priority:  int(m.GetPriority()),
-		Wait:      time.Duration(m.GetWaitMs()) * time.Millisecond,
-		Sums:      decodeShardLoads(m.GetSums()),
-		Failed:    decodeHashes(m.GetFailed()),
-		Backoffs:  decodeBackoffs(m.GetBackoffs()),
+		Shard:      place.ShardID{Shard: ident.Shard(m.GetShard())},
+		Workspace:  ident.Workspace(m.GetWorkspace()),
+		Weight:     int(m.GetWeight()),
+		Priority:   int(m.GetPriority()),
+		Wait:       time.Duration(m.GetWaitMs()) * time.Millisecond,
+		ShardLoads: decodeShardLoads(m.GetSums()),
+		Failed:     decodeHashes(m.GetFailed()),
+		Backoffs:   decodeBackoffs(m.GetBackoffs()),
 	}
 }
 
@@ -122,7 +122,7 @@
 		RetryAfterMs: resp.RetryAfter.Milliseconds(),
 		Held:         uint32(resp.Held),
 		Work:         int64(resp.Work),
-		Sums:         encodeShardLoads(resp.Sums),
+		Sums:         encodeShardLoads(resp.ShardLoads),
 		Rule:         rule,
 		Load:         load,
 		Mean:         mean,
@@ -138,7 +138,7 @@
 		RetryAfter: time.Duration(m.GetRetryAfterMs()) * time.Millisecond,
 		Held:       int(m.GetHeld()),
 		Work:       ident.Work(m.GetWork()),
-		Sums:       decodeShardLoads(m.GetSums()),
+		ShardLoads: decodeShardLoads(m.GetSums()),
 		Basis:      decodeBasis(m),
 	}
 }
--- a/internal/share/home/fuzz_test.go
+++ b/internal/share/home/fuzz_test.go
@@ -15,7 +15,7 @@
 // FuzzLink passes arbitrary link messages to a home and checks that its permit count is correct
 // again after the edge router has sent a full list of its permits.
 func FuzzLink(f *testing.F) {
-	req := PermitRequest{Request: place.Request{Permit: 1, Key: 7, Work: ident.OneRequest}, Sums: []place.ShardLoad{{Shard: 1, Work: 5}}}
+	req := PermitRequest{Request: place.Request{Permit: 1, Key: 7, Work: ident.OneRequest}, ShardLoads: []place.ShardLoad{{Shard: 1, Work: 5}}}
 	message := &peerpb.LinkRequest{
 		Edge: "edge", Places: []*peerpb.PlaceRequest{encodePermitRequest(req, []uint64{3}, 0)},
 		Loads: []*peerpb.ShardLoad{encodeDigest(place.Digest{Seq: 1, Work: 9, Loads: []place.EngineWork{{Engine: 1, Work: 9}}})},
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -39,7 +39,7 @@
 	h.release(s, req.Edge, released)
 	now := h.clock()
 	s.home.Heard(now, req.Edge)
-	s.home.MergeSums(now, req.Sums)
+	s.home.MergeSums(now, req.ShardLoads)
 	h.recordEngineReports(now, s, req)
 	if s.queue.Len() == 0 {
 		d := s.home.Place(now, req.Request)
@@ -148,7 +148,7 @@
 
 // response returns the response for a placement decision.
 func (s *shard) response(now time.Time, edge ident.Router, d place.Decision) PermitResponse {
-	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), Sums: s.home.NextSums(now), Basis: d.Basis}
+	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), ShardLoads: s.home.NextSums(now), Basis: d.Basis}
 	switch d.Result {
 	case place.Placed:
 		resp.Result = Placed
--- a/internal/share/home/request.go
+++ b/internal/share/home/request.go
@@ -35,8 +35,8 @@
 	Priority  int
 	// Wait is how much longer the request can wait.
 	Wait time.Duration
-	// Sums are the loads of other shards as last received by the edge router.
-	Sums []place.ShardLoad
+	// ShardLoads are the loads of other shards as last received by the edge router.
+	ShardLoads []place.ShardLoad
 	// Failed are the engines of the shard that have failed requests of the edge router since its
 	// previous permit request, one entry per failed request.
 	Failed []ident.TargetHash
@@ -57,8 +57,8 @@
 	// Held is the number of permits that the home counts for the edge router.
 	Held int
 	// Work is the load of the shard after this response. Sums are the loads of some other shards.
-	Work ident.Work
-	Sums []place.ShardLoad
+	Work       ident.Work
+	ShardLoads []place.ShardLoad
 	// Basis is the rule and the loads that decided a placement.
 	Basis place.Basis
 }
