--- a/internal/oper/mesh/loop.go
+++ b/internal/oper/mesh/loop.go
@@ -37,7 +37,7 @@
 
 // reconcile reconciles the homes' permit counts with the permits that routers hold.
 func (m *Mesh) reconcile(ctx context.Context) {
-	m.Homes.Lapse()
+	m.Homes.ExpirePermits()
 	m.Router.Reconcile(ctx)
 	m.logCorrections()
 }
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -143,10 +143,10 @@
 // Heard records a contact with an edge router about this shard.
 func (h *Home) Heard(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
 
-// Lapse expires the permits of edge routers without contact about this shard for the lease time:
+// ExpirePermits expires the permits of edge routers without contact about this shard for the lease time:
 // another home counts them by now, or the edge router is gone. It returns the number of expired
 // permits.
-func (h *Home) Lapse(now time.Time, lease time.Duration) int {
+func (h *Home) ExpirePermits(now time.Time, lease time.Duration) int {
 	dropped := 0
 	for edge, permitCount := range h.permitCount {
 		if now.Sub(h.lastContact[edge]) <= lease {
--- a/internal/share/home/fleet_test.go
+++ b/internal/share/home/fleet_test.go
@@ -176,7 +176,7 @@
 		m.router.Set(f.pools, f.assigned)
 		f.members = append(f.members, m)
 		f.every(500*time.Millisecond, func() {
-			m.homes.Lapse()
+			m.homes.ExpirePermits()
 			m.router.Reconcile(context.Background())
 		})
 		f.every(time.Second, func() { f.transferShards(m) })
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -69,12 +69,12 @@
 		h.Place(t.Context(), req, nil)
 	}
 	*now = now.Add(time.Second)
-	h.Lapse()
+	h.ExpirePermits()
 	if diff := cmp.Diff(3, h.RequestsAt(pool, engine)); diff != "" {
 		t.Errorf("within the lease: %s", diff)
 	}
 	*now = now.Add(5 * time.Second)
-	h.Lapse()
+	h.ExpirePermits()
 	if diff := cmp.Diff(0, h.RequestsAt(pool, engine)); diff != "" {
 		t.Errorf("after the lease: %s", diff)
 	}
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -22,13 +22,13 @@
 // edge router that holds permits makes contact at least every half second; see route.Reconcile.
 const permitLease = 2 * time.Second
 
-// Lapse removes the permits of edge routers that have made no contact for a lease.
-func (h *Homes) Lapse() {
+// ExpirePermits removes the permits of edge routers that have made no contact for a lease.
+func (h *Homes) ExpirePermits() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := h.clock()
 	for _, s := range h.shards {
-		if expired := s.home.Lapse(now, permitLease); expired > 0 {
+		if expired := s.home.ExpirePermits(now, permitLease); expired > 0 {
 			s.correction.Lapsed += expired
 			h.markUrgent(s)
 			h.dispatch(s)
