--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -121,14 +121,14 @@
 	h.w.schedule(suspectDelay, func() {
 		p := h.pool()
 		for _, n := range h.nodes {
-			n.homes.Doubt([]ident.Router{old.id})
+			n.homes.SetSuspectEdges([]ident.Router{old.id})
 			h.refresh(n, p)
 		}
 		h.w.schedule(urgentPublishDelay, h.publishUrgent)
 	})
 	h.w.schedule(deadDelay, func() {
 		for _, n := range h.nodes {
-			n.homes.Doubt(nil)
+			n.homes.SetSuspectEdges(nil)
 			n.homes.Forget(map[ident.Router]uint64{old.id: ^uint64(0)})
 		}
 	})
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -163,7 +163,7 @@
 	if wanted.Install != nil {
 		wanted.Install()
 	}
-	m.Homes.Doubt(m.current.suspect)
+	m.Homes.SetSuspectEdges(m.current.suspect)
 	m.Homes.Forget(m.current.firstPermits)
 }
 
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -116,10 +116,10 @@
 // Holders lists the edge routers that hold permits.
 func (h *Home) Holders() []ident.Router { return slices.Collect(maps.Keys(h.permitCount)) }
 
-// Doubt replaces the list of suspect edge routers, which may be gone. Until their state is known,
+// SetSuspectEdges replaces the list of suspect edge routers, which may be gone. Until their state is known,
 // their permits count on their engines but not in the mean: too high a load and too low a mean are
 // the safe directions of error.
-func (h *Home) Doubt(edges []ident.Router) {
+func (h *Home) SetSuspectEdges(edges []ident.Router) {
 	clear(h.suspectEdges)
 	for _, e := range edges {
 		h.suspectEdges[e] = true
--- a/internal/rule/place/takeover_test.go
+++ b/internal/rule/place/takeover_test.go
@@ -73,11 +73,11 @@
 		h.Place(start, permitRequest(n, ident.ChatKey(n)))
 	}
 	total, work := h.Total(start), h.Work()
-	h.Doubt([]ident.Router{"router-b"})
+	h.SetSuspectEdges([]ident.Router{"router-b"})
 	if h.Work() != work || h.Total(start) != 0 {
 		t.Errorf("work %d and total %d, want %d and 0", h.Work(), h.Total(start), work)
 	}
-	h.Doubt(nil)
+	h.SetSuspectEdges(nil)
 	if got := h.Total(start); got != total {
 		t.Errorf("total %d without suspect edge routers, want %d", got, total)
 	}
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -138,7 +138,7 @@
 		s.home.Adopt(replica)
 		delete(h.replicas, id)
 	}
-	s.home.Doubt(h.suspectEdges)
+	s.home.SetSuspectEdges(h.suspectEdges)
 	h.shards[id] = s
 	return s
 }
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -77,13 +77,13 @@
 	h.dispatch(s)
 }
 
-// Doubt sets the routers that may have crashed.
-func (h *Homes) Doubt(edges []ident.Router) {
+// SetSuspectEdges sets the routers that may have crashed.
+func (h *Homes) SetSuspectEdges(edges []ident.Router) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.suspectEdges = edges
 	for _, s := range h.shards {
-		s.home.Doubt(edges)
+		s.home.SetSuspectEdges(edges)
 	}
 }
 
