--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -298,7 +298,7 @@
 func (h *homesStrategy) evicted(_ *simulation, e *engine, c *chat) {
 	id := place.ShardID{Pool: ident.NewPool(service, region), Shard: place.ShardOf(e.hash, h.w.shards)}
 	for _, n := range h.nodes {
-		n.homes.Evicted(id, e.hash, []ident.ChatKey{c.key})
+		n.homes.RecordEvictions(id, e.hash, []ident.ChatKey{c.key})
 	}
 }
 
--- a/internal/oper/daemon/probe.go
+++ b/internal/oper/daemon/probe.go
@@ -64,7 +64,7 @@
 	if d.engineReports.record(t.ID, fresh) {
 		d.mesh.MarkDirty()
 	}
-	d.homes.Evicted(id, t.ID.Hash(), fresh.Evicted)
+	d.homes.RecordEvictions(id, t.ID.Hash(), fresh.Evicted)
 	if fresh.Leaving {
 		d.MarkLeaving(t.ID, fresh.Incarnation)
 		d.startExport(ctx, id, t, revision, service)
--- a/internal/rule/place/chat_places.go
+++ b/internal/rule/place/chat_places.go
@@ -181,8 +181,8 @@
 	})
 }
 
-// Evicted records that an engine evicted a chat's cached prefix.
-func (h *Home) Evicted(engine ident.TargetHash, key ident.ChatKey) {
+// RecordEvictions records that an engine evicted a chat's cached prefix.
+func (h *Home) RecordEvictions(engine ident.TargetHash, key ident.ChatKey) {
 	p, ok := h.places.get(key)
 	if !ok {
 		return
--- a/internal/rule/place/home_test.go
+++ b/internal/rule/place/home_test.go
@@ -91,7 +91,7 @@
 	h.Place(start, place.Request{Edge: "router-b", Permit: 2, Key: 7, Work: ident.OneRequest, Avoid: []ident.TargetHash{first.Engine}})
 	h.Release("router-b", 1)
 	h.Release("router-b", 2)
-	h.Evicted(other, 7)
+	h.RecordEvictions(other, 7)
 	if d := h.Place(start, permitRequest(3, 7)); !d.Warm || d.Engine != first.Engine {
 		t.Errorf("got %+v, want the previous engine", d)
 	}
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -110,8 +110,8 @@
 	}
 }
 
-// Evicted records the prefixes that an engine has evicted from its cache.
-func (h *Homes) Evicted(id place.ShardID, engine ident.TargetHash, keys []ident.ChatKey) {
+// RecordEvictions records the prefixes that an engine has evicted from its cache.
+func (h *Homes) RecordEvictions(id place.ShardID, engine ident.TargetHash, keys []ident.ChatKey) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	s, ok := h.shards[id]
@@ -119,7 +119,7 @@
 		return
 	}
 	for _, key := range keys {
-		s.home.Evicted(engine, key)
+		s.home.RecordEvictions(engine, key)
 	}
 }
 
