--- a/internal/oper/daemon/probe.go
+++ b/internal/oper/daemon/probe.go
@@ -106,7 +106,7 @@
 			_ = level.Warn(d.logger).Log("msg", "cache export order failed", "target", t.ID, "to", to.ID, "err", err)
 			continue
 		}
-		d.homes.Exported(id, e)
+		d.homes.RecordExport(id, e)
 		_ = level.Info(d.logger).Log("msg", "cache export order sent", "target", t.ID, "to", to.ID, "chats", len(e.Keys))
 	}
 }
--- a/internal/rule/place/export.go
+++ b/internal/rule/place/export.go
@@ -53,8 +53,8 @@
 	return chats
 }
 
-// Exported records that the prompt prefixes of chats were copied to an engine.
-func (h *Home) Exported(now time.Time, e Export) {
+// RecordExport records that the prompt prefixes of chats were copied to an engine.
+func (h *Home) RecordExport(now time.Time, e Export) {
 	i, ok := h.index[e.To]
 	if !ok {
 		return
--- a/internal/share/home/transfer.go
+++ b/internal/share/home/transfer.go
@@ -162,11 +162,11 @@
 	return s.home.PlanExport(engine, maxExportedChats)
 }
 
-// Exported records that the prefixes of chats have been copied.
-func (h *Homes) Exported(id place.ShardID, e place.Export) {
+// RecordExport records that the prefixes of chats have been copied.
+func (h *Homes) RecordExport(id place.ShardID, e place.Export) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s, ok := h.shards[id]; ok {
-		s.home.Exported(h.clock(), e)
+		s.home.RecordExport(h.clock(), e)
 	}
 }
