--- a/internal/rule/place/chat_places.go
+++ b/internal/rule/place/chat_places.go
@@ -136,8 +136,8 @@
 	return out
 }
 
-// Learn merges places from another home. A more recent stored place is kept.
-func (h *Home) Learn(places []ChatPlace) { mergePlaces(&h.places, places) }
+// MergePlaces merges places from another home. A more recent stored place is kept.
+func (h *Home) MergePlaces(places []ChatPlace) { mergePlaces(&h.places, places) }
 
 // mergePlaces adds places to a cache. A more recent stored place is kept.
 func mergePlaces(m *lru[chatPlace], places []ChatPlace) {
@@ -158,8 +158,8 @@
 // NewReplica returns an empty replica with the size given by a bound.
 func NewReplica(bound Bound) *Replica { return &Replica{lru: newLRU[chatPlace](bound.Places)} }
 
-// Learn merges places received from the shard's home.
-func (s *Replica) Learn(places []ChatPlace) { mergePlaces(&s.lru, places) }
+// MergePlaces merges places received from the shard's home.
+func (s *Replica) MergePlaces(places []ChatPlace) { mergePlaces(&s.lru, places) }
 
 // Len returns the number of stored chats.
 func (s *Replica) Len() int { return s.lru.len() }
--- a/internal/rule/place/takeover_test.go
+++ b/internal/rule/place/takeover_test.go
@@ -93,7 +93,7 @@
 	b := place.NewHome(id, "router-z", place.DefaultBound, 0)
 	b.SetEngines(list, []int{2})
 	b.Merge(start, a.Digest())
-	b.Learn(a.Places(10))
+	b.MergePlaces(a.Places(10))
 	if diff := cmp.Diff(a.Work(), b.Work()); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/share/home/publish.go
+++ b/internal/share/home/publish.go
@@ -63,7 +63,7 @@
 // storePlaces stores chat places: in the shard if this router is its home, otherwise in a replica.
 func (h *Homes) storePlaces(id place.ShardID, places []place.ChatPlace) {
 	if s, here := h.shards[id]; here {
-		s.home.Learn(places)
+		s.home.MergePlaces(places)
 		return
 	}
 	if len(places) == 0 {
@@ -78,7 +78,7 @@
 		replica = place.NewReplica(bound)
 		h.replicas[id] = replica
 	}
-	replica.Learn(places)
+	replica.MergePlaces(places)
 }
 
 // Publication is a shard's digest and the standbys to which it is sent.
--- a/internal/share/home/transfer.go
+++ b/internal/share/home/transfer.go
@@ -123,7 +123,7 @@
 		h.storePlaces(p.ID, p.Places)
 		return
 	}
-	h.getOrCreate(p.ID).home.Learn(p.Places)
+	h.getOrCreate(p.ID).home.MergePlaces(p.Places)
 }
 
 // Grant grants tokens of a workspace. A new bucket starts with the tokens of at most one second,
