--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -129,7 +129,7 @@
 	h.w.schedule(deadDelay, func() {
 		for _, n := range h.nodes {
 			n.homes.SetSuspectEdges(nil)
-			n.homes.Forget(map[ident.Router]uint64{old.id: ^uint64(0)})
+			n.homes.RemoveEdgePermits(map[ident.Router]uint64{old.id: ^uint64(0)})
 		}
 	})
 }
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -164,7 +164,7 @@
 		wanted.Install()
 	}
 	m.Homes.SetSuspectEdges(m.current.suspect)
-	m.Homes.Forget(m.current.firstPermits)
+	m.Homes.RemoveEdgePermits(m.current.firstPermits)
 }
 
 // nextSet builds pools and homes from the current configuration and membership, and reports whether
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -99,9 +99,9 @@
 	return slices.Compact(out)
 }
 
-// Forget removes the permits of earlier processes of a router and of dead routers: for each router
+// RemoveEdgePermits removes the permits of earlier processes of a router and of dead routers: for each router
 // those below the given permit.
-func (h *Homes) Forget(below map[ident.Router]uint64) {
+func (h *Homes) RemoveEdgePermits(below map[ident.Router]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.shards {
