--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -47,11 +47,11 @@
 			return placement, false, nil
 		case resp.Result == home.Moved:
 			return nil, true, nil
-		case step.Must && sawUnknown && resp.Result != home.Shed:
+		case step.MustPlace && sawUnknown && resp.Result != home.Shed:
 			// A home that has other targets than this router cannot report whether this router's
 			// targets are free.
 			return r.placeWithoutHome(ctx, p, request, nil)
-		case step.Must:
+		case step.MustPlace:
 			return nil, false, r.rejectionError(ctx, p, step.Shard, resp)
 		}
 		if holder == 0 {
@@ -222,9 +222,9 @@
 		Backoffs:   included,
 	}
 	placeRequest.Permit = r.permit
-	if step.Must {
+	if step.MustPlace {
 		r.stats.Must++
-		placeRequest.Must = true
+		placeRequest.MustPlace = true
 		placeRequest.Wait = max(request.Deadline.Sub(now), 0)
 	}
 	return to, placeRequest, released, backoffs
--- a/internal/rule/place/avoid_test.go
+++ b/internal/rule/place/avoid_test.go
@@ -27,7 +27,7 @@
 	}
 	for n := uint64(spread + 1); n <= spread+more; n++ {
 		request := permitRequest(n, ident.ChatKey(n))
-		request.Must = true
+		request.MustPlace = true
 		request.Avoid = avoid
 		d := h.Place(start, request)
 		if d.Result != place.Placed {
--- a/internal/rule/place/basis.go
+++ b/internal/rule/place/basis.go
@@ -50,7 +50,7 @@
 	switch {
 	case req.Over:
 		b.Rule = BeyondSlots
-	case req.Must:
+	case req.MustPlace:
 		b.Rule = LeastLoaded
 	}
 	return b
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -229,7 +229,7 @@
 // finalShard reports whether no other shard is tried after this one. Such a request keeps within
 // the bound like any other, but the bound may be based on the mean of this shard, and the slow
 // start of joined engines does not apply.
-func (r *Request) finalShard() bool { return r.Must || r.Over }
+func (r *Request) finalShard() bool { return r.MustPlace || r.Over }
 
 // admits returns whether an engine may receive the request now, as a Result.
 func (h *Home) admits(now time.Time, i int, req Request, limit float64) Result {
--- a/internal/rule/place/cold_test.go
+++ b/internal/rule/place/cold_test.go
@@ -49,7 +49,7 @@
 		for range int(duration / (5 * time.Millisecond)) {
 			now = now.Add(5 * time.Millisecond)
 			permit++
-			d := h.Place(now, place.Request{Edge: "e", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, Must: true})
+			d := h.Place(now, place.Request{Edge: "e", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, MustPlace: true})
 			if d.Engine == cold.Hash {
 				sent = append(sent, now)
 			}
@@ -79,7 +79,7 @@
 	sent := 0
 	for i := range uint64(duration / (10 * time.Millisecond)) {
 		now = now.Add(10 * time.Millisecond)
-		if h.Place(now, place.Request{Edge: "e", Permit: i, Work: ident.OneRequest, Must: true}).Result == place.Placed {
+		if h.Place(now, place.Request{Edge: "e", Permit: i, Work: ident.OneRequest, MustPlace: true}).Result == place.Placed {
 			sent++
 			h.Release("e", i)
 		}
@@ -127,7 +127,7 @@
 	h := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 0)
 	h.SetEngines([]place.Engine{e}, []int{1})
 	request := func(permit uint64) place.Result {
-		return h.Place(now, place.Request{Edge: "edge", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true}).Result
+		return h.Place(now, place.Request{Edge: "edge", Permit: permit, Key: 7, Work: ident.OneRequest, MustPlace: true}).Result
 	}
 	first, second := request(1), request(2)
 	e.Incarnation++
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -79,9 +79,9 @@
 	Key    ident.ChatKey
 	Work   ident.Work
 	Zone   ident.Zone
-	// Must is set when all other shards are full. The result Full then means that only engines
+	// MustPlace is set when all other shards are full. The result Full then means that only engines
 	// that the request avoids have room.
-	Must bool
+	MustPlace bool
 	// Over allows engines without a free slot, up to twice their slots: counts may be too high for
 	// some time after a shard got another home, and engines queue a few requests themselves.
 	Over bool
--- a/internal/rule/place/home_test.go
+++ b/internal/rule/place/home_test.go
@@ -149,7 +149,7 @@
 		t.Errorf("got %v, want full", d.Result)
 	}
 	must := permitRequest(3, 3)
-	must.Must = true
+	must.MustPlace = true
 	if d := overloaded.Place(start, must); d.Result != place.Placed {
 		t.Errorf("got %v for a request that must be placed, want placed", d.Result)
 	}
--- a/internal/rule/place/search.go
+++ b/internal/rule/place/search.go
@@ -22,8 +22,8 @@
 // Step is the next permit request to send.
 type Step struct {
 	Shard ident.Shard
-	// Must requests the shard's least loaded engine. Only then may the request wait.
-	Must bool
+	// MustPlace requests the shard's least loaded engine. Only then may the request wait.
+	MustPlace bool
 }
 
 // NewSearch starts a search for a key. If the pool is known to be saturated, trying several shards
@@ -50,7 +50,7 @@
 		s.next++
 		return step, true
 	}
-	return Step{Shard: s.leastLoadedShard(p), Must: true}, true
+	return Step{Shard: s.leastLoadedShard(p), MustPlace: true}, true
 }
 
 // leastLoadedShard returns the tried shard with the lowest average work per engine.
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -65,7 +65,7 @@
 func TestPermitsExpireAfterLease(t *testing.T) {
 	h, engine, now := newHomes()
 	for permit := range uint64(3) {
-		req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true}}
+		req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, MustPlace: true}}
 		h.Place(t.Context(), req, nil)
 	}
 	*now = now.Add(time.Second)
@@ -91,7 +91,7 @@
 	for permit := range uint64(3) {
 		req := home.PermitRequest{
 			Shard: id, Wait: time.Millisecond,
-			Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, Must: true},
+			Request: place.Request{Edge: "router-b", Permit: permit, Key: 7, Work: ident.OneRequest, MustPlace: true},
 		}
 		got = append(got, h.Place(t.Context(), req, nil).Result)
 	}
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -129,7 +129,7 @@
 // request must be placed on this shard, which is the last one that the edge router tries.
 func (s *shard) rejection(now time.Time, req PermitRequest, result Result) PermitResponse {
 	resp := PermitResponse{Result: result, Held: s.home.Held(req.Edge), Work: s.home.SureWork()}
-	if req.Must {
+	if req.MustPlace {
 		queue, _ := s.rate.queueDelay(s.queue.Len())
 		resp.RetryAfter = s.retryDelays.Tell(now, s.rate.requestsPerSecond(), queue)
 	}
@@ -138,7 +138,7 @@
 
 // decisionResponse returns the response to a request that does not have to wait.
 func (s *shard) decisionResponse(now time.Time, req PermitRequest, d place.Decision) PermitResponse {
-	if req.Must && d.Result == place.Full {
+	if req.MustPlace && d.Result == place.Full {
 		// Only engines that this edge router avoids have room, so its callers may be served
 		// elsewhere.
 		return s.rejection(now, req, Full)
--- a/internal/share/home/queue_deadline_test.go
+++ b/internal/share/home/queue_deadline_test.go
@@ -24,7 +24,7 @@
 	request := func(priority int) (PermitResponse, bool) {
 		permit++
 		a, w := h.placeOrQueue(PermitRequest{
-			Request: place.Request{Edge: "edge", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, Must: true},
+			Request: place.Request{Edge: "edge", Permit: permit, Key: ident.ChatKey(permit), Work: ident.OneRequest, MustPlace: true},
 			Shard:   id, Priority: priority, Wait: 400 * time.Millisecond,
 		}, nil)
 		return a, w != nil
--- a/internal/share/home/reshard_test.go
+++ b/internal/share/home/reshard_test.go
@@ -26,7 +26,7 @@
 	request := func(h *home.Homes, shard ident.Shard, key ident.ChatKey, permit uint64) home.PermitResponse {
 		return h.Place(t.Context(), home.PermitRequest{
 			Shard:   place.ShardID{Pool: pool, Shard: shard},
-			Request: place.Request{Edge: "edge", Permit: permit, Key: key, Work: ident.OneRequest, Must: true},
+			Request: place.Request{Edge: "edge", Permit: permit, Key: key, Work: ident.OneRequest, MustPlace: true},
 		}, nil)
 	}
 	var keys []ident.ChatKey
--- a/internal/share/home/warm_slot_test.go
+++ b/internal/share/home/warm_slot_test.go
@@ -73,7 +73,7 @@
 	workspace := ident.Workspace(rune('a' + m.rng.IntN(8)))
 	a, w := m.homes.placeOrQueue(PermitRequest{
 		Request: place.Request{
-			Edge: "edge", Permit: m.permit, Key: prefix, Work: ident.OneRequest, Must: true,
+			Edge: "edge", Permit: m.permit, Key: prefix, Work: ident.OneRequest, MustPlace: true,
 		},
 		Shard: place.ShardID{Pool: "p"}, Workspace: workspace, Weight: 1, Priority: priority, Wait: simMaxWait,
 	}, nil)
