--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -151,7 +151,7 @@
 	s, own, _ := g.record.Find(request)
 	if quarantined := left > 0; quarantined != g.quarantined[request] || quarantined && own {
 		_ = level.Info(g.Logger).Log("msg", "request quarantine updated", "fingerprint", request, "held", quarantined,
-			"targets_gone", len(s.Ends), "for_ms", left.Milliseconds(), "seen_here", own)
+			"targets_gone", len(s.Crashes), "for_ms", left.Milliseconds(), "seen_here", own)
 	}
 	delete(g.quarantined, request)
 	if left == 0 {
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -56,7 +56,7 @@
 // encodeRow returns the write of the row of a suspect request.
 func encodeRow(s crash.Suspect) table.Put {
 	var row suspectRow
-	for _, e := range s.Ends {
+	for _, e := range s.Crashes {
 		row.Ends = append(row.Ends, crashEntry{Start: e.Start, UnixMS: e.At.UnixMilli(), RanMS: e.Ran.Milliseconds()})
 	}
 	value, err := json.Marshal(row)
@@ -85,7 +85,7 @@
 		if at.After(now) {
 			at = now
 		}
-		s.Ends = append(s.Ends, crash.End{Start: e.Start, At: at, Ran: time.Duration(e.RanMS) * time.Millisecond})
+		s.Crashes = append(s.Crashes, crash.End{Start: e.Start, At: at, Ran: time.Duration(e.RanMS) * time.Millisecond})
 	}
 	return s, nil
 }
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -73,7 +73,7 @@
 	}
 	e := r.entry(now, s.Request)
 	changed := e.serve(s.Served)
-	for _, crash := range s.Ends {
+	for _, crash := range s.Crashes {
 		changed = e.add(crash) || changed
 	}
 	return r.changed(e, changed)
@@ -121,10 +121,10 @@
 
 // latest returns the time of the latest crash, or of the last complete answer if there is no crash.
 func (e *entry) latest() time.Time {
-	if len(e.Ends) == 0 {
+	if len(e.Crashes) == 0 {
 		return e.Served
 	}
-	return e.Ends[len(e.Ends)-1].At
+	return e.Crashes[len(e.Crashes)-1].At
 }
 
 // all returns the entries in no particular order.
@@ -209,7 +209,7 @@
 // copy returns a copy of the suspect that shares no memory with the entry.
 func (e *entry) copy() Suspect {
 	s := e.Suspect
-	s.Ends = slices.Clone(s.Ends)
+	s.Crashes = slices.Clone(s.Crashes)
 	return s
 }
 
--- a/internal/rule/crash/suspect.go
+++ b/internal/rule/crash/suspect.go
@@ -26,8 +26,8 @@
 // Suspect is a request under which targets have crashed.
 type Suspect struct {
 	Request ident.Fingerprint
-	// Ends are the latest crashes, in order of time, with at most one for each start.
-	Ends []End
+	// Crashes are the latest crashes, in order of time, with at most one for each start.
+	Crashes []End
 	// Served is the time of the last complete answer to the request, or zero if there is none.
 	Served time.Time
 }
@@ -64,15 +64,15 @@
 // blamedCrashes returns the crashes that the request is blamed for.
 func (s Suspect) blamedCrashes() []End {
 	if s.Served.IsZero() {
-		return s.Ends
+		return s.Crashes
 	}
-	return slices.DeleteFunc(slices.Clone(s.Ends), func(e End) bool { return !s.blamed(e) })
+	return slices.DeleteFunc(slices.Clone(s.Crashes), func(e End) bool { return !s.blamed(e) })
 }
 
 // blame returns the number of crashes that the request is blamed for, and the mean time that it ran
 // before them.
 func (s Suspect) blame() (crashes int, ran time.Duration) {
-	for _, e := range s.Ends {
+	for _, e := range s.Crashes {
 		if s.blamed(e) {
 			crashes++
 			ran += e.Ran
@@ -83,7 +83,7 @@
 
 // blamedForStart reports whether the request is blamed for the crash of a start.
 func (s Suspect) blamedForStart(start Start) bool {
-	return slices.ContainsFunc(s.Ends, func(e End) bool { return e.Start == start && s.blamed(e) })
+	return slices.ContainsFunc(s.Crashes, func(e End) bool { return e.Start == start && s.blamed(e) })
 }
 
 // quarantineDuration returns the duration of the quarantine after the given number of crashes, from
@@ -102,8 +102,8 @@
 // Expired reports whether the suspect can be removed.
 func (s Suspect) Expired(now time.Time) bool {
 	latest := s.Served.Add(grace)
-	if n := len(s.Ends); n > 0 && s.Ends[n-1].At.After(latest) {
-		latest = s.Ends[n-1].At
+	if n := len(s.Crashes); n > 0 && s.Crashes[n-1].At.After(latest) {
+		latest = s.Crashes[n-1].At
 	}
 	return now.Sub(latest) > expiryFactor*max(quarantineDuration(len(s.blamedCrashes())), baseQuarantine)
 }
@@ -111,13 +111,13 @@
 // add adds a crash. It reports whether the list of crashes changed: a start that is already in the
 // list is not added, and neither is a crash older than those of a full list.
 func (s *Suspect) add(e End) bool {
-	if slices.ContainsFunc(s.Ends, func(recorded End) bool { return recorded.Start == e.Start }) {
+	if slices.ContainsFunc(s.Crashes, func(recorded End) bool { return recorded.Start == e.Start }) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(s.Ends, e, func(a, b End) int { return a.At.Compare(b.At) })
-	s.Ends = slices.Insert(s.Ends, at, e)
-	if len(s.Ends) > maxCrashes {
-		s.Ends = s.Ends[1:]
+	at, _ := slices.BinarySearchFunc(s.Crashes, e, func(a, b End) int { return a.At.Compare(b.At) })
+	s.Crashes = slices.Insert(s.Crashes, at, e)
+	if len(s.Crashes) > maxCrashes {
+		s.Crashes = s.Crashes[1:]
 		return at > 0
 	}
 	return true
--- a/internal/share/peer/codec.go
+++ b/internal/share/peer/codec.go
@@ -44,7 +44,7 @@
 // encodeSuspect returns the wire form of a suspect request.
 func encodeSuspect(now time.Time, s crash.Suspect) *peerpb.Suspect {
 	out := &peerpb.Suspect{Request: uint64(s.Request)}
-	for _, e := range s.Ends {
+	for _, e := range s.Crashes {
 		out.Starts = append(out.Starts, uint32(e.Start))
 		out.AgesMs = append(out.AgesMs, millis(now.Sub(e.At)))
 		out.RanMs = append(out.RanMs, millis(e.Ran))
@@ -71,7 +71,7 @@
 	s := crash.Suspect{Request: ident.Fingerprint(in.GetRequest())}
 	ages, ran := in.GetAgesMs(), in.GetRanMs()
 	for i, start := range in.GetStarts()[:min(len(in.GetStarts()), len(ages), len(ran))] {
-		s.Ends = append(s.Ends, crash.End{Start: crash.Start(start), At: now.Add(-duration(ages[i])), Ran: duration(ran[i])})
+		s.Crashes = append(s.Crashes, crash.End{Start: crash.Start(start), At: now.Add(-duration(ages[i])), Ran: duration(ran[i])})
 	}
 	if in.GetServedMs() > 0 {
 		s.Served = now.Add(-duration(in.GetServedMs() - 1))
--- a/internal/share/peer/codec_test.go
+++ b/internal/share/peer/codec_test.go
@@ -61,7 +61,7 @@
 	suspect := func(now time.Time) crash.Suspect {
 		return crash.Suspect{
 			Request: 1 << 60,
-			Ends: []crash.End{
+			Crashes: []crash.End{
 				{Start: 1 << 31, At: now.Add(-time.Minute), Ran: 61 * time.Millisecond},
 				{Start: 2, At: now.Add(-time.Second), Ran: 2 * time.Second},
 			},
@@ -75,12 +75,12 @@
 		t.Error(diff)
 	}
 	wire.Suspects[0].RanMs = wire.Suspects[0].RanMs[:1]
-	if got := Decode(receiverNow, wire).Suspects[0].Ends; len(got) != 1 {
+	if got := Decode(receiverNow, wire).Suspects[0].Crashes; len(got) != 1 {
 		t.Errorf("%d crashes decoded from two of which one is incomplete, want 1", len(got))
 	}
 	var list []crash.Suspect
 	for i := range ident.Fingerprint(32) {
-		list = append(list, crash.Suspect{Request: i << 50, Ends: []crash.End{{Start: 1 << 31, At: senderNow, Ran: time.Second}}})
+		list = append(list, crash.Suspect{Request: i << 50, Crashes: []crash.End{{Start: 1 << 31, At: senderNow, Ran: time.Second}}})
 	}
 	if size := proto.Size(Encode(senderNow, Digest{Suspects: list})); size > 760 {
 		t.Errorf("32 suspects take %d bytes", size)
