--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -115,7 +115,7 @@
 		r.current[o.Service] = &rollout{order: o, receivedAt: r.clock(), gate: canary.NewGate(r.canaryRatio), peerEvidence: map[uint64]canary.Evidence{}}
 		changed = true
 		_ = level.Info(r.logger).Log("msg", "rollout received", "service", o.Service, "version", o.Version,
-			"over_ms", o.Over.Milliseconds(), "order", o.Number)
+			"over_ms", o.Period.Milliseconds(), "order", o.Number)
 	}
 	return changed
 }
--- a/internal/oper/node/rollouts_test.go
+++ b/internal/oper/node/rollouts_test.go
@@ -39,7 +39,7 @@
 func (f *canaryFleet) router() *rollouts {
 	f.source++
 	r := newRollouts(maxCanaryRatio, uint64(f.source), log.NewNopLogger(), func() time.Time { return f.now })
-	r.setRollouts([]canary.Order{{Service: testService, Version: "v2", Over: 12 * time.Second, Number: 7}})
+	r.setRollouts([]canary.Order{{Service: testService, Version: "v2", Period: 12 * time.Second, Number: 7}})
 	return r
 }
 
@@ -134,7 +134,7 @@
 func TestConsecutiveRollouts(t *testing.T) {
 	r := newRollouts(maxCanaryRatio, 1, log.NewNopLogger(), time.Now)
 	order := func(version ident.Version, number uint64) canary.Order {
-		return canary.Order{Service: testService, Version: version, Over: time.Minute, Number: number}
+		return canary.Order{Service: testService, Version: version, Period: time.Minute, Number: number}
 	}
 	names := func() []ident.Service {
 		return []ident.Service{r.serviceName(testService, "v1"), r.serviceName(testService, "v2"), r.serviceName(testService, "v3")}
--- a/internal/rule/canary/canary_test.go
+++ b/internal/rule/canary/canary_test.go
@@ -115,8 +115,8 @@
 // elapsed.
 func TestRolloutIsDecidedInTime(t *testing.T) {
 	readAt := time.Unix(1000, 0)
-	o := Order{Over: 12 * time.Second}
-	if done, promoted := o.DoneAt(readAt), o.PromotedAt(readAt); !promoted.Before(done) || !done.Before(readAt.Add(o.Over)) || !promoted.After(readAt) {
+	o := Order{Period: 12 * time.Second}
+	if done, promoted := o.DoneAt(readAt), o.PromotedAt(readAt); !promoted.Before(done) || !done.Before(readAt.Add(o.Period)) || !promoted.After(readAt) {
 		t.Errorf("promoted at %v, done at %v", promoted, done)
 	}
 	got := []bool{Evidence{}.Sound(), Evidence{Answers: 30}.Sound(), Evidence{Answers: 30, Poor: 9, Expected: 1}.Sound()}
--- a/internal/rule/canary/order.go
+++ b/internal/rule/canary/order.go
@@ -10,8 +10,8 @@
 type Order struct {
 	Service ident.Service
 	Version ident.Version
-	// Over is the duration of the rollout.
-	Over time.Duration
+	// Period is the duration of the rollout.
+	Period time.Duration
 	// Number identifies the order among those of the service.
 	Number uint64
 }
@@ -52,10 +52,10 @@
 // DoneAt returns the time at which the rollout is done, if the canary is sound, given the time at
 // which the order was first read.
 func (o Order) DoneAt(readAt time.Time) time.Time {
-	return readAt.Add(time.Duration(doneRatio * float64(o.Over)))
+	return readAt.Add(time.Duration(doneRatio * float64(o.Period)))
 }
 
 // PromotedAt returns the time from which the canary receives all requests.
 func (o Order) PromotedAt(readAt time.Time) time.Time {
-	return o.DoneAt(readAt).Add(-min(time.Duration(promotionRatio*float64(o.Over)), maxPromotionTime))
+	return o.DoneAt(readAt).Add(-min(time.Duration(promotionRatio*float64(o.Period)), maxPromotionTime))
 }
