--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -66,8 +66,8 @@
 	// Choose returns the name used to find a target for the next request: that of the service or
 	// that of its canary version.
 	Choose(service ident.Service) (as ident.Service)
-	// Sent records that a target was found under a name.
-	Sent(service, as ident.Service)
+	// RecordSent records that a target was found under a name.
+	RecordSent(service, as ident.Service)
 	// Answered records the result of a request to a target that was found under a name.
 	Answered(service, as ident.Service, route match.RouteName, ok bool, took time.Duration)
 }
@@ -76,7 +76,7 @@
 type noTrials struct{}
 
 func (noTrials) Choose(service ident.Service) ident.Service { return service }
-func (noTrials) Sent(_, _ ident.Service)                    {}
+func (noTrials) RecordSent(_, _ ident.Service)              {}
 func (noTrials) Answered(_, _ ident.Service, _ match.RouteName, _ bool, _ time.Duration) {
 }
 
@@ -228,7 +228,7 @@
 		placement, err = h.Finder.Acquire(ctx, placementRequest)
 	}
 	if err == nil {
-		h.Trials.Sent(j.service, j.lookupName)
+		h.Trials.RecordSent(j.service, j.lookupName)
 	}
 	return placement, err
 }
--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -203,15 +203,15 @@
 	return service
 }
 
-// Sent implements entry.Trials.
-func (r *rollouts) Sent(service, as ident.Service) {
+// RecordSent implements entry.Trials.
+func (r *rollouts) RecordSent(service, as ident.Service) {
 	if !r.enabled() {
 		return
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if ro := r.current[service]; ro != nil {
-		ro.gate.Sent(as != service)
+		ro.gate.RecordSent(as != service)
 	}
 }
 
--- a/internal/oper/node/rollouts_test.go
+++ b/internal/oper/node/rollouts_test.go
@@ -46,7 +46,7 @@
 // send sends a request by a router. The canary version fails the given number of ten requests.
 func (f *canaryFleet) send(r *rollouts, fails int) {
 	as := r.Choose(testService)
-	r.Sent(testService, as)
+	r.RecordSent(testService, as)
 	f.requests++
 	onCanary := as != testService
 	ok := !onCanary || f.rng.IntN(10) >= fails
--- a/internal/rule/canary/canary_test.go
+++ b/internal/rule/canary/canary_test.go
@@ -21,7 +21,7 @@
 	for step := range 100_000 {
 		i := rng.IntN(routers)
 		isCanary := gates[i].Admits()
-		gates[i].Sent(isCanary)
+		gates[i].RecordSent(isCanary)
 		total++
 		if isCanary {
 			toCanary++
--- a/internal/rule/canary/gate.go
+++ b/internal/rule/canary/gate.go
@@ -14,8 +14,8 @@
 // Admits reports whether the next request may be sent to the canary.
 func (g *Gate) Admits() bool { return float64(g.toCanary+1) <= g.share*float64(g.total+1) }
 
-// Sent counts a request that has been sent to the service.
-func (g *Gate) Sent(isCanary bool) {
+// RecordSent counts a request that has been sent to the service.
+func (g *Gate) RecordSent(isCanary bool) {
 	g.total++
 	if isCanary {
 		g.toCanary++
