--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -61,8 +61,8 @@
 	Retry(service ident.Service, now time.Time) bool
 }
 
-// Trials selects the requests that are sent to the canary version of a service.
-type Trials interface {
+// Canaries selects the requests that are sent to the canary version of a service.
+type Canaries interface {
 	// Choose returns the name used to find a target for the next request: that of the service or
 	// that of its canary version.
 	Choose(service ident.Service) (as ident.Service)
@@ -116,8 +116,8 @@
 	Clock    ident.Clock
 	// Gate wraps the listener; nil if there is none.
 	Gate *Gate
-	// Trials may be nil.
-	Trials Trials
+	// Canaries may be nil.
+	Canaries Canaries
 }
 
 // Handler serves the requests of callers.
@@ -132,8 +132,8 @@
 
 // New returns a handler.
 func New(parts Parts) *Handler {
-	if parts.Trials == nil {
-		parts.Trials = noTrials{}
+	if parts.Canaries == nil {
+		parts.Canaries = noTrials{}
 	}
 	return &Handler{Parts: parts, startedAt: parts.Clock(), latency: newLatencyEstimates()}
 }
@@ -219,7 +219,7 @@
 	placementRequest := j.placementRequest(h.latency.firstByteTime(j.route.Name))
 	j.lookupName = j.service
 	if j.sends+j.unreached == 0 {
-		j.lookupName = h.Trials.Choose(j.service)
+		j.lookupName = h.Canaries.Choose(j.service)
 	}
 	placementRequest.Service = j.lookupName
 	placement, err := h.Finder.Acquire(ctx, placementRequest)
@@ -228,7 +228,7 @@
 		placement, err = h.Finder.Acquire(ctx, placementRequest)
 	}
 	if err == nil {
-		h.Trials.RecordSent(j.service, j.lookupName)
+		h.Canaries.RecordSent(j.service, j.lookupName)
 	}
 	return placement, err
 }
@@ -240,7 +240,7 @@
 	if attempt.reason == CallerGone || attempt.reason == Unread || attempt.step == retry.Refused && !attempt.ended {
 		return
 	}
-	h.Trials.Answered(j.service, j.lookupName, j.route.Name, attempt.succeeded(), attempt.took)
+	h.Canaries.Answered(j.service, j.lookupName, j.route.Name, attempt.succeeded(), attempt.took)
 }
 
 // quarantineProblem returns the problem for a quarantined request, or nil. Such a request would
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -135,7 +135,7 @@
 	n.gate = entry.NewGate(n.listeners.callers, n.Logger, n.Clock)
 	n.handler = entry.New(entry.Parts{
 		Dialect: n.Dialect, Rules: n, Finder: n.router, Sender: n.conns, Budget: n.retryBudget, Guard: n.guard,
-		Observer: n.metrics, Logger: n.Logger, Clock: n.Clock, Gate: n.gate, Trials: n.rollouts,
+		Observer: n.metrics, Logger: n.Logger, Clock: n.Clock, Gate: n.gate, Canaries: n.rollouts,
 	})
 }
 
