--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -22,7 +22,7 @@
 func newPeerService(rows int) *peerService {
 	board := feed.NewBoard(log.NewNopLogger(), time.Now)
 	board.Follow(packedTable, feed.Rules{}, nil)
-	page := table.Page{At: table.Position{Version: table.Version(rows)}, Whole: true}
+	page := table.Page{At: table.Position{Version: table.Version(rows)}, Full: true}
 	for i := range rows {
 		page.Rows = append(page.Rows, table.Row{
 			Table: packedTable, Key: table.Key(fmt.Sprintf("i-%08x", i)), Version: table.Version(i + 1),
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -58,7 +58,7 @@
 
 // encode encodes a page for a router that may accept packed rows.
 func (p *peerService) encode(name string, page table.Page, acceptsPacked bool) (*peerpb.TablePage, error) {
-	if !acceptsPacked || !page.Whole || len(page.Rows) < minPackedRows {
+	if !acceptsPacked || !page.Full || len(page.Rows) < minPackedRows {
 		return encodePage(name, page), nil
 	}
 	packed, err := p.packCache.of(table.Name(name), page)
@@ -160,7 +160,7 @@
 // encodePage encodes a page for a peer.
 func encodePage(name string, page table.Page) *peerpb.TablePage {
 	out := &peerpb.TablePage{
-		Table: name, Era: uint64(page.At.Era), Version: int64(page.At.Version), Whole: page.Whole, AgeMs: page.Age.Milliseconds(),
+		Table: name, Era: uint64(page.At.Era), Version: int64(page.At.Version), Whole: page.Full, AgeMs: page.Age.Milliseconds(),
 	}
 	out.Rows, out.Kept = encodeRows(page.Rows), encodeRows(page.Kept)
 	return out
@@ -180,8 +180,8 @@
 // decodePage decodes a page from a peer.
 func decodePage(in *peerpb.TablePage) (table.Page, error) {
 	out := table.Page{
-		At:    table.Position{Era: table.Era(in.GetEra()), Version: table.Version(in.GetVersion())},
-		Whole: in.GetWhole(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond,
+		At:   table.Position{Era: table.Era(in.GetEra()), Version: table.Version(in.GetVersion())},
+		Full: in.GetWhole(), Age: time.Duration(in.GetAgeMs()) * time.Millisecond,
 	}
 	out.Rows, out.Kept = decodeRows(in.GetTable(), in.GetRows()), decodeRows(in.GetTable(), in.GetKept())
 	if len(in.GetPacked()) == 0 {
--- a/internal/plat/table/row.go
+++ b/internal/plat/table/row.go
@@ -35,8 +35,8 @@
 	Rows []Row
 	// At is the store's position up to which the page contains all changes.
 	At Position
-	// Whole is set for a full snapshot; otherwise the page contains only the changed rows.
-	Whole bool
+	// Full is set for a full snapshot; otherwise the page contains only the changed rows.
+	Full bool
 	// Age is the time since the store confirmed that there was no later change.
 	Age time.Duration
 	// Kept contains rows that are never rolled back and are newer than those of the requesting router,
--- a/internal/share/feed/board.go
+++ b/internal/share/feed/board.go
@@ -129,7 +129,7 @@
 	now, previous, rowsBefore, loaded := b.clock(), r.position, len(r.rows), r.loaded
 	r.confirm(now.Add(-page.Age))
 	changed := r.applyPage(now, page)
-	if page.Whole {
+	if page.Full {
 		_ = level.Info(b.logger).Log("msg", "table replaced by a full snapshot", "table", name, "era", page.At.Era, "version", page.At.Version,
 			"rows", len(page.Rows), "had", rowsBefore, "had_era", previous.Era, "had_version", previous.Version, "changed", changed, "kept", len(r.override))
 	}
--- a/internal/share/feed/board_test.go
+++ b/internal/share/feed/board_test.go
@@ -42,7 +42,7 @@
 }
 
 func fullPage(version table.Version, rows ...table.Row) table.Page {
-	return table.Page{At: pos(version), Rows: rows, Whole: true}
+	return table.Page{At: pos(version), Rows: rows, Full: true}
 }
 
 func deltaPage(version table.Version, rows ...table.Row) table.Page {
--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -22,7 +22,7 @@
 
 // fullPageIn returns a full snapshot in an era, deltaPageIn a delta.
 func fullPageIn(era table.Era, version table.Version, rows ...table.Row) table.Page {
-	return table.Page{At: posIn(era, version), Rows: rows, Whole: true}
+	return table.Page{At: posIn(era, version), Rows: rows, Full: true}
 }
 
 func deltaPageIn(era table.Era, version table.Version, rows ...table.Row) table.Page {
--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -102,7 +102,7 @@
 	if err != nil {
 		return err
 	}
-	page.Whole = true
+	page.Full = true
 	if !f.board.Take(f.name, table.Position{}, page) {
 		f.logStoreBehind(page.At)
 		pause.For(ctx, f.timing.MaxBackoff)
--- a/internal/share/feed/replica.go
+++ b/internal/share/feed/replica.go
@@ -123,10 +123,10 @@
 func (r *replica) accepts(after table.Position, page table.Page) bool {
 	switch {
 	case !r.loaded:
-		return page.Whole
+		return page.Full
 	case page.At.Before(r.position):
 		return false
-	case page.Whole:
+	case page.Full:
 		return true
 	}
 	return after.Era == r.position.Era && page.At.Era == r.position.Era && !r.position.Before(after)
@@ -171,7 +171,7 @@
 // applyPage applies a page, and reports whether effective rows changed.
 func (r *replica) applyPage(now time.Time, page table.Page) bool {
 	changed := !r.loaded
-	if page.Whole {
+	if page.Full {
 		changed = r.applyFull(now, page) || changed
 		r.changeLog.reset()
 	} else {
@@ -314,12 +314,12 @@
 		}
 		return page
 	}
-	page.Whole = !have.Known || have.At.Before(r.deltaFloor)
-	if keys, complete := r.changeLog.since(have.At); complete && !page.Whole {
+	page.Full = !have.Known || have.At.Before(r.deltaFloor)
+	if keys, complete := r.changeLog.since(have.At); complete && !page.Full {
 		page.Rows = r.filterChanged(have, keys)
 		return page
 	}
-	if page.Whole {
+	if page.Full {
 		page.Rows = make([]table.Row, 0, len(r.rows))
 		for _, row := range r.rows {
 			page.Rows = append(page.Rows, row)
