--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -237,7 +237,7 @@
 	}
 	conns, closeConns := relay.NewConns(relay.DefaultConnLimits)
 	t.Cleanup(closeConns)
-	requestGuard, closeGuard := guard.New(guard.Parts{Prober: conns, Logger: log.NewNopLogger(), Clock: time.Now, Spread: func() {}})
+	requestGuard, closeGuard := guard.New(guard.Parts{Prober: conns, Logger: log.NewNopLogger(), Clock: time.Now, TriggerGossip: func() {}})
 	t.Cleanup(closeGuard)
 	h := New(Parts{
 		Dialect: testDialect{}, Rules: r, Finder: s.finder, Sender: conns, Budget: s.budget, Guard: requestGuard, Observer: s.recorder,
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -27,8 +27,8 @@
 	Clock  ident.Clock
 	// Reads reports whether this router is a reader, which reads the store's tables for the other routers.
 	Reads func() bool
-	// Spread requests that suspect requests are gossiped to the peers soon; it must not block.
-	Spread func()
+	// TriggerGossip requests that suspect requests are gossiped to the peers soon; it must not block.
+	TriggerGossip func()
 }
 
 // Guard detects requests under which targets crash and quarantines them.
@@ -136,7 +136,7 @@
 // spreadUrgent requests early gossip for an urgent change.
 func (g *Guard) spreadUrgent(change crash.News) {
 	if change == crash.Urgent {
-		g.Spread()
+		g.TriggerGossip()
 	}
 }
 
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -83,7 +83,7 @@
 	t.Helper()
 	out := &testGuard{}
 	g, closeGuard := New(Parts{
-		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, Spread: func() { out.spreads++ },
+		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, TriggerGossip: func() { out.spreads++ },
 		Reads: func() bool { return out.reads },
 	})
 	t.Cleanup(closeGuard)
@@ -183,7 +183,7 @@
 // before the result is known. The first interrupted response of a request delays nothing.
 func TestSuspectRequestWaitsForProbe(t *testing.T) {
 	prober := blockingProber{proceed: make(chan struct{})}
-	g, closeGuard := New(Parts{Prober: prober, Logger: log.NewNopLogger(), Clock: time.Now, Spread: func() {}})
+	g, closeGuard := New(Parts{Prober: prober, Logger: log.NewNopLogger(), Clock: time.Now, TriggerGossip: func() {}})
 	t.Cleanup(closeGuard)
 	breakAt := func(id ident.Target) Break {
 		return Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id)}, Ran: time.Second}
--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -133,7 +133,7 @@
 // It returns the function that closes the guard.
 func (d *Daemon) buildGuard(prober guard.Prober) func() {
 	g, closeGuard := guard.New(guard.Parts{
-		Prober: prober, Store: quarantineStore{d.table}, Logger: d.logger, Clock: d.clock, Spread: d.node.Spread,
+		Prober: prober, Store: quarantineStore{d.table}, Logger: d.logger, Clock: d.clock, TriggerGossip: d.node.TriggerGossip,
 		Reads: func() bool { return true },
 	})
 	d.guard = g
--- a/internal/oper/daemon/daemon.go
+++ b/internal/oper/daemon/daemon.go
@@ -217,7 +217,7 @@
 	if previous == 0 {
 		return
 	}
-	d.node.Spread()
+	d.node.TriggerGossip()
 	d.guard.Rewrite()
 }
 
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -119,9 +119,9 @@
 // SetTrials sets the source and receiver of the canary reports. It must be called before Run.
 func (n *Node) SetTrials(t Trials) { n.trials = t }
 
-// Spread triggers an exchange ahead of the next round, so that urgent updates spread from router to
+// TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from router to
 // router without waiting for rounds.
-func (n *Node) Spread() {
+func (n *Node) TriggerGossip() {
 	select {
 	case n.trigger <- struct{}{}:
 	default:
