--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -280,8 +280,8 @@
 // fixedClient returns the same client for every router.
 type fixedClient struct{ client peerpb.PeerServiceClient }
 
-// Unanswered does nothing: the server of this run always responds.
-func (fixedClient) Unanswered(ident.Router) {}
+// ReportUnanswered does nothing: the server of this run always responds.
+func (fixedClient) ReportUnanswered(ident.Router) {}
 
 // Client returns the fixed client.
 func (o fixedClient) Client(ident.Router) (peerpb.PeerServiceClient, error) { return o.client, nil }
--- a/internal/share/home/local_failure_test.go
+++ b/internal/share/home/local_failure_test.go
@@ -24,7 +24,7 @@
 	return d.clients.At(d.addr), nil
 }
 
-func (d fixedAddrClients) Unanswered(ident.Router) {}
+func (d fixedAddrClients) ReportUnanswered(ident.Router) {}
 
 // A router that cannot open a connection for lack of file descriptors reports that as its own
 // failure and not as an unreachable home.
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -34,8 +34,8 @@
 // Clients provides the clients of routers.
 type Clients interface {
 	Client(id ident.Router) (peerpb.PeerServiceClient, error)
-	// Unanswered reports that a router did not respond in time.
-	Unanswered(id ident.Router)
+	// ReportUnanswered reports that a router did not respond in time.
+	ReportUnanswered(id ident.Router)
 }
 
 // Remote sends requests to homes. Calls to a local home do not use the network.
@@ -76,7 +76,7 @@
 	}
 	if l.recordMissed() {
 		r.links.closeLink(home)
-		r.clients.Unanswered(home)
+		r.clients.ReportUnanswered(home)
 	}
 	return resp, err
 }
--- a/internal/share/peer/client.go
+++ b/internal/share/peer/client.go
@@ -68,9 +68,9 @@
 	return &client{addr: addr, calls: c.calls}
 }
 
-// Unanswered reports that requests to an address timed out. Connections to the address that count
+// ReportUnanswered reports that requests to an address timed out. Connections to the address that count
 // as silent are closed.
-func (c *Clients) Unanswered(addr string) { c.open.closeSilent(addr) }
+func (c *Clients) ReportUnanswered(addr string) { c.open.closeSilent(addr) }
 
 // trimHeaders removes the headers that routers do not use from unary calls.
 type trimHeaders struct{}
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -22,8 +22,8 @@
 // Dialer returns the client of the router at an address.
 type Dialer interface {
 	At(addr string) peerpb.PeerServiceClient
-	// Unanswered reports that requests to an address timed out.
-	Unanswered(addr string)
+	// ReportUnanswered reports that requests to an address timed out.
+	ReportUnanswered(addr string)
 }
 
 // Lister reads the platform's list of boxes.
@@ -299,13 +299,13 @@
 	return Encode(n.clock(), n.Respond(Decode(n.clock(), in)))
 }
 
-// Unanswered reports that requests to a router timed out.
-func (n *Node) Unanswered(id ident.Router) {
+// ReportUnanswered reports that requests to a router timed out.
+func (n *Node) ReportUnanswered(id ident.Router) {
 	n.mu.Lock()
 	m, ok := n.view.Member(id)
 	n.mu.Unlock()
 	if ok {
-		n.dial.Unanswered(m.Addr)
+		n.dial.ReportUnanswered(m.Addr)
 	}
 }
 
