--- a/internal/oper/mesh/pools_test.go
+++ b/internal/oper/mesh/pools_test.go
@@ -87,7 +87,7 @@
 					id := rng.IntN(20)
 					switch rng.IntN(6) {
 					case 0:
-						v.ObserveTargets(f.now, peer.TargetNews{Gone: []ident.Target{ident.Target("t" + strconv.Itoa(id))}})
+						v.ObserveTargets(f.now, peer.TargetNews{Removed: []ident.Target{ident.Target("t" + strconv.Itoa(id))}})
 					case 1:
 						v.MarkLeaving(f.now, peer.Mark{Target: ident.Target("t" + strconv.Itoa(id)), Incarnation: ident.Incarnation(step)})
 					case 2:
@@ -136,7 +136,7 @@
 	f.mesh.Update()
 	f.capacityCalls = 0
 	f.node.Do(func(v *peer.View) {
-		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(7, "s", 2, boxes.Live), targetRow(1000, "s", 1, boxes.Live)}, Gone: []ident.Target{"t9"}})
+		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(7, "s", 2, boxes.Live), targetRow(1000, "s", 1, boxes.Live)}, Removed: []ident.Target{"t9"}})
 	})
 	f.mesh.Update()
 	if diff := cmp.Diff(2, f.capacityCalls); diff != "" {
--- a/internal/oper/node/targets.go
+++ b/internal/oper/node/targets.go
@@ -69,10 +69,10 @@
 			update.Boxes = append(update.Boxes, after.target.Box)
 			restarted = append(restarted, s.restarted(before, after)...)
 		case before.valid():
-			update.Gone = append(update.Gone, ident.Target(row.Key))
+			update.Removed = append(update.Removed, ident.Target(row.Key))
 		}
 	}
-	for _, key := range change.Gone {
+	for _, key := range change.Removed {
 		before, known := s.targetRows[key]
 		if !known || !before.removedAt.IsZero() {
 			continue
@@ -81,7 +81,7 @@
 		after.removedAt = now
 		s.replaceRow(key, before, after, change.At)
 		s.removed = append(s.removed, removal{key: key, at: now})
-		update.Gone = append(update.Gone, ident.Target(key))
+		update.Removed = append(update.Removed, ident.Target(key))
 	}
 	s.evictRemoved(now)
 	return update, restarted
--- a/internal/oper/node/targets_test.go
+++ b/internal/oper/node/targets_test.go
@@ -57,7 +57,7 @@
 	for key, r := range s.targetRows {
 		present := slices.ContainsFunc(rows, func(row table.Row) bool { return row.Key == key })
 		if r.removedAt.IsZero() && !present {
-			change.Gone = append(change.Gone, key)
+			change.Removed = append(change.Removed, key)
 		}
 	}
 	_, restarted := s.updateTargets(change)
--- a/internal/share/feed/board.go
+++ b/internal/share/feed/board.go
@@ -38,8 +38,8 @@
 type Change struct {
 	// Rows contains the effective rows that are new or whose value has changed.
 	Rows []table.Row
-	// Gone contains the keys that have no effective row any more.
-	Gone []table.Key
+	// Removed contains the keys that have no effective row any more.
+	Removed []table.Key
 	// At is the position of the replica.
 	At     table.Position
 	source *replica
--- a/internal/share/feed/board_test.go
+++ b/internal/share/feed/board_test.go
@@ -180,7 +180,7 @@
 	changed := row("7", rows+1)
 	changed.Value = []byte("other")
 	b.Take(tableName, pos(rows), deltaPage(rows+2, changed, deletedRow("8", rows+2)))
-	want := Change{Rows: []table.Row{changed}, Gone: []table.Key{"8"}, At: pos(rows + 2)}
+	want := Change{Rows: []table.Row{changed}, Removed: []table.Key{"8"}, At: pos(rows + 2)}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Change{})); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -51,7 +51,7 @@
 		for _, r := range change.Rows {
 			c.rows[r.Key] = string(r.Value)
 		}
-		for _, key := range change.Gone {
+		for _, key := range change.Removed {
 			delete(c.rows, key)
 		}
 		all := map[table.Key]string{}
--- a/internal/share/feed/replica.go
+++ b/internal/share/feed/replica.go
@@ -81,12 +81,12 @@
 		if row, effective := r.effective(key); effective {
 			change.Rows = append(change.Rows, row)
 		} else {
-			change.Gone = append(change.Gone, key)
+			change.Removed = append(change.Removed, key)
 		}
 	}
 	clear(r.changedKeys)
 	slices.SortFunc(change.Rows, byKey)
-	slices.Sort(change.Gone)
+	slices.Sort(change.Removed)
 	return change
 }
 
--- a/internal/share/peer/target.go
+++ b/internal/share/peer/target.go
@@ -102,8 +102,8 @@
 type TargetNews struct {
 	// Boxes are the boxes of targets that are new or whose data has changed.
 	Boxes []boxes.Box
-	// Gone are the targets that have been removed.
-	Gone []ident.Target
+	// Removed are the targets that have been removed.
+	Removed []ident.Target
 }
 
 // ObserveTargets updates the targets from the changes since the last call, in place of lists of all
@@ -113,7 +113,7 @@
 		v.observeTarget(now, b)
 		v.targetChanged(ident.Target(b.ID))
 	}
-	for _, id := range update.Gone {
+	for _, id := range update.Removed {
 		if t, known := v.targets[id]; known && !t.removed {
 			t.removed = true
 			v.targetChanged(id)
