--- a/internal/oper/daemon/daemon.go
+++ b/internal/oper/daemon/daemon.go
@@ -213,7 +213,7 @@
 // rewrite its own rows, and quarantined requests are written again. The first era is gossiped
 // too, so that a router which starts can recognize a later era as a store rollback.
 func (d *Daemon) onStoreRollback(era, previous table.Era) {
-	d.node.Do(func(v *peer.View) { v.RaiseEra(era) })
+	d.node.UpdateView(func(v *peer.View) { v.RaiseEra(era) })
 	if previous == 0 {
 		return
 	}
--- a/internal/oper/daemon/pools.go
+++ b/internal/oper/daemon/pools.go
@@ -40,7 +40,7 @@
 // acknowledgeRevision publishes that callers are served under a revision from now on.
 func (d *Daemon) acknowledgeRevision(revision ident.Revision) {
 	advanced := false
-	d.node.Do(func(v *peer.View) {
+	d.node.UpdateView(func(v *peer.View) {
 		advanced = v.RevisionOf(d.self.ID) < revision
 		v.SetRevision(revision)
 	})
--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -128,7 +128,7 @@
 	_ = level.Info(d.logger).Log("msg", "draining")
 	ctx, cancel := context.WithTimeout(context.Background(), d.settings.Limits.DrainDelay+d.settings.Limits.DrainTime)
 	defer cancel()
-	d.node.Do(func(v *peer.View) { v.Leave(d.clock()) })
+	d.node.UpdateView(func(v *peer.View) { v.Leave(d.clock()) })
 	for range leaveGossipRounds {
 		d.node.Tell(ctx)
 	}
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -277,7 +277,7 @@
 // routers.
 func (m *Mesh) MarkLeaving(id ident.Target, incarnation ident.Incarnation) {
 	added := false
-	m.Node.Do(func(v *peer.View) {
+	m.Node.UpdateView(func(v *peer.View) {
 		added = v.MarkLeaving(m.Clock(), peer.Mark{Target: id, Incarnation: incarnation})
 	})
 	if added {
--- a/internal/oper/mesh/mesh_test.go
+++ b/internal/oper/mesh/mesh_test.go
@@ -83,14 +83,14 @@
 			ID: fmt.Sprint("t", i), Role: boxes.TargetRole, Service: "s", Region: "r", State: boxes.Live, Incarnation: 1, Addr: "127.0.0.1:1",
 		})
 	}
-	node.Do(func(v *peer.View) { v.ObserveList(now, list) })
+	node.UpdateView(func(v *peer.View) { v.ObserveList(now, list) })
 	m.Update()
 	if capacityCalls != targets {
 		t.Fatalf("capacity of %d targets was read, want %d", capacityCalls, targets)
 	}
 	for i := range routers {
 		d := peer.Digest{Members: []peer.Member{{ID: ident.Router(fmt.Sprint("r", i)), Region: "r", Incarnation: 1, State: peer.Live, Seq: 1}}}
-		node.Do(func(v *peer.View) { v.Incoming(now, d) })
+		node.UpdateView(func(v *peer.View) { v.Incoming(now, d) })
 		m.Update()
 	}
 	if capacityCalls != targets {
@@ -99,7 +99,7 @@
 	if got := len(m.Set().Live.Routers()); got != routers+1 {
 		t.Errorf("homes are assigned among %d routers, want %d", got, routers+1)
 	}
-	node.Do(func(v *peer.View) { v.MarkLeaving(now, peer.Mark{Target: "t0", Incarnation: 1}) })
+	node.UpdateView(func(v *peer.View) { v.MarkLeaving(now, peer.Mark{Target: "t0", Incarnation: 1}) })
 	m.Update()
 	leaving := 0
 	for _, e := range m.Set().Pools[0].Roster.Engines() {
--- a/internal/oper/mesh/pools_test.go
+++ b/internal/oper/mesh/pools_test.go
@@ -82,7 +82,7 @@
 		f := newFixture()
 		for step := range 60 {
 			f.now = f.now.Add(time.Second)
-			f.node.Do(func(v *peer.View) {
+			f.node.UpdateView(func(v *peer.View) {
 				for range rng.IntN(6) {
 					id := rng.IntN(20)
 					switch rng.IntN(6) {
@@ -103,7 +103,7 @@
 			case 0:
 				// Services get more shards as they get more targets.
 				f.wanted.Services[0].Shards = 1 << rng.IntN(4)
-				f.node.Do(func(v *peer.View) {
+				f.node.UpdateView(func(v *peer.View) {
 					v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(20, "s", ident.Incarnation(step), boxes.Live)}})
 				})
 			case 1:
@@ -132,10 +132,10 @@
 	for i := range 1000 {
 		all = append(all, targetRow(i, "s", 1, boxes.Live))
 	}
-	f.node.Do(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetNews{Boxes: all}) })
+	f.node.UpdateView(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetNews{Boxes: all}) })
 	f.mesh.Update()
 	f.capacityCalls = 0
-	f.node.Do(func(v *peer.View) {
+	f.node.UpdateView(func(v *peer.View) {
 		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(7, "s", 2, boxes.Live), targetRow(1000, "s", 1, boxes.Live)}, Removed: []ident.Target{"t9"}})
 	})
 	f.mesh.Update()
@@ -157,10 +157,10 @@
 			for i := range targets {
 				all = append(all, targetRow(i, "s", 1, boxes.Live))
 			}
-			f.node.Do(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetNews{Boxes: all}) })
+			f.node.UpdateView(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetNews{Boxes: all}) })
 			f.mesh.Update()
 			for i := 0; b.Loop(); i++ {
-				f.node.Do(func(v *peer.View) {
+				f.node.UpdateView(func(v *peer.View) {
 					v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(i%targets, "s", ident.Incarnation(i+2), boxes.Live)}})
 				})
 				f.mesh.Update()
@@ -174,19 +174,19 @@
 // of CPU time with 1,000 routers.
 func TestNewTargetsDoNotReassignHomes(t *testing.T) {
 	f := newFixture()
-	f.node.Do(func(v *peer.View) {
+	f.node.UpdateView(func(v *peer.View) {
 		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(1, "s", 1, boxes.Live), targetRow(2, "other", 1, boxes.Live)}})
 	})
 	f.mesh.Update()
 	before := f.mesh.Set()
-	f.node.Do(func(v *peer.View) {
+	f.node.UpdateView(func(v *peer.View) {
 		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(3, "s", 1, boxes.Live)}})
 	})
 	f.mesh.Update()
 	if got := f.mesh.Set(); got.Live != before.Live || got.Known != before.Known || got.Pools[0].Roster == before.Pools[0].Roster {
 		t.Error("a new target caused homes to be reassigned, or is in no pool")
 	}
-	f.node.Do(func(v *peer.View) {
+	f.node.UpdateView(func(v *peer.View) {
 		v.Incoming(f.now, peer.Digest{Members: []peer.Member{{ID: "other", Region: "r", Incarnation: 1, State: peer.Live, Seq: 1}}})
 	})
 	f.mesh.Update()
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -113,7 +113,7 @@
 	_ = level.Info(n.Logger).Log("msg", "draining")
 	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Load().Grace-graceMargin)
 	defer cancel()
-	n.peers.Do(func(v *peer.View) { v.Leave(n.Clock()) })
+	n.peers.UpdateView(func(v *peer.View) { v.Leave(n.Clock()) })
 	for range leaveGossipRounds {
 		n.peers.Tell(ctx)
 	}
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -25,7 +25,7 @@
 		if n.rollouts.setRollouts(n.Rows.Orders(rows)) {
 			n.reassign()
 		}
-		n.peers.Do(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
+		n.peers.UpdateView(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
 		n.mesh.MarkDirty()
 	})
 	n.board.Follow(n.Rows.TargetTable(), feed.Rules{LostFor: feed.LapseGrace}, func(change feed.Change) {
@@ -58,7 +58,7 @@
 
 // publishTargets applies changes of targets to the membership view.
 func (n *Node) publishTargets(update peer.TargetNews) {
-	n.peers.Do(func(v *peer.View) { v.ObserveTargets(n.Clock(), update) })
+	n.peers.UpdateView(func(v *peer.View) { v.ObserveTargets(n.Clock(), update) })
 }
 
 // followRouters applies routers' rows to the membership view as they are written. Routers that
@@ -67,13 +67,13 @@
 func (n *Node) followRouters() {
 	n.board.Follow(routerTable, feed.Rules{LostFor: lostConfigTTL}, func(change feed.Change) {
 		list := n.state.decodeRouters(change.Rows)
-		n.peers.Do(func(v *peer.View) { v.ObserveRouters(n.Clock(), list) })
+		n.peers.UpdateView(func(v *peer.View) { v.ObserveRouters(n.Clock(), list) })
 	})
 }
 
 // updateRouters applies the routers listed in the store to the membership view.
 func (n *Node) updateRouters() {
-	n.peers.Do(func(v *peer.View) { v.ObserveRouters(n.Clock(), n.state.routerBoxes()) })
+	n.peers.UpdateView(func(v *peer.View) { v.ObserveRouters(n.Clock(), n.state.routerBoxes()) })
 }
 
 // followedTables returns the tables that routers follow.
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -182,12 +182,12 @@
 	if err != nil {
 		return
 	}
-	n.Do(func(v *View) { v.ObserveList(n.clock(), list) })
+	n.UpdateView(func(v *View) { v.ObserveList(n.clock(), list) })
 }
 
-// Do applies a change to the view and calls the Changed hook if the version of the view has
+// UpdateView applies a change to the view and calls the Changed hook if the version of the view has
 // changed.
-func (n *Node) Do(change func(*View)) {
+func (n *Node) UpdateView(change func(*View)) {
 	n.mu.Lock()
 	change(n.view)
 	changed := n.view.Version() != n.version
@@ -207,7 +207,7 @@
 
 // gossipRound starts an exchange of digests with one peer.
 func (n *Node) gossipRound(ctx context.Context, wg *sync.WaitGroup) {
-	n.Do(func(v *View) { v.Tick(n.clock()) })
+	n.UpdateView(func(v *View) { v.Tick(n.clock()) })
 	for _, peer := range n.pick(1) {
 		wg.Go(func() { _ = n.Exchange(ctx, peer) })
 	}
@@ -243,7 +243,7 @@
 	reply, err := n.dial.At(peer.Addr).Gossip(ctx, connect.NewRequest(Encode(n.clock(), out)))
 	if err != nil {
 		if ctx.Err() != context.Canceled && !fault.OwnLack(err) {
-			n.Do(func(v *View) { v.ContactFailed(n.clock(), peer.ID) })
+			n.UpdateView(func(v *View) { v.ContactFailed(n.clock(), peer.ID) })
 		}
 		return fault.New("peer.Exchange", Unreachable, err)
 	}
@@ -272,7 +272,7 @@
 // Incoming merges a peer's digest and reports whether the peer requests the full list of members.
 func (n *Node) Incoming(d Digest) bool {
 	var update Update
-	n.Do(func(v *View) { update = v.Incoming(n.clock(), d) })
+	n.UpdateView(func(v *View) { update = v.Incoming(n.clock(), d) })
 	if update.Head > 0 && n.hooks.Head != nil {
 		n.hooks.Head(update.Head, d.From)
 	}
