--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -89,7 +89,7 @@
 	}, d.remote, d.clock)
 	d.mesh = mesh.New(mesh.Parts{
 		Self: d.self, Node: d.node, Homes: d.homes, Remote: d.remote, Router: d.router, Logger: d.logger, Clock: d.clock,
-		Wanted: d.meshConfig, Capacity: d.capacity,
+		Desired: d.meshConfig, Capacity: d.capacity,
 		Bound: func(s policy.Service) place.Bound { return place.BoundOf(s.Bound) },
 	})
 	d.node.SetHooks(peer.Hooks{
--- a/internal/oper/daemon/pools.go
+++ b/internal/oper/daemon/pools.go
@@ -18,9 +18,9 @@
 // meshConfig returns the input of the mesh from the installed configuration. Callers are
 // served under that configuration only after its pools have been built, so that a service is
 // never in force without its pools.
-func (d *Daemon) meshConfig() mesh.Wanted {
+func (d *Daemon) meshConfig() mesh.Desired {
 	inForce := d.keeper.InForce()
-	return mesh.Wanted{
+	return mesh.Desired{
 		Revision: inForce.Revision, Services: slices.Collect(maps.Values(inForce.Set.Services)), Reports: d.engineReports.version(),
 		Install: func() {
 			d.inForce.Store(&inForce)
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -17,8 +17,8 @@
 	"valescale/internal/share/peer"
 )
 
-// Wanted is a consistent state of the configuration.
-type Wanted struct {
+// Desired is a consistent state of the configuration.
+type Desired struct {
 	Revision ident.Revision
 	Services []policy.Service
 	// Reports grows with each change of the results of Capacity or Bound.
@@ -50,8 +50,8 @@
 	Router *route.Router
 	Logger log.Logger
 	Clock  ident.Clock
-	// Wanted returns the current configuration.
-	Wanted func() Wanted
+	// Desired returns the current configuration.
+	Desired func() Desired
 	// Capacity returns the capacity of a target as far as it is not part of the service's document.
 	Capacity func(policy.Service, peer.Target) Capacity
 	// Bound returns a service's load bound.
@@ -151,7 +151,7 @@
 func (m *Mesh) Update() {
 	m.updateMu.Lock()
 	defer m.updateMu.Unlock()
-	wanted := m.Wanted()
+	wanted := m.Desired()
 	latest := inputVersions{poolVersions: poolVersions{revision: wanted.Revision, reports: wanted.Reports}}
 	m.Node.Read(func(v *peer.View) { latest.routers, latest.targets = v.MemberVersion(), v.TargetVersion() })
 	if latest == m.applied {
--- a/internal/oper/mesh/mesh_test.go
+++ b/internal/oper/mesh/mesh_test.go
@@ -68,8 +68,8 @@
 		Self: self, Node: node, Logger: log.NewNopLogger(), Clock: func() time.Time { return now },
 		Homes:  home.New("self", home.DefaultLimits, func() time.Time { return now }, nil),
 		Router: route.New(route.Self{ID: "self", Region: "r"}, nil, func() time.Time { return now }),
-		Wanted: func() Wanted {
-			return Wanted{Revision: 1, Services: []policy.Service{{Name: "s", Balance: policy.Exact, Shards: 4}}}
+		Desired: func() Desired {
+			return Desired{Revision: 1, Services: []policy.Service{{Name: "s", Balance: policy.Exact, Shards: 4}}}
 		},
 		Bound: func(policy.Service) place.Bound { return place.DefaultBound },
 		Capacity: func(policy.Service, peer.Target) Capacity {
--- a/internal/oper/mesh/pools_test.go
+++ b/internal/oper/mesh/pools_test.go
@@ -24,7 +24,7 @@
 	now    time.Time
 	node   *peer.Node
 	mesh   *Mesh
-	wanted Wanted
+	wanted Desired
 	// capacityCalls counts the calls of Capacity.
 	capacityCalls int
 }
@@ -33,7 +33,7 @@
 	f := &fixture{now: time.Unix(1000, 0)}
 	f.node = peer.NewNode(peer.NewView(f.now, peer.Member{ID: "self", Region: "r", Incarnation: 1}, peer.DefaultLimits),
 		nil, nil, peer.DefaultPace, nil, 1, f.clock)
-	f.wanted = Wanted{Revision: 1, Services: []policy.Service{
+	f.wanted = Desired{Revision: 1, Services: []policy.Service{
 		{Name: "s", Balance: policy.Exact, Shards: 4}, {Name: "other", Balance: policy.Exact, Shards: 2},
 	}}
 	f.mesh = f.newMesh()
@@ -46,10 +46,10 @@
 func (f *fixture) newMesh() *Mesh {
 	return New(Parts{
 		Self: peer.Member{ID: "self", Region: "r", Incarnation: 1}, Node: f.node, Logger: log.NewNopLogger(), Clock: f.clock,
-		Homes:  home.New("self", home.DefaultLimits, f.clock, nil),
-		Router: route.New(route.Self{ID: "self", Region: "r"}, nil, f.clock),
-		Wanted: func() Wanted { return f.wanted },
-		Bound:  func(policy.Service) place.Bound { return place.DefaultBound },
+		Homes:   home.New("self", home.DefaultLimits, f.clock, nil),
+		Router:  route.New(route.Self{ID: "self", Region: "r"}, nil, f.clock),
+		Desired: func() Desired { return f.wanted },
+		Bound:   func(policy.Service) place.Bound { return place.DefaultBound },
 		Capacity: func(_ policy.Service, t peer.Target) Capacity {
 			f.capacityCalls++
 			return Capacity{Slots: len(t.ID)}
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -123,7 +123,7 @@
 	n.router = route.New(route.Self{ID: s.ID, Zone: s.Zone, Region: s.Region, FirstPermit: firstPermit}, remote, n.Clock)
 	n.mesh = mesh.New(mesh.Parts{
 		Self: n.self, Node: n.peers, Homes: n.homes, Remote: remote, Router: n.router, Logger: n.Logger, Clock: n.Clock,
-		Wanted: n.state.poolConfig, Capacity: n.state.capacity, Bound: n.bound,
+		Desired: n.state.poolConfig, Capacity: n.state.capacity, Bound: n.bound,
 	})
 	n.peers.SetHooks(peer.Hooks{Changed: n.membersChanged, Head: n.laterRevisionReported})
 }
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -171,10 +171,10 @@
 }
 
 // poolConfig returns the services for which the mesh has to maintain pools.
-func (s *state) poolConfig() mesh.Wanted {
+func (s *state) poolConfig() mesh.Desired {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wanted := mesh.Wanted{Reports: s.generation}
+	wanted := mesh.Desired{Reports: s.generation}
 	for _, service := range s.services {
 		wanted.Services = append(wanted.Services, s.service(service))
 		if s.hasCanary(service.Name) {
