--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -101,7 +101,7 @@
 // sweepClaims removes old claims while this router holds the lease for it. Two routers that
 // sweep at the same time are harmless, since each row is removed by a conditional write.
 func (d *Daemon) sweepClaims(ctx context.Context) {
-	_ = d.sweepLease.Step(ctx)
+	_ = d.sweepLease.AcquireOrRenew(ctx)
 	if _, held := d.sweepLease.Epoch(); !held {
 		return
 	}
--- a/internal/share/lease/lease.go
+++ b/internal/share/lease/lease.go
@@ -84,9 +84,9 @@
 	return l.epoch, true
 }
 
-// Step renews the lease if it is held, or acquires it if its row has not changed for the holder's
+// AcquireOrRenew renews the lease if it is held, or acquires it if its row has not changed for the holder's
 // TTL. It must be called several times per TTL.
-func (l *Lease) Step(ctx context.Context) error {
+func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	const op = "lease.Step"
 	// The TTL is counted from before the write, so that the lease expires here no later than for
 	// other routers, which see the row only after the write.
--- a/internal/share/lease/lease_test.go
+++ b/internal/share/lease/lease_test.go
@@ -33,8 +33,8 @@
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	b := lease.New(s, "orders", "b", "2", ttl, clock.time)
-	_ = a.Step(ctx)
-	_ = b.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	first, holds := a.Epoch()
 	if _, other := b.Epoch(); !holds || other {
 		t.Fatalf("a holds: %v, b holds: %v", holds, other)
@@ -43,7 +43,7 @@
 	if _, still := a.Epoch(); still {
 		t.Error("a still holds a lease that it has not renewed")
 	}
-	_ = b.Step(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	second, holds := b.Epoch()
 	if !holds || second <= first {
 		t.Errorf("b holds the lease: %v, epoch %d; want an epoch greater than %d", holds, second, first)
@@ -54,11 +54,11 @@
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	b := lease.New(s, "orders", "b", "2", ttl, clock.time)
-	_ = a.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
 	if err := a.Release(ctx); err != nil {
 		t.Fatal(err)
 	}
-	_ = b.Step(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	if epoch, holds := b.Epoch(); !holds || epoch != 2 {
 		t.Errorf("b holds the lease: %v, epoch %d; want epoch 2", holds, epoch)
 	}
@@ -68,10 +68,10 @@
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	s.LoseAnswers(1)
-	if err := a.Step(ctx); err == nil {
+	if err := a.AcquireOrRenew(ctx); err == nil {
 		t.Fatal("got no error although the commit response was lost")
 	}
-	if err := a.Step(ctx); err != nil {
+	if err := a.AcquireOrRenew(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if epoch, holds := a.Epoch(); !holds || epoch != 1 {
@@ -98,7 +98,7 @@
 		i := rapid.IntRange(0, len(leases)-1).Draw(r, "holder")
 		switch rapid.IntRange(0, 4).Draw(r, "action") {
 		case 0, 1:
-			_ = leases[i].Step(ctx)
+			_ = leases[i].AcquireOrRenew(ctx)
 		case 2:
 			clock.now = clock.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(r, "s")) * time.Second)
 		case 3:
--- a/internal/share/lease/rollback_test.go
+++ b/internal/share/lease/rollback_test.go
@@ -21,25 +21,25 @@
 	s, clock := store.New(), newManualClock()
 	a := lease.New(store.NewClient(s), "orders", "a", "1", ttl, clock.time)
 	b := lease.New(store.NewClient(s), "orders", "b", "2", ttl, clock.time)
-	_ = a.Step(ctx)
-	_ = b.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	snapshot := s.Copy()
 	clock.now = clock.now.Add(ttl + 1)
-	_ = b.Step(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	second, holds := b.Epoch()
 	if !holds {
 		t.Fatal("b did not acquire the expired lease")
 	}
 	s.SetBack(snapshot)
-	_ = a.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
 	if epoch, holds := a.Epoch(); holds {
 		t.Errorf("a holds the lease under epoch %d while b holds it under epoch %d", epoch, second)
 	}
-	_ = b.Step(ctx)
+	_ = b.AcquireOrRenew(ctx)
 	clock.now = clock.now.Add(ttl + 1)
-	_ = a.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
 	clock.now = clock.now.Add(ttl + 1)
-	_ = a.Step(ctx)
+	_ = a.AcquireOrRenew(ctx)
 	if epoch, holds := a.Epoch(); !holds || epoch <= second {
 		t.Errorf("a holds the lease: %v, epoch %d; want an epoch greater than %d", holds, epoch, second)
 	}
@@ -57,7 +57,7 @@
 	for i, name := range names {
 		leases = append(leases, lease.New(store.NewClient(s), "orders", name, strconv.Itoa(i), ttl, clock.time))
 		// A router that has observed no era cannot detect a later one.
-		_ = leases[i].Step(ctx)
+		_ = leases[i].AcquireOrRenew(ctx)
 	}
 	snapshots := []store.Copy{s.Copy()}
 	owners := epochOwners{byEpoch: map[ident.Epoch]int{}}
@@ -65,7 +65,7 @@
 		i := rapid.IntRange(0, len(leases)-1).Draw(r, "holder")
 		switch rapid.IntRange(0, 6).Draw(r, "action") {
 		case 0, 1, 2:
-			_ = leases[i].Step(ctx)
+			_ = leases[i].AcquireOrRenew(ctx)
 		case 3:
 			clock.now = clock.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(r, "s")) * time.Second)
 		case 4:
