--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -105,7 +105,7 @@
 	if _, held := d.sweepLease.Epoch(); !held {
 		return
 	}
-	if removed, err := d.sweeper.Step(ctx); removed > 0 || err != nil {
+	if removed, err := d.sweeper.SweepPage(ctx); removed > 0 || err != nil {
 		_ = level.Info(d.logger).Log("msg", "old claims removed", "removed", removed, "err", err)
 	}
 }
--- a/internal/share/claim/sweep.go
+++ b/internal/share/claim/sweep.go
@@ -42,8 +42,8 @@
 	return &Sweeper{rows: rows, retention: retention, clock: clock}
 }
 
-// Step scans one page and returns the number of claims removed.
-func (s *Sweeper) Step(ctx context.Context) (int, error) {
+// SweepPage scans one page and returns the number of claims removed.
+func (s *Sweeper) SweepPage(ctx context.Context) (int, error) {
 	rows, err := s.rows.Scan(ctx, table.Range{Table: Table, From: s.next, Limit: sweepPageRows})
 	if err != nil {
 		return 0, fault.New("claim.Sweep", Unavailable, err)
--- a/internal/share/claim/sweep_test.go
+++ b/internal/share/claim/sweep_test.go
@@ -27,7 +27,7 @@
 		<-time.After(time.Second)
 		sweep := func(later time.Duration) int {
 			clock := func() time.Time { return time.Now().Add(later) }
-			n, err := claim.NewSweeper(f.store, claim.DefaultKeep, clock).Step(context.Background())
+			n, err := claim.NewSweeper(f.store, claim.DefaultKeep, clock).SweepPage(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -57,7 +57,7 @@
 			}
 		})
 		later := func() time.Time { return time.Now().Add(claim.DefaultKeep.Ended * 2) }
-		if n, err := claim.NewSweeper(f.store, claim.DefaultKeep, later).Step(context.Background()); n != 0 || err != nil {
+		if n, err := claim.NewSweeper(f.store, claim.DefaultKeep, later).SweepPage(context.Background()); n != 0 || err != nil {
 			t.Errorf("removed %d claims (%v), want none: the claim was retaken", n, err)
 		}
 		if _, _, kind := begin(f.router(), time.Second); kind != claim.Running {
