--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -188,8 +188,8 @@
 	}
 	return relay.Exchange{
 		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, Fresh: fresh,
-		Keep: h.Rules.IdleConns(j.service),
-		Owns: func(got http.Header) bool { return h.Dialect.Owns(got, j.call) },
+		Keep:    h.Rules.IdleConns(j.service),
+		Matches: func(got http.Header) bool { return h.Dialect.Matches(got, j.call) },
 	}
 }
 
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-func (testDialect) Owns(h http.Header, call Call) bool { return h.Get("Id") == string(call.ID) }
+func (testDialect) Matches(h http.Header, call Call) bool { return h.Get("Id") == string(call.ID) }
 
 func (testDialect) Reply(status int, h http.Header) Reply {
 	return Reply{
--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -61,8 +61,8 @@
 	Read(h http.Header) Call
 	// Write converts a copy of the caller's headers into the headers sent to a target.
 	Write(h http.Header, call Call, o Order)
-	// Owns reports whether an answer with these headers belongs to the call.
-	Owns(h http.Header, call Call) bool
+	// Matches reports whether an answer with these headers belongs to the call.
+	Matches(h http.Header, call Call) bool
 	// Reply returns the values of a target's status and headers.
 	Reply(status int, h http.Header) Reply
 }
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -25,8 +25,8 @@
 	Host   string
 	Header http.Header
 	Body   []byte
-	// Owns reports by an answer's header whether the answer is to this request.
-	Owns func(http.Header) bool
+	// Matches reports by an answer's header whether the answer is to this request.
+	Matches func(http.Header) bool
 	// Fresh is the maximum idle time of a connection that is reused.
 	Fresh time.Duration
 	// Keep is the maximum number of idle connections to the target; zero means the limit for all
@@ -236,7 +236,7 @@
 		if err != nil {
 			return nil, err
 		}
-		if e.Owns(resp.Header) {
+		if e.Matches(resp.Header) {
 			return resp, nil
 		}
 		n, err := io.Copy(io.Discard, io.LimitReader(resp.Body, maxForeignBodyBytes+1))
--- a/internal/edge/relay/fuzz_test.go
+++ b/internal/edge/relay/fuzz_test.go
@@ -30,7 +30,7 @@
 	f.Fuzz(func(t *testing.T, script []byte) {
 		c := newConn("t", scriptedConn{script: bytes.NewReader(script)}, 1<<12)
 		for _, id := range []string{"1", "2"} {
-			resp, err := c.readMatchingHead(Exchange{Method: http.MethodPost, Owns: func(h http.Header) bool { return h.Get("Id") == id }})
+			resp, err := c.readMatchingHead(Exchange{Method: http.MethodPost, Matches: func(h http.Header) bool { return h.Get("Id") == id }})
 			if err != nil {
 				return
 			}
