--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -15,8 +15,8 @@
 
 // Prober checks whether targets are still running.
 type Prober interface {
-	// Gone reports whether no process listens at the address any more.
-	Gone(ctx context.Context, addr string) bool
+	// ConnectionRefused reports whether no process listens at the address any more.
+	ConnectionRefused(ctx context.Context, addr string) bool
 }
 
 // Parts are the dependencies of a Guard.
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -27,7 +27,7 @@
 	failures int
 }
 
-func (p *fakeDeps) Gone(context.Context, string) bool {
+func (p *fakeDeps) ConnectionRefused(context.Context, string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probes++
@@ -174,7 +174,7 @@
 // blockingProber is a fake Prober whose probes return when the test sends to proceed.
 type blockingProber struct{ proceed chan struct{} }
 
-func (b blockingProber) Gone(context.Context, string) bool {
+func (b blockingProber) ConnectionRefused(context.Context, string) bool {
 	<-b.proceed
 	return true
 }
--- a/internal/edge/guard/probe.go
+++ b/internal/edge/guard/probe.go
@@ -31,7 +31,7 @@
 	}
 	ctx, cancel := context.WithTimeout(g.ctx, probeTimeout)
 	defer cancel()
-	p.targetGone = g.Prober.Gone(ctx, addr)
+	p.targetGone = g.Prober.ConnectionRefused(ctx, addr)
 	g.mu.Lock()
 	delete(g.probes, addr)
 	g.mu.Unlock()
--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -214,10 +214,12 @@
 	return newConn(addr, raw, c.limits.Header), nil
 }
 
-// Gone reports whether nothing listens at a target's address any more, as after the end of its
+// ConnectionRefused reports whether nothing listens at a target's address any more, as after the end of its
 // process. A box that does not respond within the dial timeout gives no result and counts as not
 // gone.
-func (c *Conns) Gone(ctx context.Context, addr string) bool { return gone(ctx, c.dialer, addr) }
+func (c *Conns) ConnectionRefused(ctx context.Context, addr string) bool {
+	return gone(ctx, c.dialer, addr)
+}
 
 // gone makes a connection to check whether it is refused.
 func gone(ctx context.Context, dialer net.Dialer, addr string) bool {
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -256,9 +256,9 @@
 	return resp.ProtoMajor != 1 || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// Gone reports whether nothing listens at a target's address any more, as after the end of its
+// ConnectionRefused reports whether nothing listens at a target's address any more, as after the end of its
 // process.
-func (r *Relay) Gone(ctx context.Context, addr string) bool {
+func (r *Relay) ConnectionRefused(ctx context.Context, addr string) bool {
 	return gone(ctx, net.Dialer{Timeout: r.limits.Dial}, addr)
 }
 
