--- a/cmd/demo/run.go
+++ b/cmd/demo/run.go
@@ -238,7 +238,7 @@
 	var permitRequests, placed uint64
 	for _, r := range d.fleet.Routers {
 		s := r.Stats()
-		permitRequests += s.Asked
+		permitRequests += s.PermitRequests
 		placed += s.Placed
 	}
 	d.summary.PermitRequestsPerRequest = round(float64(permitRequests) / float64(max(placed, 1)))
--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -306,7 +306,7 @@
 	var requested, must, fallback uint64
 	for _, n := range h.nodes {
 		s := n.router.Stats()
-		requested += s.Asked
+		requested += s.PermitRequests
 		must += s.Must
 		fallback += s.Fallback
 	}
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -210,7 +210,7 @@
 	unsentFailures := r.unsentFailures[id]
 	delete(r.unsentFailures, id)
 	backoffs, included := r.takeBackoffs(id, now)
-	r.stats.Asked++
+	r.stats.PermitRequests++
 	placeRequest = home.PermitRequest{
 		Request:    r.placeRequest(p, request),
 		Shard:      id,
--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -31,8 +31,8 @@
 			c := d.table.Counts()
 			return float64(c.Reads + c.Writes)
 		},
-		Fallbacks: func() float64 { return float64(d.router.Stats().Fallback) },
-		Asked:     func() float64 { return float64(d.router.Stats().Asked) },
+		Fallbacks:      func() float64 { return float64(d.router.Stats().Fallback) },
+		PermitRequests: func() float64 { return float64(d.router.Stats().PermitRequests) },
 	}
 }
 
--- a/internal/oper/node/metrics.go
+++ b/internal/oper/node/metrics.go
@@ -30,7 +30,7 @@
 		counter("valescale_store_failures_total", "Calls to the store that failed.",
 			func() float64 { _, failed := n.Store.Calls(); return float64(failed) }),
 		counter("valescale_permit_asks_total", "Requests for permits.",
-			func() float64 { return float64(n.router.Stats().Asked) }),
+			func() float64 { return float64(n.router.Stats().PermitRequests) }),
 		counter("valescale_fallback_placements_total", "Placements made without the home.",
 			func() float64 { return float64(n.router.Stats().Fallback) }),
 		counter("valescale_throttled_requests_total", "Requests refused without asking a home that refuses most like them.",
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -18,19 +18,19 @@
 // Gauges contains the functions that are called when metrics are collected. A metric whose
 // function is nil is not registered.
 type Gauges struct {
-	Revision   func() float64
-	StoreUp    func() float64
-	Ready      func() float64
-	Routers    func() float64
-	Permits    func() float64
-	Waiting    func() float64
-	SentBytes  func() float64
-	ReadBytes  func() float64
-	LoadRatio  func() float64
-	Held       func() float64
-	StoreCalls func() float64
-	Fallbacks  func() float64
-	Asked      func() float64
+	Revision       func() float64
+	StoreUp        func() float64
+	Ready          func() float64
+	Routers        func() float64
+	Permits        func() float64
+	Waiting        func() float64
+	SentBytes      func() float64
+	ReadBytes      func() float64
+	LoadRatio      func() float64
+	Held           func() float64
+	StoreCalls     func() float64
+	Fallbacks      func() float64
+	PermitRequests func() float64
 }
 
 // Metrics contains the metrics of a router.
@@ -80,7 +80,7 @@
 	m.counter("valescale_control_received_bytes_total", "Bytes received on control connections.", g.ReadBytes)
 	m.counter("valescale_store_calls_total", "Calls to the table service.", g.StoreCalls)
 	m.counter("valescale_fallback_placements_total", "Placements made without the home.", g.Fallbacks)
-	m.counter("valescale_permit_asks_total", "Requests for permits.", g.Asked)
+	m.counter("valescale_permit_asks_total", "Requests for permits.", g.PermitRequests)
 	return m
 }
 
--- a/internal/share/home/surge_test.go
+++ b/internal/share/home/surge_test.go
@@ -54,7 +54,7 @@
 func (f *fleet) permitRequests() (sent, placed uint64) {
 	for _, m := range f.members {
 		s := m.router.Stats()
-		sent += s.Asked
+		sent += s.PermitRequests
 		placed += s.Placed
 	}
 	return sent, placed
