--- a/internal/edge/entry/descriptors_test.go
+++ b/internal/edge/entry/descriptors_test.go
@@ -25,7 +25,7 @@
 	if answer, _ := s.call(t, "GET", "/", ""); answer.Status != http.StatusOK {
 		t.Fatalf("status %d with free descriptors", answer.Status)
 	}
-	scarce.Descriptors(t)
+	scarce.ExhaustDescriptors(t)
 	answer, header := s.call(t, "GET", "/", "")
 	if answer.Status != http.StatusServiceUnavailable || header.Get("Retry-After") == "" {
 		t.Errorf("status %d, want 503 with a Retry-After delay", answer.Status)
--- a/internal/fake/scarce/scarce.go
+++ b/internal/fake/scarce/scarce.go
@@ -9,9 +9,9 @@
 // that a limit of this number leaves no descriptor free.
 const standardStreams = 3
 
-// Descriptors prevents this process from opening further file descriptors until the test ends.
+// ExhaustDescriptors prevents this process from opening further file descriptors until the test ends.
 // Those that are open stay usable.
-func Descriptors(t *testing.T) {
+func ExhaustDescriptors(t *testing.T) {
 	t.Helper()
 	var before syscall.Rlimit
 	if err := syscall.Getrlimit(syscall.RLIMIT_NOFILE, &before); err != nil {
--- a/internal/share/home/local_failure_test.go
+++ b/internal/share/home/local_failure_test.go
@@ -39,7 +39,7 @@
 	local, _, _ := newHomes()
 	remote, closeLinks := home.NewRemote(home.Edge{ID: "router-a"}, local, fixedAddrClients{clients, l.Addr().String()}, time.Second)
 	t.Cleanup(closeLinks)
-	scarce.Descriptors(t)
+	scarce.ExhaustDescriptors(t)
 	req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-a", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	_, err = remote.Place(t.Context(), "router-b", req, nil)
 	if got := fault.KindOf[home.Kind](err); got != home.HeldUp {
--- a/internal/share/peer/descriptors_test.go
+++ b/internal/share/peer/descriptors_test.go
@@ -17,7 +17,7 @@
 	view := NewView(now, Member{ID: "self", Incarnation: 1}, DefaultLimits)
 	view.setMember(now, other)
 	n := NewNode(view, clients, nil, DefaultPace, nil, 1, time.Now)
-	scarce.Descriptors(t)
+	scarce.ExhaustDescriptors(t)
 	if err := n.Exchange(t.Context(), other); err == nil {
 		t.Fatal("exchange succeeded without file descriptors")
 	}
