--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -33,7 +33,7 @@
 	// rollbacks is the number of times the store was restored from an older snapshot.
 	rollbacks int
 	// snapshots are snapshots of the store, the oldest first.
-	snapshots []fake.Copy
+	snapshots []fake.Snapshot
 	stop      chan struct{}
 	callers   sync.WaitGroup
 	servers   []*http.Server
--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -29,7 +29,7 @@
 
 // saveSnapshot keeps a snapshot of the store for a later rollback.
 func (w *harness) saveSnapshot() {
-	w.snapshots = append(w.snapshots, w.store.Copy())
+	w.snapshots = append(w.snapshots, w.store.Snapshot())
 	w.snapshots = w.snapshots[max(len(w.snapshots)-maxSnapshots, 0):]
 }
 
@@ -47,7 +47,7 @@
 	}
 	time.Sleep(applyDelay)
 	w.rollbacks++
-	served, latest := w.servingRouters(), w.store.Copy()
+	served, latest := w.servingRouters(), w.store.Snapshot()
 	for range 1 + w.rng.IntN(2) {
 		w.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(time.Duration(w.rng.Int64N(int64(maxOutage))))
@@ -63,7 +63,7 @@
 
 // rewriteLost writes the lost rows of the operator and the targets again, and nothing else: with
 // fewer new versions, versions that are assigned again stay below the lost ones for longer.
-func (w *harness) rewriteLost(latest fake.Copy) {
+func (w *harness) rewriteLost(latest fake.Snapshot) {
 	if !w.store.Has(latest, "op", "config") {
 		w.writeConfig()
 	}
