--- a/internal/fake/fleet/rollback_test.go
+++ b/internal/fake/fleet/rollback_test.go
@@ -14,7 +14,7 @@
 // in force.
 func TestFleetAfterStoreRollback(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 2, Plain: 2})
-	snapshot := b.Store.Copy()
+	snapshot := b.Store.Snapshot()
 	second := b.apply(t, "second", configurationText()+"\n[service extra]\nkind = plain\n")
 	orders := 12
 	for i := range orders {
--- a/internal/fake/store/store.go
+++ b/internal/fake/store/store.go
@@ -76,11 +76,11 @@
 	s.frozenRows = maps.Clone(s.rows)
 }
 
-// Copy is a snapshot of a store's rows.
-type Copy map[rowKey]table.Row
+// Snapshot is a snapshot of a store's rows.
+type Snapshot map[rowKey]table.Row
 
-// Copy returns a snapshot of the rows, from which the store can be restored.
-func (s *Store) Copy() Copy {
+// Snapshot returns a snapshot of the rows, from which the store can be restored.
+func (s *Store) Snapshot() Snapshot {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return maps.Clone(s.rows)
@@ -88,7 +88,7 @@
 
 // SetBack restores the store from a snapshot: later writes are lost, their versions are assigned
 // again, and the era is incremented.
-func (s *Store) SetBack(to Copy) {
+func (s *Store) SetBack(to Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows = maps.Clone(to)
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -41,7 +41,7 @@
 		second, secondClient := f.newRouter()
 		readStore(t, firstClient)
 		readStore(t, secondClient)
-		snapshot := f.store.Copy()
+		snapshot := f.store.Snapshot()
 		ticket, _, kind := begin(first, time.Second)
 		if ticket == nil {
 			t.Fatalf("got no ticket and kind %q", kind)
@@ -72,7 +72,7 @@
 		second, secondClient := f.newRouter()
 		readStore(t, firstClient)
 		readStore(t, secondClient)
-		snapshot := f.store.Copy()
+		snapshot := f.store.Snapshot()
 		ticket, _, _ := begin(first, time.Second)
 		f.store.SetBack(snapshot)
 		readStore(t, firstClient)
@@ -95,7 +95,7 @@
 	run(t, func(t *testing.T, f *fixture) {
 		first, client := f.newRouter()
 		readStore(t, client)
-		snapshot := f.store.Copy()
+		snapshot := f.store.Snapshot()
 		ticket, _, _ := begin(first, time.Second)
 		first.Release(ticket)
 		pause.For(t.Context(), time.Second)
@@ -136,7 +136,7 @@
 	}
 	var ticket *claim.Ticket
 	holder, ran := 0, false
-	snapshot := f.store.Copy()
+	snapshot := f.store.Snapshot()
 	for step := range 60 {
 		i := rng.IntN(len(routers))
 		switch rng.IntN(8) {
@@ -159,7 +159,7 @@
 				ticket = nil
 			}
 		case 5:
-			snapshot = f.store.Copy()
+			snapshot = f.store.Snapshot()
 		case 6:
 			f.store.SetBack(snapshot)
 		}
@@ -182,7 +182,7 @@
 		ticket, _, _ := begin(c, time.Second)
 		c.Finish(ticket, claim.Answer{Status: 200, Body: []byte("booked")})
 		pause.For(t.Context(), time.Second)
-		f.store.SetBack(f.store.Copy())
+		f.store.SetBack(f.store.Snapshot())
 		readStore(t, client)
 		pause.For(t.Context(), claim.Settling)
 		if _, got, kind := begin(c, time.Second); got == nil {
--- a/internal/share/config/rollback_test.go
+++ b/internal/share/config/rollback_test.go
@@ -42,7 +42,7 @@
 	p := &peers{routers: map[ident.Router]*router{}}
 	a, b := newRouter(store.NewClient(s), p, "a"), newRouter(store.NewClient(s), p, "b")
 	a.record(t, "one", 1)
-	snapshot := s.Copy()
+	snapshot := s.Snapshot()
 	a.record(t, "two", 2)
 	a.record(t, "three", 3)
 	if err := b.follower.Poll(ctx); err != nil {
@@ -95,9 +95,9 @@
 	if err := b.follower.Poll(ctx); err != nil {
 		t.Fatal(err)
 	}
-	snapshot := s.Copy()
+	snapshot := s.Snapshot()
 	a.record(t, "two", 2)
-	latest := s.Copy()
+	latest := s.Snapshot()
 	s.SetBack(snapshot)
 	s.FreezeReads(true)
 	s.SetBack(latest)
@@ -118,7 +118,7 @@
 	if err := b.follower.Poll(ctx); err != nil {
 		t.Fatal(err)
 	}
-	snapshot := s.Copy()
+	snapshot := s.Snapshot()
 	a.record(t, "two", 2)
 	b.peerRevision = 2
 	s.SetBack(snapshot)
@@ -150,7 +150,7 @@
 		_ = next.follower.Poll(ctx)
 		routers = append(routers, next)
 	}
-	snapshots := []store.Copy{s.Copy()}
+	snapshots := []store.Snapshot{s.Snapshot()}
 	for step := range rapid.IntRange(3, 40).Draw(r, "steps") {
 		peer := routers[rapid.IntRange(0, len(routers)-1).Draw(r, "router")]
 		before := peer.keeper.InForce().Revision
@@ -164,7 +164,7 @@
 		case 4:
 			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
-			snapshots = append(snapshots, s.Copy())
+			snapshots = append(snapshots, s.Snapshot())
 		case 6:
 			s.SetBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
 		}
--- a/internal/share/lease/rollback_test.go
+++ b/internal/share/lease/rollback_test.go
@@ -23,7 +23,7 @@
 	b := lease.New(store.NewClient(s), "orders", "b", "2", ttl, clock.time)
 	_ = a.AcquireOrRenew(ctx)
 	_ = b.AcquireOrRenew(ctx)
-	snapshot := s.Copy()
+	snapshot := s.Snapshot()
 	clock.now = clock.now.Add(ttl + 1)
 	_ = b.AcquireOrRenew(ctx)
 	second, holds := b.Epoch()
@@ -59,7 +59,7 @@
 		// A router that has observed no era cannot detect a later one.
 		_ = leases[i].AcquireOrRenew(ctx)
 	}
-	snapshots := []store.Copy{s.Copy()}
+	snapshots := []store.Snapshot{s.Snapshot()}
 	owners := epochOwners{byEpoch: map[ident.Epoch]int{}}
 	for range rapid.IntRange(3, 40).Draw(r, "steps") {
 		i := rapid.IntRange(0, len(leases)-1).Draw(r, "holder")
@@ -71,7 +71,7 @@
 		case 4:
 			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
-			snapshots = append(snapshots, s.Copy())
+			snapshots = append(snapshots, s.Snapshot())
 		case 6:
 			s.SetBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
 		}
