--- a/cmd/demo/run.go
+++ b/cmd/demo/run.go
@@ -206,8 +206,8 @@
 
 func (d *demo) ordersAndLostAnswers(ctx context.Context) error {
 	rng := rand.New(rand.NewPCG(7, 7))
-	d.fleet.Store.LoseAnswers(orderCount)
-	d.fleet.Plain[0].LoseAnswers(2)
+	d.fleet.Store.LoseResponses(orderCount)
+	d.fleet.Plain[0].LoseResponses(2)
 	var wg sync.WaitGroup
 	for i := range orderCount {
 		own := rand.New(rand.NewPCG(rng.Uint64(), 7))
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -167,8 +167,8 @@
 
 func TestOrdersRunOnce(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 3, Engines: 1, Plain: 2})
-	b.Store.LoseAnswers(5)
-	b.Plain[0].LoseAnswers(3)
+	b.Store.LoseResponses(5)
+	b.Plain[0].LoseResponses(3)
 	outcomes := map[string][]retry.Outcome{}
 	var mu sync.Mutex
 	var wg sync.WaitGroup
--- a/internal/fake/store/store.go
+++ b/internal/fake/store/store.go
@@ -56,9 +56,9 @@
 	s.down = down
 }
 
-// LoseAnswers makes the next n commits take effect and return Unknown, as if their responses were
+// LoseResponses makes the next n commits take effect and return Unknown, as if their responses were
 // lost.
-func (s *Store) LoseAnswers(n int) {
+func (s *Store) LoseResponses(n int) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.responsesToLose = n
--- a/internal/fake/target/plain.go
+++ b/internal/fake/target/plain.go
@@ -21,8 +21,8 @@
 // NewPlain returns a service whose requests take the given time.
 func NewPlain(delay time.Duration) *Plain { return &Plain{runs: map[string]int{}, delay: delay} }
 
-// LoseAnswers makes the next n orders run and then close the connection without a response.
-func (p *Plain) LoseAnswers(n int) {
+// LoseResponses makes the next n orders run and then close the connection without a response.
+func (p *Plain) LoseResponses(n int) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.lose = n
--- a/internal/share/claim/claims_test.go
+++ b/internal/share/claim/claims_test.go
@@ -84,7 +84,7 @@
 
 func TestBeginAfterLostCommitResponse(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
-		f.store.LoseAnswers(1)
+		f.store.LoseResponses(1)
 		ticket, _, kind := begin(f.router(), time.Second)
 		if ticket == nil || kind != "" {
 			t.Fatalf("got kind %q, want a ticket", kind)
@@ -149,7 +149,7 @@
 func TestAbandonedClaimIsReleased(t *testing.T) {
 	run(t, func(t *testing.T, f *fixture) {
 		c := f.router()
-		f.store.LoseAnswers(1)
+		f.store.LoseResponses(1)
 		f.store.DownAfterCommits(1)
 		if _, _, kind := begin(c, time.Second); kind != claim.Unavailable {
 			t.Fatalf("got kind %q, want %q", kind, claim.Unavailable)
@@ -185,7 +185,7 @@
 			run(t, func(t *testing.T, f *fixture) {
 				c := f.router()
 				ticket, _, _ := begin(c, time.Second)
-				f.store.LoseAnswers(1)
+				f.store.LoseResponses(1)
 				c.Finish(ticket, claim.Answer{Status: 200, Body: []byte(body)})
 				_, answer, _ := begin(f.router(), 5*time.Second)
 				if answer == nil {
@@ -278,7 +278,7 @@
 				h.claims.Release(h.ticket)
 			}
 		case 5:
-			f.store.LoseAnswers(rapid.IntRange(0, 3).Draw(r, "lost"))
+			f.store.LoseResponses(rapid.IntRange(0, 3).Draw(r, "lost"))
 		case 6:
 			f.store.SetDown(rapid.Bool().Draw(r, "down"))
 			<-time.After(time.Duration(rapid.IntRange(0, 2000).Draw(r, "ms")) * time.Millisecond)
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -119,7 +119,7 @@
 func TestRecordAfterLostCommitResponse(t *testing.T) {
 	s := store.New()
 	r := newRouter(s, &peers{routers: map[ident.Router]*router{}}, "a")
-	s.LoseAnswers(1)
+	s.LoseResponses(1)
 	out, err := r.recorder.Record(ctx, propose("1", 0, documents(t, "judge", 4)))
 	if err != nil || out.Change.Revision != 1 {
 		t.Fatalf("got revision %d and %v, want 1", out.Change.Revision, err)
@@ -222,7 +222,7 @@
 		case 3:
 			_ = at.follower.Heard(ctx, rapid.SampledFrom(names).Draw(r, "from"))
 		case 4:
-			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
+			s.LoseResponses(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
 			s.SetDown(rapid.Bool().Draw(r, "down"))
 		case 6:
--- a/internal/share/config/rollback_test.go
+++ b/internal/share/config/rollback_test.go
@@ -162,7 +162,7 @@
 		case 2, 3:
 			_ = peer.follower.Poll(ctx)
 		case 4:
-			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
+			s.LoseResponses(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
 			snapshots = append(snapshots, s.Snapshot())
 		case 6:
@@ -173,7 +173,7 @@
 		}
 		shareRevisions(routers)
 	}
-	s.LoseAnswers(0)
+	s.LoseResponses(0)
 	for range 2 * len(routers) {
 		for _, peer := range routers {
 			_ = peer.follower.Poll(ctx)
--- a/internal/share/lease/lease_test.go
+++ b/internal/share/lease/lease_test.go
@@ -67,7 +67,7 @@
 func TestStepAfterLostCommitResponse(t *testing.T) {
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
-	s.LoseAnswers(1)
+	s.LoseResponses(1)
 	if err := a.AcquireOrRenew(ctx); err == nil {
 		t.Fatal("got no error although the commit response was lost")
 	}
@@ -102,7 +102,7 @@
 		case 2:
 			clock.now = clock.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(r, "s")) * time.Second)
 		case 3:
-			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
+			s.LoseResponses(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 4:
 			s.SetDown(rapid.Bool().Draw(r, "down"))
 		}
--- a/internal/share/lease/rollback_test.go
+++ b/internal/share/lease/rollback_test.go
@@ -69,7 +69,7 @@
 		case 3:
 			clock.now = clock.now.Add(time.Duration(rapid.IntRange(0, 15).Draw(r, "s")) * time.Second)
 		case 4:
-			s.LoseAnswers(rapid.IntRange(0, 2).Draw(r, "lost"))
+			s.LoseResponses(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
 			snapshots = append(snapshots, s.Snapshot())
 		case 6:
