--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -124,8 +124,8 @@
 // SureWork returns the work on the shard's usable engines without that of suspect edge routers.
 func (h *Home) SureWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
 
-// MergeSums merges the loads of other shards that an edge router sent.
-func (h *Home) MergeSums(now time.Time, list []ShardLoad) {
+// MergeShardLoads merges the loads of other shards that an edge router sent.
+func (h *Home) MergeShardLoads(now time.Time, list []ShardLoad) {
 	for _, s := range list {
 		if s.Shard != h.id.Shard {
 			h.shardLoads.update(now, s)
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -39,7 +39,7 @@
 	h.release(s, req.Edge, released)
 	now := h.clock()
 	s.home.Heard(now, req.Edge)
-	s.home.MergeSums(now, req.ShardLoads)
+	s.home.MergeShardLoads(now, req.ShardLoads)
 	h.recordEngineReports(now, s, req)
 	if s.queue.Len() == 0 {
 		d := s.home.Place(now, req.Request)
