--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -136,9 +136,9 @@
 // maxLoadsPerResponse is the number of shard loads in a permit response.
 const maxLoadsPerResponse = 4
 
-// NextSums returns the loads of some other shards, in rotation, so that shard loads spread between
+// NextShardLoads returns the loads of some other shards, in rotation, so that shard loads spread between
 // edge routers through the homes to which they send permit requests.
-func (h *Home) NextSums(now time.Time) []ShardLoad {
+func (h *Home) NextShardLoads(now time.Time) []ShardLoad {
 	var out []ShardLoad
 	shards := len(h.weights)
 	for range shards {
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -148,7 +148,7 @@
 
 // response returns the response for a placement decision.
 func (s *shard) response(now time.Time, edge ident.Router, d place.Decision) PermitResponse {
-	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), ShardLoads: s.home.NextSums(now), Basis: d.Basis}
+	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), ShardLoads: s.home.NextShardLoads(now), Basis: d.Basis}
 	switch d.Result {
 	case place.Placed:
 		resp.Result = Placed
