--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -137,8 +137,8 @@
 	}
 }
 
-// NoteSum stores a shard's load received from its home.
-func (p *Pool) NoteSum(now time.Time, sum ShardLoad) { p.shardLoads.update(now, sum) }
+// UpdateShardLoad stores a shard's load received from its home.
+func (p *Pool) UpdateShardLoad(now time.Time, sum ShardLoad) { p.shardLoads.update(now, sum) }
 
 // SumsFor appends to out the shard loads that this router has received since its last permit
 // request to a shard's home.
