--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -217,7 +217,7 @@
 		Workspace:  request.Workspace,
 		Weight:     request.Weight,
 		Priority:   request.Priority,
-		ShardLoads: p.state.SumsFor(now, step.Shard, nil),
+		ShardLoads: p.state.ShardLoadsFor(now, step.Shard, nil),
 		Failed:     unsentFailures,
 		Backoffs:   included,
 	}
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -140,9 +140,9 @@
 // UpdateShardLoad stores a shard's load received from its home.
 func (p *Pool) UpdateShardLoad(now time.Time, sum ShardLoad) { p.shardLoads.update(now, sum) }
 
-// SumsFor appends to out the shard loads that this router has received since its last permit
+// ShardLoadsFor appends to out the shard loads that this router has received since its last permit
 // request to a shard's home.
-func (p *Pool) SumsFor(now time.Time, to ident.Shard, out []ShardLoad) []ShardLoad {
+func (p *Pool) ShardLoadsFor(now time.Time, to ident.Shard, out []ShardLoad) []ShardLoad {
 	since := p.lastRequest[to]
 	p.lastRequest[to] = now
 	for i := range p.shardLoads[:p.Shards()] {
