--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -140,8 +140,8 @@
 	return work
 }
 
-// Heard records a contact with an edge router about this shard.
-func (h *Home) Heard(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
+// RecordContact records a contact with an edge router about this shard.
+func (h *Home) RecordContact(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
 
 // ExpirePermits expires the permits of edge routers without contact about this shard for the lease time:
 // another home counts them by now, or the edge router is gone. It returns the number of expired
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -13,7 +13,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if s, ok := h.shards[id]; ok {
-		s.home.Heard(h.clock(), edge)
+		s.home.RecordContact(h.clock(), edge)
 		h.release(s, edge, released)
 	}
 }
@@ -58,7 +58,7 @@
 	defer h.mu.Unlock()
 	s := h.getOrCreate(id)
 	s.correction.Listed += s.permitCountChange(func() { s.home.Sync(edge, held, upto, from) })
-	s.home.Heard(h.clock(), edge)
+	s.home.RecordContact(h.clock(), edge)
 	h.markUrgent(s)
 	h.dispatch(s)
 }
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -38,7 +38,7 @@
 	s := h.getOrCreate(req.Shard)
 	h.release(s, req.Edge, released)
 	now := h.clock()
-	s.home.Heard(now, req.Edge)
+	s.home.RecordContact(now, req.Edge)
 	s.home.MergeShardLoads(now, req.ShardLoads)
 	h.recordEngineReports(now, s, req)
 	if s.queue.Len() == 0 {
