--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -174,9 +174,9 @@
 	}
 }
 
-// Blame counts the failed requests of an edge router, one for each listed engine, and returns the
+// RecordFailures counts the failed requests of an edge router, one for each listed engine, and returns the
 // engines that are blocked from now on.
-func (h *Home) Blame(now time.Time, edge ident.Router, zone ident.Zone, engines []ident.TargetHash) []ident.TargetHash {
+func (h *Home) RecordFailures(now time.Time, edge ident.Router, zone ident.Zone, engines []ident.TargetHash) []ident.TargetHash {
 	var blocked []ident.TargetHash
 	for _, engine := range engines {
 		if _, known := h.index[engine]; !known || h.health.blocked(now, engine, zone) {
--- a/internal/rule/place/health_test.go
+++ b/internal/rule/place/health_test.go
@@ -49,7 +49,7 @@
 		f.got[zone][d.Engine]++
 		f.home.Release(edge, f.permits)
 		if f.rng.Float64() < f.failureRatio(d.Engine, zone) {
-			f.blocked += len(f.home.Blame(f.now, edge, zone, []ident.TargetHash{d.Engine}))
+			f.blocked += len(f.home.RecordFailures(f.now, edge, zone, []ident.TargetHash{d.Engine}))
 		}
 	}
 }
@@ -137,8 +137,8 @@
 	unhealthy, now := list[0].Hash, time.Unix(1000, 0)
 	var blocked []ident.TargetHash
 	for len(blocked) == 0 {
-		blocked = home.Blame(now, "edge-a", zoneA, []ident.TargetHash{unhealthy})
-		blocked = append(blocked, home.Blame(now, "edge-b", zoneA, []ident.TargetHash{unhealthy})...)
+		blocked = home.RecordFailures(now, "edge-a", zoneA, []ident.TargetHash{unhealthy})
+		blocked = append(blocked, home.RecordFailures(now, "edge-b", zoneA, []ident.TargetHash{unhealthy})...)
 	}
 	var got []ident.TargetHash
 	for permit := range uint64(2) {
