--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -94,9 +94,9 @@
 	h.recount()
 }
 
-// Forget removes an edge router's permits with IDs below a limit, which belong to a process that
+// RemovePermits removes an edge router's permits with IDs below a limit, which belong to a process that
 // is gone.
-func (h *Home) Forget(edge ident.Router, below uint64) {
+func (h *Home) RemovePermits(edge ident.Router, below uint64) {
 	for key := range h.permits {
 		if key.edge == edge && key.id < below {
 			h.drop(key)
@@ -153,7 +153,7 @@
 			continue
 		}
 		dropped += permitCount
-		h.Forget(edge, ^uint64(0))
+		h.RemovePermits(edge, ^uint64(0))
 	}
 	for edge := range h.lastContact {
 		if _, holds := h.permitCount[edge]; !holds {
--- a/internal/rule/place/takeover_test.go
+++ b/internal/rule/place/takeover_test.go
@@ -99,7 +99,7 @@
 	}
 	// Only permit 4 is left.
 	b.Sync("router-b", []place.Permit{{Edge: "router-b", ID: 4, Engine: list[0].Hash, Work: ident.OneRequest}}, 4, "router-a")
-	a.Forget("router-b", 5)
+	a.RemovePermits("router-b", 5)
 	b.Merge(start, a.Digest())
 	if diff := cmp.Diff(ident.OneRequest, b.Work()); diff != "" {
 		t.Error(diff)
@@ -110,7 +110,7 @@
 	if d := b.Place(start, permitRequest(9, 1)); !d.Warm {
 		t.Error("the new home does not have the chat's place")
 	}
-	b.Forget("router-b", 9)
+	b.RemovePermits("router-b", 9)
 	if got := b.Held("router-b"); got != 1 {
 		t.Errorf("counted %d permits after removal of those of an earlier process, want 1", got)
 	}
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -72,7 +72,7 @@
 	if !known {
 		return
 	}
-	s.correction.Withdrawn -= s.permitCountChange(func() { s.home.Forget(edge, upto+1) })
+	s.correction.Withdrawn -= s.permitCountChange(func() { s.home.RemovePermits(edge, upto+1) })
 	h.markUrgent(s)
 	h.dispatch(s)
 }
