--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -104,8 +104,8 @@
 	}
 }
 
-// ForgetBelow removes the permits of several edge routers, each with IDs below a limit.
-func (h *Home) ForgetBelow(below map[ident.Router]uint64) {
+// RemovePermitsBelow removes the permits of several edge routers, each with IDs below a limit.
+func (h *Home) RemovePermitsBelow(below map[ident.Router]uint64) {
 	for key := range h.permits {
 		if key.id < below[key.edge] {
 			h.drop(key)
