--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -98,7 +98,7 @@
 // the pending place changes.
 func (h *Home) Digest() Digest {
 	h.seq++
-	d := Digest{ID: h.id, Home: h.self, Seq: h.seq, Work: h.SureWork()}
+	d := Digest{ID: h.id, Home: h.self, Seq: h.seq, Work: h.ConfirmedWork()}
 	for i := range h.engines {
 		e := &h.engines[i]
 		if e.own != 0 {
@@ -121,8 +121,8 @@
 	return work
 }
 
-// SureWork returns the work on the shard's usable engines without that of suspect edge routers.
-func (h *Home) SureWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
+// ConfirmedWork returns the work on the shard's usable engines without that of suspect edge routers.
+func (h *Home) ConfirmedWork() ident.Work { return max(h.Work()-h.suspectWork(), 0) }
 
 // MergeShardLoads merges the loads of other shards that an edge router sent.
 func (h *Home) MergeShardLoads(now time.Time, list []ShardLoad) {
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -306,7 +306,7 @@
 
 // Total returns the known work on the pool's usable engines.
 func (h *Home) Total(now time.Time) ident.Work {
-	return h.SureWork() + h.shardLoads.total(now, h.bound.DigestLife, h.id.Shard)
+	return h.ConfirmedWork() + h.shardLoads.total(now, h.bound.DigestLife, h.id.Shard)
 }
 
 // Counts returns the work on the shard's engines that this home and others admitted, and the mean
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -128,7 +128,7 @@
 // rejection returns a response without a permit. It contains a Retry-After delay only if the
 // request must be placed on this shard, which is the last one that the edge router tries.
 func (s *shard) rejection(now time.Time, req PermitRequest, result Result) PermitResponse {
-	resp := PermitResponse{Result: result, Held: s.home.Held(req.Edge), Work: s.home.SureWork()}
+	resp := PermitResponse{Result: result, Held: s.home.Held(req.Edge), Work: s.home.ConfirmedWork()}
 	if req.MustPlace {
 		queue, _ := s.rate.queueDelay(s.queue.Len())
 		resp.RetryAfter = s.retryDelays.Tell(now, s.rate.requestsPerSecond(), queue)
@@ -148,7 +148,7 @@
 
 // response returns the response for a placement decision.
 func (s *shard) response(now time.Time, edge ident.Router, d place.Decision) PermitResponse {
-	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.SureWork(), ShardLoads: s.home.NextShardLoads(now), Basis: d.Basis}
+	resp := PermitResponse{Engine: d.Engine, Warm: d.Warm, Holder: d.Holder, Held: s.home.Held(edge), Work: s.home.ConfirmedWork(), ShardLoads: s.home.NextShardLoads(now), Basis: d.Basis}
 	switch d.Result {
 	case place.Placed:
 		resp.Result = Placed
