--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -133,9 +133,9 @@
 	return i, known && h.admits(now, i, req, limit) == Placed
 }
 
-// Kept reports whether an engine that served the request's chat has a free slot. That engine does
+// HasWarmSlot reports whether an engine that served the request's chat has a free slot. That engine does
 // not have to copy or prefill the chat's prompt again.
-func (h *Home) Kept(req Request) bool {
+func (h *Home) HasWarmSlot(req Request) bool {
 	if req.Once {
 		return true
 	}
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -164,7 +164,7 @@
 func (h *Homes) dispatch(s *shard) {
 	now := h.clock()
 	for {
-		next, expired := s.queue.PopSuited(now, func(w *quota.Waiter) bool { return s.home.Kept(w.Value.(*queuedRequest).req.Request) })
+		next, expired := s.queue.PopSuited(now, func(w *quota.Waiter) bool { return s.home.HasWarmSlot(w.Value.(*queuedRequest).req.Request) })
 		for _, e := range expired {
 			other := e.Value.(*queuedRequest)
 			other.response <- s.rejection(now, other.req, TimedOut)
