--- a/internal/rule/place/chat_places.go
+++ b/internal/rule/place/chat_places.go
@@ -164,8 +164,8 @@
 // Len returns the number of stored chats.
 func (s *Replica) Len() int { return s.lru.len() }
 
-// Adopt replaces the home's places by a replica. The replica must not be used afterwards.
-func (h *Home) Adopt(s *Replica) { h.places = s.lru }
+// AdoptReplica replaces the home's places by a replica. The replica must not be used afterwards.
+func (h *Home) AdoptReplica(s *Replica) { h.places = s.lru }
 
 // maxPlaceChanges limits the place changes that are kept for the next digest. If there are more,
 // standbys receive the latest ones.
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -135,7 +135,7 @@
 	}
 	h.mergeReceived(s, bound.DigestLife)
 	if replica, ok := h.replicas[id]; ok {
-		s.home.Adopt(replica)
+		s.home.AdoptReplica(replica)
 		delete(h.replicas, id)
 	}
 	s.home.SetSuspectEdges(h.suspectEdges)
