--- a/internal/rule/place/basis.go
+++ b/internal/rule/place/basis.go
@@ -14,8 +14,8 @@
 	// BeyondSlots places a request beyond an engine's slots after it waited without success for a
 	// permit release in its shard.
 	BeyondSlots
-	// Alone places a request on an edge router without a home.
-	Alone
+	// WithoutHome places a request on an edge router without a home.
+	WithoutHome
 )
 
 // String returns the name of the rule in logs.
@@ -27,7 +27,7 @@
 		return "least_loaded"
 	case BeyondSlots:
 		return "beyond_slots"
-	case Alone:
+	case WithoutHome:
 		return "alone"
 	default:
 		return ""
--- a/internal/rule/place/last_engine_test.go
+++ b/internal/rule/place/last_engine_test.go
@@ -96,7 +96,7 @@
 			kept++
 			want.Warm, want.Holder = true, 0
 		}
-		want.Basis = place.Basis{Rule: place.Alone, Load: ident.OneRequest, Mean: ident.OneRequest / ident.Work(p.Usable())}
+		want.Basis = place.Basis{Rule: place.WithoutHome, Load: ident.OneRequest, Mean: ident.OneRequest / ident.Work(p.Usable())}
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("last engine %d: %s", i%8, diff)
 		}
--- a/internal/rule/place/local.go
+++ b/internal/rule/place/local.go
@@ -20,7 +20,7 @@
 		return Decision{Result: Busy}
 	}
 	d := Decision{Result: Placed, Engine: chosen.hash}
-	d.Basis = Basis{Rule: Alone, Load: chosen.load + req.Work, Mean: (total + req.Work) / ident.Work(usable)}
+	d.Basis = Basis{Rule: WithoutHome, Load: chosen.load + req.Work, Mean: (total + req.Work) / ident.Work(usable)}
 	d.Warm = d.Engine == req.Last
 	if !d.Warm {
 		d.Holder = p.localHolder(req, chosen.hash)
