--- a/internal/edge/route/backoff.go
+++ b/internal/edge/route/backoff.go
@@ -113,7 +113,7 @@
 	now := r.clock()
 	for hash, b := range r.backoffs {
 		t, known := p.Target(hash)
-		if !known || t.Incarnation != b.incarnation || !now.Before(b.until) || !p.state.Takes(hash) {
+		if !known || t.Incarnation != b.incarnation || !now.Before(b.until) || !p.state.AcceptsWork(hash) {
 			continue
 		}
 		targets = append(targets, hash)
@@ -123,7 +123,7 @@
 	}
 	for hash, incarnation := range r.leaving {
 		t, known := p.Target(hash)
-		if known && t.Incarnation == incarnation && p.state.Takes(hash) && !slices.Contains(targets, hash) {
+		if known && t.Incarnation == incarnation && p.state.AcceptsWork(hash) && !slices.Contains(targets, hash) {
 			targets = append(targets, hash)
 		}
 	}
@@ -136,7 +136,7 @@
 	maps.DeleteFunc(r.leaving, func(hash ident.TargetHash, incarnation ident.Incarnation) bool {
 		for _, pools := range r.pools {
 			for _, p := range pools {
-				if t, known := p.Target(hash); known && t.Incarnation == incarnation && p.state.Takes(hash) {
+				if t, known := p.Target(hash); known && t.Incarnation == incarnation && p.state.AcceptsWork(hash) {
 					return false
 				}
 			}
@@ -163,7 +163,7 @@
 func (r *Router) excluded(p *pool, placement *Placement) []ident.TargetHash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if p.state.Takes(placement.Hash) {
+	if p.state.AcceptsWork(placement.Hash) {
 		// An answer may have reported otherwise while the request waited for its permit.
 		unavailable, _ := r.unavailable(p)
 		if !slices.Contains(unavailable, placement.Hash) {
--- a/internal/rule/place/local.go
+++ b/internal/rule/place/local.go
@@ -87,7 +87,7 @@
 // number of these engines.
 func (p *Pool) estimates(routers int) (total ident.Work, usable int) {
 	for hash := range p.own {
-		if p.Takes(hash) {
+		if p.AcceptsWork(hash) {
 			total += p.Estimate(hash, routers)
 		}
 	}
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -104,8 +104,8 @@
 // Shards returns the number of shards.
 func (p *Pool) Shards() int { return p.roster.Shards() }
 
-// Takes reports whether an engine may receive new requests.
-func (p *Pool) Takes(hash ident.TargetHash) bool {
+// AcceptsWork reports whether an engine may receive new requests.
+func (p *Pool) AcceptsWork(hash ident.TargetHash) bool {
 	e := p.roster.find(hash)
 	return e != nil && !e.Leaving
 }
