--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -39,7 +39,7 @@
 // holdPermit records a permit as held. An empty shard means that no home counts it. The caller
 // holds the lock.
 func (r *Router) holdPermit(p *pool, id place.ShardID, permit place.Permit, target Target) *Placement {
-	p.state.Begin(permit.Engine, permit.Work)
+	p.state.AddWork(permit.Engine, permit.Work)
 	r.stats.Placed++
 	counted := id != (place.ShardID{})
 	if counted {
--- a/internal/rule/place/last_engine_test.go
+++ b/internal/rule/place/last_engine_test.go
@@ -100,7 +100,7 @@
 		if diff := cmp.Diff(want, got); diff != "" {
 			t.Errorf("last engine %d: %s", i%8, diff)
 		}
-		p.Begin(last, ident.OneRequest)
+		p.AddWork(last, ident.OneRequest)
 		got = p.Local(time.Time{}, request, routers)
 		if got.Engine == last || got.Holder != last {
 			t.Errorf("with a request on engine %d: got %+v, want another engine that copies from it", i%8, got)
--- a/internal/rule/place/local_test.go
+++ b/internal/rule/place/local_test.go
@@ -16,7 +16,7 @@
 	counts := map[ident.TargetHash]int{}
 	for n := range 40 {
 		d := p.Local(time.Time{}, place.Request{Key: ident.ChatKey(n % 3), Work: ident.OneRequest}, 1)
-		p.Begin(d.Engine, ident.OneRequest)
+		p.AddWork(d.Engine, ident.OneRequest)
 		counts[d.Engine]++
 	}
 	for e, n := range counts {
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -126,8 +126,8 @@
 // Order fills out with the shards in a key's order and returns their number.
 func (p *Pool) Order(key ident.ChatKey, out []ident.Shard) int { return Order(key, p.order, out) }
 
-// Begin adds work that this router sends to an engine.
-func (p *Pool) Begin(engine ident.TargetHash, work ident.Work) { p.own[engine] += work }
+// AddWork adds work that this router sends to an engine.
+func (p *Pool) AddWork(engine ident.TargetHash, work ident.Work) { p.own[engine] += work }
 
 // End removes work of this router from an engine.
 func (p *Pool) End(engine ident.TargetHash, work ident.Work) {
