--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -52,7 +52,7 @@
 	return &Placement{Target: target, Hash: permit.Engine, release: func() {
 		r.mu.Lock()
 		defer r.mu.Unlock()
-		p.state.End(permit.Engine, permit.Work)
+		p.state.RemoveWork(permit.Engine, permit.Work)
 		if probe != nil {
 			probe.ReportCancelled()
 		}
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -129,8 +129,8 @@
 // AddWork adds work that this router sends to an engine.
 func (p *Pool) AddWork(engine ident.TargetHash, work ident.Work) { p.own[engine] += work }
 
-// End removes work of this router from an engine.
-func (p *Pool) End(engine ident.TargetHash, work ident.Work) {
+// RemoveWork removes work of this router from an engine.
+func (p *Pool) RemoveWork(engine ident.TargetHash, work ident.Work) {
 	p.own[engine] -= work
 	if p.own[engine] <= 0 {
 		delete(p.own, engine)
