--- a/internal/edge/route/home.go
+++ b/internal/edge/route/home.go
@@ -90,7 +90,7 @@
 	for _, pools := range r.pools {
 		for _, p := range pools {
 			if p.Name == id.Pool {
-				p.state.NewHome(id.Shard)
+				p.state.ResetHome(id.Shard)
 			}
 		}
 	}
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -94,9 +94,9 @@
 // Weights returns the numbers of usable engines of the shards. The caller must not modify them.
 func (p *Pool) Weights() []int { return p.roster.weights }
 
-// NewHome records that a shard has a new home, which has received no shard loads from this router
+// ResetHome records that a shard has a new home, which has received no shard loads from this router
 // yet.
-func (p *Pool) NewHome(shard ident.Shard) { p.lastRequest[shard] = time.Time{} }
+func (p *Pool) ResetHome(shard ident.Shard) { p.lastRequest[shard] = time.Time{} }
 
 // Usable returns the number of engines that may receive new requests.
 func (p *Pool) Usable() int { return p.roster.usable }
