--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -287,7 +287,7 @@
 // recordPlacement records the engine of a chat, unless the chat consists of one request.
 func (p *pool) recordPlacement(request place.Request, engine ident.TargetHash) {
 	if !request.Once {
-		p.state.Remember(request.Key, engine)
+		p.state.SetLast(request.Key, engine)
 	}
 }
 
--- a/internal/rule/place/last_engine_test.go
+++ b/internal/rule/place/last_engine_test.go
@@ -85,7 +85,7 @@
 	for i := range routers {
 		edge := ident.Router(fmt.Sprintf("router-%d", i))
 		before, last := steadyPool(1), newEngine(i%8).Hash
-		before.Remember(key, last)
+		before.SetLast(key, last)
 		p := place.NewPool("p", 2, steady)
 		p.Inherit(before)
 		p.SetEngines(before.Engines())
@@ -114,7 +114,7 @@
 
 func TestLastOfRemovedEngine(t *testing.T) {
 	p := steadyPool(1)
-	p.Remember(7, newEngine(100).Hash)
+	p.SetLast(7, newEngine(100).Hash)
 	if diff := cmp.Diff(ident.TargetHash(0), p.Last(7)); diff != "" {
 		t.Error(diff)
 	}
@@ -125,7 +125,7 @@
 func TestLastOfRestartedEngine(t *testing.T) {
 	p := steadyPool(1)
 	e := newEngine(3)
-	p.Remember(7, e.Hash)
+	p.SetLast(7, e.Hash)
 	list := append([]place.Engine(nil), p.Engines()...)
 	for i := range list {
 		if list[i].Hash == e.Hash {
@@ -136,7 +136,7 @@
 	if diff := cmp.Diff(ident.TargetHash(0), p.Last(7)); diff != "" {
 		t.Errorf("last engine after a restart: %s", diff)
 	}
-	p.Remember(7, e.Hash)
+	p.SetLast(7, e.Hash)
 	if diff := cmp.Diff(e.Hash, p.Last(7)); diff != "" {
 		t.Errorf("last engine after a request to the new incarnation: %s", diff)
 	}
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -45,8 +45,8 @@
 	p.last = from.last
 }
 
-// Remember stores the engine to which this router sent a chat.
-func (p *Pool) Remember(key ident.ChatKey, engine ident.TargetHash) {
+// SetLast stores the engine to which this router sent a chat.
+func (p *Pool) SetLast(key ident.ChatKey, engine ident.TargetHash) {
 	e, _ := p.Engine(engine)
 	p.last.put(key, engineRun{engine: engine, incarnation: e.Incarnation})
 }
