--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -122,7 +122,7 @@
 		pool := ident.NewPool(ident.Service("judge-"+itoa(i/16)), region)
 		ids = append(ids, place.ShardID{Pool: pool, Shard: ident.Shard(i % 16)})
 	}
-	return place.Assign(ids, routers).Busiest()
+	return place.Assign(ids, routers).MaxShardsPerRouter()
 }
 
 // gossipSizes returns the mean and maximum size of the gossip digests of a fleet under normal
--- a/internal/rule/place/assign.go
+++ b/internal/rule/place/assign.go
@@ -159,8 +159,8 @@
 // Routers returns the routers to which shards are assigned.
 func (a *Assignment) Routers() []ident.Router { return a.routers }
 
-// Busiest returns the highest number of shards that one router is home of.
-func (a *Assignment) Busiest() int {
+// MaxShardsPerRouter returns the highest number of shards that one router is home of.
+func (a *Assignment) MaxShardsPerRouter() int {
 	counts := map[ident.Router]int{}
 	for _, home := range a.homes {
 		counts[home]++
--- a/internal/rule/place/assign_test.go
+++ b/internal/rule/place/assign_test.go
@@ -43,7 +43,7 @@
 		ids = append(ids, place.ShardID{Pool: ident.Pool(fmt.Sprint("pool-", i/16)), Shard: ident.Shard(i % 16)})
 	}
 	all := place.Assign(ids, routers)
-	if got := all.Busiest(); got > 2 {
+	if got := all.MaxShardsPerRouter(); got > 2 {
 		t.Errorf("a router is home of %d shards, want 2 at most", got)
 	}
 	moved := 0
@@ -57,7 +57,7 @@
 		}
 	}
 	perLeaving := float64(moved) / float64(len(routers))
-	t.Logf("%.2f shards moved per removed router of %d, %d shards at most per router", perLeaving, len(routers), all.Busiest())
+	t.Logf("%.2f shards moved per removed router of %d, %d shards at most per router", perLeaving, len(routers), all.MaxShardsPerRouter())
 	if perLeaving > 3 {
 		t.Errorf("%.2f shards moved per removed router, want 3 at most", perLeaving)
 	}
