--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -145,7 +145,7 @@
 		h.lastSentShard = (h.lastSentShard + 1) % shards
 		s := &h.shardLoads[h.lastSentShard]
 		age := now.Sub(s.at)
-		if ident.Shard(h.lastSentShard) == h.id.Shard || age > h.bound.DigestLife {
+		if ident.Shard(h.lastSentShard) == h.id.Shard || age > h.bound.DigestTTL {
 			continue
 		}
 		out = append(out, ShardLoad{Shard: ident.Shard(h.lastSentShard), Age: age, Work: s.work})
@@ -173,10 +173,10 @@
 	h.recount()
 }
 
-// expire removes the shares of other homes that were not renewed within DigestLife.
+// expire removes the shares of other homes that were not renewed within DigestTTL.
 func (h *Home) expire(now time.Time) {
 	for home, f := range h.peerShare {
-		if now.Sub(f.at) > h.bound.DigestLife {
+		if now.Sub(f.at) > h.bound.DigestTTL {
 			delete(h.peerShare, home)
 			h.recount()
 		}
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -19,8 +19,8 @@
 	Steady float64
 	// Ramp is how long a joined engine takes to reach its full share.
 	Ramp time.Duration
-	// DigestLife is how long a digest is valid after it was received.
-	DigestLife time.Duration
+	// DigestTTL is how long a digest is valid after it was received.
+	DigestTTL time.Duration
 	// Places is the maximum number of chat places that a home stores.
 	Places int
 }
@@ -38,7 +38,7 @@
 }
 
 // DefaultBound is the bound of services without a factor of their own.
-var DefaultBound = Bound{Factor: 1.25, Ramp: 10 * time.Second, DigestLife: 4 * time.Second, Places: 100_000}
+var DefaultBound = Bound{Factor: 1.25, Ramp: 10 * time.Second, DigestTTL: 4 * time.Second, Places: 100_000}
 
 // Engine is one target in the membership view.
 type Engine struct {
@@ -306,7 +306,7 @@
 
 // Total returns the known work on the pool's usable engines.
 func (h *Home) Total(now time.Time) ident.Work {
-	return h.ConfirmedWork() + h.shardLoads.total(now, h.bound.DigestLife, h.id.Shard)
+	return h.ConfirmedWork() + h.shardLoads.total(now, h.bound.DigestTTL, h.id.Shard)
 }
 
 // Counts returns the work on the shard's engines that this home and others admitted, and the mean
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -147,7 +147,7 @@
 	p.lastRequest[to] = now
 	for i := range p.shardLoads[:p.Shards()] {
 		s := &p.shardLoads[i]
-		if ident.Shard(i) != to && s.at.After(since) && now.Sub(s.at) <= p.bound.DigestLife {
+		if ident.Shard(i) != to && s.at.After(since) && now.Sub(s.at) <= p.bound.DigestTTL {
 			out = append(out, ShardLoad{Shard: ident.Shard(i), Age: now.Sub(s.at), Work: s.work})
 		}
 	}
--- a/internal/rule/place/takeover_test.go
+++ b/internal/rule/place/takeover_test.go
@@ -33,7 +33,7 @@
 	if worst > 1 {
 		t.Errorf("%.2f requests above the bound", worst)
 	}
-	late := start.Add(place.DefaultBound.DigestLife * 2)
+	late := start.Add(place.DefaultBound.DigestTTL * 2)
 	before := a.Work()
 	a.Place(late, permitRequest(1000, 1))
 	if a.Work() >= before {
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -133,7 +133,7 @@
 	if info != nil {
 		s.home.SetRoster(info.roster)
 	}
-	h.mergeReceived(s, bound.DigestLife)
+	h.mergeReceived(s, bound.DigestTTL)
 	if replica, ok := h.replicas[id]; ok {
 		s.home.AdoptReplica(replica)
 		delete(h.replicas, id)
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -39,7 +39,7 @@
 func TestNewHomeMergesOnlyUnexpiredDigests(t *testing.T) {
 	h, engine, now := newHomes()
 	h.Merge([]place.Digest{publishedDigest(engine, "router-old", 1)})
-	*now = now.Add(place.DefaultBound.DigestLife + time.Second)
+	*now = now.Add(place.DefaultBound.DigestTTL + time.Second)
 	h.Merge([]place.Digest{publishedDigest(engine, "router-new", 1)})
 	h.Sync(id, "router-b", nil, 0, "")
 	if diff := cmp.Diff(7, h.RequestsAt(pool, engine)); diff != "" {
