--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -63,7 +63,7 @@
 	c := &fleetSim{now: time.Date(2026, 12, 3, 0, 0, 0, 0, time.UTC), rejecting: map[ident.Target]bool{}}
 	clock := func() time.Time { return c.now }
 	bound := place.BoundOf(2)
-	bound.Steady = 1.3
+	bound.PreferredFactor = 1.3
 	p := route.Pool{
 		Name: pool, Region: "co", Bound: bound,
 		Service: policy.Service{Name: "judge", Balance: policy.Exact, Shards: 1},
--- a/internal/oper/mesh/mesh_test.go
+++ b/internal/oper/mesh/mesh_test.go
@@ -19,7 +19,7 @@
 
 // A router that grants permits without a home uses the same bound as homes do.
 func TestPoolBound(t *testing.T) {
-	want := place.Bound{Factor: 1.9, Extra: 2500, Steady: 1.3}
+	want := place.Bound{Factor: 1.9, Extra: 2500, PreferredFactor: 1.3}
 	m := New(Parts{Bound: func(policy.Service) place.Bound { return want }})
 	got := m.pool(policy.Service{Name: "s", Shards: 1}, "region", nil).Bound
 	if diff := cmp.Diff(want, got); diff != "" {
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -181,6 +181,6 @@
 func (n *Node) bound(policy.Service) place.Bound {
 	b := place.BoundOf(n.settings.Load().LoadFactor * loadFactorRatio)
 	b.Extra = boundExtraLoad
-	b.Steady = steadyLoadRatio
+	b.PreferredFactor = steadyLoadRatio
 	return b
 }
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -33,7 +33,7 @@
 	if req.Last != 0 && req.Last != other && !slices.Contains(req.Lost, req.Last) {
 		return req.Last
 	}
-	if h.bound.Steady > 0 && !req.Once {
+	if h.bound.PreferredFactor > 0 && !req.Once {
 		return h.firstPreferred(req.Key, other, req.Lost)
 	}
 	return 0
@@ -156,10 +156,10 @@
 
 // steadyLimit returns the load below which an engine accepts new chats that prefer it.
 func (h *Home) steadyLimit(total ident.Work) float64 {
-	if h.bound.Steady <= 0 {
+	if h.bound.PreferredFactor <= 0 {
 		return 0
 	}
-	return h.bound.Steady*float64(total)/float64(max(h.poolEngines, 1)) + float64(h.bound.Extra)
+	return h.bound.PreferredFactor*float64(total)/float64(max(h.poolEngines, 1)) + float64(h.bound.Extra)
 }
 
 // rank returns the rank of an engine for a chat without a stored place: by load, then by zone,
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -81,7 +81,7 @@
 // equal weight regardless of their number of engines: a chat that moves to another shard loses its
 // cached prefix, and the bound compensates for the uneven load.
 func (p *Pool) orderWeights() []int {
-	if p.bound.Steady <= 0 {
+	if p.bound.PreferredFactor <= 0 {
 		return p.Weights()
 	}
 	alike := make([]int, p.Shards())
--- a/internal/share/home/warm_slot_test.go
+++ b/internal/share/home/warm_slot_test.go
@@ -51,7 +51,7 @@
 		engines = append(engines, place.Engine{ID: id, Hash: id.Hash(), Incarnation: 1, Slots: simSlots * ident.OneRequest})
 	}
 	bound := place.BoundOf(1.9)
-	bound.Extra, bound.Steady = 5*ident.OneRequest/2, 1.3
+	bound.Extra, bound.PreferredFactor = 5*ident.OneRequest/2, 1.3
 	m.homes.SetPool("p", bound, place.NewRoster(1, engines))
 	return m
 }
