--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -71,7 +71,7 @@
 
 func homeWith(engines, places int) (*place.Home, []place.Engine) {
 	bound := place.DefaultBound
-	bound.Places = 2 * places
+	bound.MaxPlaces = 2 * places
 	h := place.NewHome(place.ShardID{Pool: "judge@r"}, "router-a", bound, 0)
 	var list []place.Engine
 	for i := range engines {
--- a/internal/rule/place/chat_places.go
+++ b/internal/rule/place/chat_places.go
@@ -156,7 +156,7 @@
 }
 
 // NewReplica returns an empty replica with the size given by a bound.
-func NewReplica(bound Bound) *Replica { return &Replica{lru: newLRU[chatPlace](bound.Places)} }
+func NewReplica(bound Bound) *Replica { return &Replica{lru: newLRU[chatPlace](bound.MaxPlaces)} }
 
 // MergePlaces merges places received from the shard's home.
 func (s *Replica) MergePlaces(places []ChatPlace) { mergePlaces(&s.lru, places) }
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -21,8 +21,8 @@
 	Ramp time.Duration
 	// DigestTTL is how long a digest is valid after it was received.
 	DigestTTL time.Duration
-	// Places is the maximum number of chat places that a home stores.
-	Places int
+	// MaxPlaces is the maximum number of chat places that a home stores.
+	MaxPlaces int
 }
 
 // limit returns the load limit of an engine, given the work on all engines.
@@ -38,7 +38,7 @@
 }
 
 // DefaultBound is the bound of services without a factor of their own.
-var DefaultBound = Bound{Factor: 1.25, Ramp: 10 * time.Second, DigestTTL: 4 * time.Second, Places: 100_000}
+var DefaultBound = Bound{Factor: 1.25, Ramp: 10 * time.Second, DigestTTL: 4 * time.Second, MaxPlaces: 100_000}
 
 // Engine is one target in the membership view.
 type Engine struct {
@@ -174,7 +174,7 @@
 		permitCount:  map[ident.Router]int{},
 		suspectEdges: map[ident.Router]bool{},
 		lastContact:  map[ident.Router]time.Time{},
-		places:       newLRU[chatPlace](bound.Places),
+		places:       newLRU[chatPlace](bound.MaxPlaces),
 		peerShare:    map[ident.Router]peerShare{},
 		seq:          seq,
 		health:       newHealth(),
--- a/internal/rule/place/steady_test.go
+++ b/internal/rule/place/steady_test.go
@@ -12,7 +12,7 @@
 )
 
 var steady = place.Bound{
-	Factor: 2, Extra: 2 * ident.OneRequest, PreferredFactor: 1.3, DigestTTL: 4 * time.Second, Places: 1000,
+	Factor: 2, Extra: 2 * ident.OneRequest, PreferredFactor: 1.3, DigestTTL: 4 * time.Second, MaxPlaces: 1000,
 }
 
 func newEngine(i int) place.Engine {
--- a/internal/share/home/fleet_test.go
+++ b/internal/share/home/fleet_test.go
@@ -27,7 +27,7 @@
 
 // fleetBound is the bound that homes apply, slightly below the promised one.
 var fleetBound = place.Bound{
-	Factor: 0.95 * promisedFactor, Extra: 5 * ident.OneRequest / 2, PreferredFactor: 1.3, DigestTTL: 4 * time.Second, Places: 10_000,
+	Factor: 0.95 * promisedFactor, Extra: 5 * ident.OneRequest / 2, PreferredFactor: 1.3, DigestTTL: 4 * time.Second, MaxPlaces: 10_000,
 }
 
 // member is a router of the fleet and its homes.
