--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -61,7 +61,7 @@
 		for _, m := range v.Members() {
 			if m.Zone == zone && m.State == peer.Live {
 				out = append(out, m.ID)
-				scores[m.ID] = place.Preference(ident.Mix(readerSalt, xxhash.Sum64String(string(m.ID))), float64(m.Cores))
+				scores[m.ID] = place.WeightedScore(ident.Mix(readerSalt, xxhash.Sum64String(string(m.ID))), float64(m.Cores))
 			}
 		}
 	})
--- a/internal/rule/place/capacity.go
+++ b/internal/rule/place/capacity.go
@@ -36,9 +36,9 @@
 // get nine in ten of the shards beside 54 of 0.19.
 const capacityExponent = 3
 
-// Preference returns the score of a box for a task, given a hash of both, by rendezvous hashing
+// WeightedScore returns the score of a box for a task, given a hash of both, by rendezvous hashing
 // weighted by capacity. The box with the highest score gets the task.
-func Preference(hash uint64, capacity float64) float64 { return weighted(hash, weight(capacity)) }
+func WeightedScore(hash uint64, capacity float64) float64 { return weighted(hash, weight(capacity)) }
 
 // weight returns the weight of a box with the given capacity.
 func weight(capacity float64) float64 { return math.Pow(capacity, capacityExponent) }
