--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -134,7 +134,7 @@
 }
 
 // spreadUrgent requests early gossip for an urgent change.
-func (g *Guard) spreadUrgent(change crash.News) {
+func (g *Guard) spreadUrgent(change crash.Urgency) {
 	if change == crash.Urgent {
 		g.TriggerGossip()
 	}
@@ -143,7 +143,7 @@
 // updateQuarantine logs the start and the end of a request's quarantine. If this router observed one of the
 // crashes itself, it also logs changes during the quarantine and has the request's row written. The caller
 // holds the lock.
-func (g *Guard) updateQuarantine(request ident.Fingerprint, change crash.News) {
+func (g *Guard) updateQuarantine(request ident.Fingerprint, change crash.Urgency) {
 	if change == crash.Nothing {
 		return
 	}
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -132,7 +132,7 @@
 	}
 }
 
-func (m *model) noteUrgency(router int, urgency News) {
+func (m *model) noteUrgency(router int, urgency Urgency) {
 	if urgency == Urgent {
 		m.urgent[router] = true
 	}
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -36,12 +36,12 @@
 // another target.
 const maxEntries = 1024
 
-// News is the urgency of sending a change of the record to peers.
-type News int
+// Urgency is the urgency of sending a change of the record to peers.
+type Urgency int
 
 const (
 	// Nothing means that the record has not changed.
-	Nothing News = iota
+	Nothing Urgency = iota
 	// Minor changes are sent with the next periodic gossip.
 	Minor
 	// Urgent changes may quarantine the request on all routers.
@@ -50,14 +50,14 @@
 
 // Ended records that a target has crashed while it ran a request; ran is the time since the request
 // was sent to it.
-func (r *Record) Ended(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) News {
+func (r *Record) Ended(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) Urgency {
 	e := r.entry(now, request)
 	e.observed = true
 	return r.changed(e, e.add(End{Start: start, At: now, Ran: ran}))
 }
 
 // Served records a complete answer to a request.
-func (r *Record) Served(now time.Time, request ident.Fingerprint) News {
+func (r *Record) Served(now time.Time, request ident.Fingerprint) Urgency {
 	r.answers.record(now, request)
 	e, found := r.entries[request]
 	if !found {
@@ -67,7 +67,7 @@
 }
 
 // Merge adds the crashes and the last complete answer in a suspect received from a peer.
-func (r *Record) Merge(now time.Time, s Suspect) News {
+func (r *Record) Merge(now time.Time, s Suspect) Urgency {
 	if s.Expired(now) {
 		return Nothing
 	}
@@ -80,7 +80,7 @@
 }
 
 // changed schedules a changed entry for sending to peers and returns the urgency.
-func (r *Record) changed(e *entry, changed bool) News {
+func (r *Record) changed(e *entry, changed bool) Urgency {
 	if !changed {
 		return Nothing
 	}
--- a/internal/rule/crash/record_test.go
+++ b/internal/rule/crash/record_test.go
@@ -62,7 +62,7 @@
 	a, b, late := NewRecord(), NewRecord(), NewRecord()
 	a.Ended(at(0), crashingRequest, 1, time.Second)
 	b.Ended(at(1), crashingRequest, 2, time.Second)
-	send := func(from, to *Record, now time.Time) (urgency News) {
+	send := func(from, to *Record, now time.Time) (urgency Urgency) {
 		for _, s := range from.Outgoing(now, 3) {
 			urgency = max(urgency, to.Merge(now, s))
 		}
