--- a/internal/edge/entry/quarantine_test.go
+++ b/internal/edge/entry/quarantine_test.go
@@ -25,7 +25,7 @@
 	s := newSetup(t, newRoute(nil), upstream)
 	suspect := ident.NewFingerprint("w", "h", ident.HashRequest("POST", "/x", []byte("body")))
 	s.finder.acquire = func(context.Context, route.TargetRequest) (*route.Placement, error) {
-		s.handler.Guard.(*guard.Guard).Incoming([]crash.Suspect{{Request: suspect, Crashes: []crash.End{
+		s.handler.Guard.(*guard.Guard).Incoming([]crash.Suspect{{Request: suspect, Crashes: []crash.Crash{
 			{Start: 1, At: time.Now()}, {Start: 2, At: time.Now()},
 		}}})
 		target := s.finder.targets[0]
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -85,7 +85,7 @@
 		if at.After(now) {
 			at = now
 		}
-		s.Crashes = append(s.Crashes, crash.End{Start: e.Start, At: at, Ran: time.Duration(e.RanMS) * time.Millisecond})
+		s.Crashes = append(s.Crashes, crash.Crash{Start: e.Start, At: at, Ran: time.Duration(e.RanMS) * time.Millisecond})
 	}
 	return s, nil
 }
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -53,7 +53,7 @@
 func (r *Record) Ended(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) Urgency {
 	e := r.entry(now, request)
 	e.observed = true
-	return r.changed(e, e.add(End{Start: start, At: now, Ran: ran}))
+	return r.changed(e, e.add(Crash{Start: start, At: now, Ran: ran}))
 }
 
 // Served records a complete answer to a request.
@@ -178,14 +178,14 @@
 // attempts and 86 engines. 37 and 25 harmless requests respectively stayed unserved. A request that
 // crashes its engines late is quarantined some crashes later, once it is blamed for more crashes
 // than the requests that ran beside it.
-func (r *Record) unexplainedCrashes(e *entry) []End {
+func (r *Record) unexplainedCrashes(e *entry) []Crash {
 	var likelierEntries []*entry
 	for _, other := range r.entries {
 		if other.crashes >= e.crashes-1 && other.meanRan < e.meanRan {
 			likelierEntries = append(likelierEntries, other)
 		}
 	}
-	return slices.DeleteFunc(slices.Clone(e.blamedCrashes()), func(crash End) bool {
+	return slices.DeleteFunc(slices.Clone(e.blamedCrashes()), func(crash Crash) bool {
 		return slices.ContainsFunc(likelierEntries, func(other *entry) bool { return other.blamedForStart(crash.Start) })
 	})
 }
--- a/internal/rule/crash/suspect.go
+++ b/internal/rule/crash/suspect.go
@@ -15,8 +15,8 @@
 	return Start(ident.Mix(uint64(target), uint64(incarnation)))
 }
 
-// End is the crash of a target while it ran a request.
-type End struct {
+// Crash is the crash of a target while it ran a request.
+type Crash struct {
 	Start Start
 	At    time.Time
 	// Ran is the time from sending the request to the target until the crash.
@@ -27,7 +27,7 @@
 type Suspect struct {
 	Request ident.Fingerprint
 	// Crashes are the latest crashes, in order of time, with at most one for each start.
-	Crashes []End
+	Crashes []Crash
 	// Served is the time of the last complete answer to the request, or zero if there is none.
 	Served time.Time
 }
@@ -59,14 +59,14 @@
 )
 
 // blamed reports whether the request is blamed for a crash.
-func (s Suspect) blamed(e End) bool { return s.Served.IsZero() || e.At.After(s.Served.Add(grace)) }
+func (s Suspect) blamed(e Crash) bool { return s.Served.IsZero() || e.At.After(s.Served.Add(grace)) }
 
 // blamedCrashes returns the crashes that the request is blamed for.
-func (s Suspect) blamedCrashes() []End {
+func (s Suspect) blamedCrashes() []Crash {
 	if s.Served.IsZero() {
 		return s.Crashes
 	}
-	return slices.DeleteFunc(slices.Clone(s.Crashes), func(e End) bool { return !s.blamed(e) })
+	return slices.DeleteFunc(slices.Clone(s.Crashes), func(e Crash) bool { return !s.blamed(e) })
 }
 
 // blame returns the number of crashes that the request is blamed for, and the mean time that it ran
@@ -83,7 +83,7 @@
 
 // blamedForStart reports whether the request is blamed for the crash of a start.
 func (s Suspect) blamedForStart(start Start) bool {
-	return slices.ContainsFunc(s.Crashes, func(e End) bool { return e.Start == start && s.blamed(e) })
+	return slices.ContainsFunc(s.Crashes, func(e Crash) bool { return e.Start == start && s.blamed(e) })
 }
 
 // quarantineDuration returns the duration of the quarantine after the given number of crashes, from
@@ -110,11 +110,11 @@
 
 // add adds a crash. It reports whether the list of crashes changed: a start that is already in the
 // list is not added, and neither is a crash older than those of a full list.
-func (s *Suspect) add(e End) bool {
-	if slices.ContainsFunc(s.Crashes, func(recorded End) bool { return recorded.Start == e.Start }) {
+func (s *Suspect) add(e Crash) bool {
+	if slices.ContainsFunc(s.Crashes, func(recorded Crash) bool { return recorded.Start == e.Start }) {
 		return false
 	}
-	at, _ := slices.BinarySearchFunc(s.Crashes, e, func(a, b End) int { return a.At.Compare(b.At) })
+	at, _ := slices.BinarySearchFunc(s.Crashes, e, func(a, b Crash) int { return a.At.Compare(b.At) })
 	s.Crashes = slices.Insert(s.Crashes, at, e)
 	if len(s.Crashes) > maxCrashes {
 		s.Crashes = s.Crashes[1:]
--- a/internal/share/peer/codec.go
+++ b/internal/share/peer/codec.go
@@ -71,7 +71,7 @@
 	s := crash.Suspect{Request: ident.Fingerprint(in.GetRequest())}
 	ages, ran := in.GetAgesMs(), in.GetRanMs()
 	for i, start := range in.GetStarts()[:min(len(in.GetStarts()), len(ages), len(ran))] {
-		s.Crashes = append(s.Crashes, crash.End{Start: crash.Start(start), At: now.Add(-duration(ages[i])), Ran: duration(ran[i])})
+		s.Crashes = append(s.Crashes, crash.Crash{Start: crash.Start(start), At: now.Add(-duration(ages[i])), Ran: duration(ran[i])})
 	}
 	if in.GetServedMs() > 0 {
 		s.Served = now.Add(-duration(in.GetServedMs() - 1))
--- a/internal/share/peer/codec_test.go
+++ b/internal/share/peer/codec_test.go
@@ -61,7 +61,7 @@
 	suspect := func(now time.Time) crash.Suspect {
 		return crash.Suspect{
 			Request: 1 << 60,
-			Crashes: []crash.End{
+			Crashes: []crash.Crash{
 				{Start: 1 << 31, At: now.Add(-time.Minute), Ran: 61 * time.Millisecond},
 				{Start: 2, At: now.Add(-time.Second), Ran: 2 * time.Second},
 			},
@@ -80,7 +80,7 @@
 	}
 	var list []crash.Suspect
 	for i := range ident.Fingerprint(32) {
-		list = append(list, crash.Suspect{Request: i << 50, Crashes: []crash.End{{Start: 1 << 31, At: senderNow, Ran: time.Second}}})
+		list = append(list, crash.Suspect{Request: i << 50, Crashes: []crash.Crash{{Start: 1 << 31, At: senderNow, Ran: time.Second}}})
 	}
 	if size := proto.Size(Encode(senderNow, Digest{Suspects: list})); size > 760 {
 		t.Errorf("32 suspects take %d bytes", size)
