--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -106,7 +106,7 @@
 	}
 	start := crash.NewStart(b.Target.ID.Hash(), b.Target.Incarnation)
 	g.mu.Lock()
-	change := g.record.Ended(g.Clock(), b.Fingerprint, start, b.Ran)
+	change := g.record.Crashed(g.Clock(), b.Fingerprint, start, b.Ran)
 	g.updateQuarantine(b.Fingerprint, change)
 	g.mu.Unlock()
 	g.spreadUrgent(change)
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -113,7 +113,7 @@
 	start := NewStart(ident.TargetHash(at), e.incarnation)
 	e.incarnation++
 	for _, run := range interrupted {
-		m.noteUrgency(run.router, m.routers[run.router].Ended(m.now, run.request, start, m.now.Sub(run.sent)))
+		m.noteUrgency(run.router, m.routers[run.router].Crashed(m.now, run.request, start, m.now.Sub(run.sent)))
 	}
 	for _, run := range interrupted {
 		if run.crashAfter == 0 {
@@ -304,8 +304,8 @@
 	}
 	urgent := make([]bool, routers)
 	exchanges := 0
-	all[routers-1].Ended(now, 1, 1, time.Second)
-	all[routers-2].Ended(now, 1, 2, time.Second)
+	all[routers-1].Crashed(now, 1, 1, time.Second)
+	all[routers-2].Crashed(now, 1, 2, time.Second)
 	quarantining := func() int {
 		count := 0
 		for _, r := range all[unresponsive:] {
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -48,9 +48,9 @@
 	Urgent
 )
 
-// Ended records that a target has crashed while it ran a request; ran is the time since the request
+// Crashed records that a target has crashed while it ran a request; ran is the time since the request
 // was sent to it.
-func (r *Record) Ended(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) Urgency {
+func (r *Record) Crashed(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) Urgency {
 	e := r.entry(now, request)
 	e.observed = true
 	return r.changed(e, e.add(Crash{Start: start, At: now, Ran: ran}))
--- a/internal/rule/crash/record_test.go
+++ b/internal/rule/crash/record_test.go
@@ -26,7 +26,7 @@
 	now := at(0)
 	var got []time.Duration
 	for start := range Start(6) {
-		r.Ended(now, crashingRequest, start, time.Second)
+		r.Crashed(now, crashingRequest, start, time.Second)
 		quarantine := r.QuarantineLeft(now, crashingRequest)
 		got = append(got, quarantine)
 		now = now.Add(quarantine)
@@ -43,9 +43,9 @@
 // A crash that several attempts or several routers observed is counted once.
 func TestCrashCountsOnce(t *testing.T) {
 	a, b := NewRecord(), NewRecord()
-	a.Ended(at(0), crashingRequest, 1, time.Second)
-	a.Ended(at(0.1), crashingRequest, 1, time.Second)
-	b.Ended(at(0.1), crashingRequest, 1, time.Second)
+	a.Crashed(at(0), crashingRequest, 1, time.Second)
+	a.Crashed(at(0.1), crashingRequest, 1, time.Second)
+	b.Crashed(at(0.1), crashingRequest, 1, time.Second)
 	for _, s := range b.Outgoing(at(0.2), 2) {
 		if urgency := a.Merge(at(0.2), s); urgency != Nothing {
 			t.Errorf("the same crash is reported as a change of urgency %d", urgency)
@@ -60,8 +60,8 @@
 // suspects. A router that joins later receives the suspect although it has not changed for long.
 func TestCrashesAddUpOverRouters(t *testing.T) {
 	a, b, late := NewRecord(), NewRecord(), NewRecord()
-	a.Ended(at(0), crashingRequest, 1, time.Second)
-	b.Ended(at(1), crashingRequest, 2, time.Second)
+	a.Crashed(at(0), crashingRequest, 1, time.Second)
+	b.Crashed(at(1), crashingRequest, 2, time.Second)
 	send := func(from, to *Record, now time.Time) (urgency Urgency) {
 		for _, s := range from.Outgoing(now, 3) {
 			urgency = max(urgency, to.Merge(now, s))
@@ -88,25 +88,25 @@
 func TestServedRequestsAreCleared(t *testing.T) {
 	a, b := NewRecord(), NewRecord()
 	for start := range Start(3) {
-		a.Ended(at(0), crashingRequest, start, time.Second)
-		b.Ended(at(0), crashingRequest, start, time.Second)
+		a.Crashed(at(0), crashingRequest, start, time.Second)
+		b.Crashed(at(0), crashingRequest, start, time.Second)
 	}
 	a.Served(at(1), crashingRequest)
 	for _, s := range a.Outgoing(at(1), 2) {
 		b.Merge(at(1), s)
 	}
 	for start := range Start(3) {
-		b.Ended(at(2), crashingRequest, 10+start, time.Second)
+		b.Crashed(at(2), crashingRequest, 10+start, time.Second)
 	}
 	a.Served(at(1), harmlessRequest)
 	for start := range Start(6) {
-		a.Ended(at(3), harmlessRequest, start, time.Second)
+		a.Crashed(at(3), harmlessRequest, start, time.Second)
 	}
 	if a.QuarantineLeft(at(3), crashingRequest)+b.QuarantineLeft(at(3), crashingRequest)+a.QuarantineLeft(at(3), harmlessRequest) != 0 {
 		t.Error("a request that was served is quarantined")
 	}
 	for start := range Start(2) {
-		a.Ended(at(3+grace.Seconds()), harmlessRequest, 20+start, time.Second)
+		a.Crashed(at(3+grace.Seconds()), harmlessRequest, 20+start, time.Second)
 	}
 	if a.QuarantineLeft(at(3+grace.Seconds()), harmlessRequest) == 0 {
 		t.Error("a request that was served long ago is not blamed for new crashes")
@@ -118,8 +118,8 @@
 func TestLikelierRequestIsQuarantined(t *testing.T) {
 	r := NewRecord()
 	for start := range Start(2) {
-		r.Ended(at(1), harmlessRequest, start, 2*time.Second)
-		r.Ended(at(1), crashingRequest, start, 60*time.Millisecond)
+		r.Crashed(at(1), harmlessRequest, start, 2*time.Second)
+		r.Crashed(at(1), crashingRequest, start, 60*time.Millisecond)
 	}
 	if r.QuarantineLeft(at(1), crashingRequest) == 0 || r.QuarantineLeft(at(1), harmlessRequest) != 0 {
 		t.Errorf("quarantined for %v, and for %v the request that ran beside it", r.QuarantineLeft(at(1), crashingRequest), r.QuarantineLeft(at(1), harmlessRequest))
@@ -130,10 +130,10 @@
 // with the most crashes.
 func TestRecordIsBounded(t *testing.T) {
 	r := NewRecord()
-	r.Ended(at(0), crashingRequest, 1, time.Millisecond)
-	r.Ended(at(0), crashingRequest, 2, time.Millisecond)
+	r.Crashed(at(0), crashingRequest, 1, time.Millisecond)
+	r.Crashed(at(0), crashingRequest, 2, time.Millisecond)
 	for i := range ident.Fingerprint(3 * maxEntries) {
-		r.Ended(at(1), 100+i, Start(i), time.Second)
+		r.Crashed(at(1), 100+i, Start(i), time.Second)
 	}
 	if len(r.entries) > maxEntries || r.QuarantineLeft(at(1), crashingRequest) == 0 {
 		t.Errorf("%d entries, quarantined for %v", len(r.entries), r.QuarantineLeft(at(1), crashingRequest))
