--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -87,7 +87,7 @@
 // the request is sent again.
 func (g *Guard) ReportInterrupted(b Break) {
 	g.mu.Lock()
-	suspect := g.record.Doubted(b.Fingerprint)
+	suspect := g.record.NearQuarantine(b.Fingerprint)
 	g.mu.Unlock()
 	if suspect {
 		g.checkCrash(b)
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -192,7 +192,7 @@
 	prober.proceed <- struct{}{}
 	for suspect := false; !suspect; {
 		g.mu.Lock()
-		suspect = g.record.Doubted(request)
+		suspect = g.record.NearQuarantine(request)
 		g.mu.Unlock()
 	}
 	time.AfterFunc(10*time.Millisecond, func() { prober.proceed <- struct{}{} })
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -190,8 +190,8 @@
 	})
 }
 
-// Doubted reports whether one more crash may quarantine a request.
-func (r *Record) Doubted(request ident.Fingerprint) bool {
+// NearQuarantine reports whether one more crash may quarantine a request.
+func (r *Record) NearQuarantine(request ident.Fingerprint) bool {
 	e, found := r.entries[request]
 	return found && e.crashes >= quarantineThreshold-1
 }
