--- a/internal/edge/entry/gate.go
+++ b/internal/edge/entry/gate.go
@@ -67,7 +67,7 @@
 	// retryTimes spreads the Retry-After delays of rejected callers. At eight times the traffic of
 	// one zone, thousands of callers are rejected per second, and a constant delay would make all
 	// of them retry in the same quarter of a second.
-	retryTimes quota.Returns
+	retryTimes quota.RetryDelays
 	// rejected counts the callers rejected since loggedAt.
 	rejected int
 	loggedAt time.Time
--- a/internal/rule/quota/retry_after.go
+++ b/internal/rule/quota/retry_after.go
@@ -16,18 +16,18 @@
 	retryCapacityRatio = 0.5
 )
 
-// Returns assigns Retry-After delays to rejected requests. Each request receives a retry time of
+// RetryDelays assigns Retry-After delays to rejected requests. Each request receives a retry time of
 // its own, later than those of all requests rejected before, at intervals that match the
 // rate at which capacity is freed. With equal delays the retries would arrive together and
 // be rejected again.
-type Returns struct {
+type RetryDelays struct {
 	// next is the earliest retry time that has not been assigned.
 	next time.Time
 }
 
 // Tell returns the Retry-After delay of one rejected request. perSecond is the number of
 // requests served per second, and queue the time to serve those that are waiting.
-func (r *Returns) Tell(now time.Time, perSecond float64, queue time.Duration) time.Duration {
+func (r *RetryDelays) Tell(now time.Time, perSecond float64, queue time.Duration) time.Duration {
 	if perSecond <= 0 {
 		return defaultRetryAfter
 	}
--- a/internal/rule/quota/retry_after_test.go
+++ b/internal/rule/quota/retry_after_test.go
@@ -13,7 +13,7 @@
 	const perSecond = 10
 	interval := time.Duration(float64(time.Second) / (perSecond * retryCapacityRatio))
 	now := time.Unix(1000, 0)
-	var r Returns
+	var r RetryDelays
 	var got []time.Duration
 	for range 3 {
 		got = append(got, r.Tell(now, perSecond, time.Second))
@@ -34,7 +34,7 @@
 // A router that has just started has not measured a rate yet. It must not return delays of
 // half a minute.
 func TestRetryAfterDelayWithoutRate(t *testing.T) {
-	var r Returns
+	var r RetryDelays
 	for range 40 {
 		if diff := cmp.Diff(defaultRetryAfter, r.Tell(time.Unix(1000, 0), 0, 0)); diff != "" {
 			t.Fatal(diff)
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -63,7 +63,7 @@
 	queue *quota.Queue
 	rate  releaseRate
 	// retryDelays spreads the Retry-After delays of rejected requests.
-	retryDelays quota.Returns
+	retryDelays quota.RetryDelays
 	published   place.Digest
 	publishedAt time.Time
 	// urgent is set when the permit count has changed by more than one grant or release.
