--- a/internal/edge/entry/gate.go
+++ b/internal/edge/entry/gate.go
@@ -139,7 +139,7 @@
 	defer g.mu.Unlock()
 	now := g.clock()
 	reads := g.reads * decay.Kept(now.Sub(g.readsAt), readRateHalfLife)
-	return g.retryTimes.Tell(now, reads*math.Ln2/readRateHalfLife.Seconds(), overloadDelay)
+	return g.retryTimes.Next(now, reads*math.Ln2/readRateHalfLife.Seconds(), overloadDelay)
 }
 
 // reject sends the rejection if the caller's request has arrived, and reports whether it had.
--- a/internal/rule/quota/retry_after.go
+++ b/internal/rule/quota/retry_after.go
@@ -25,9 +25,9 @@
 	next time.Time
 }
 
-// Tell returns the Retry-After delay of one rejected request. perSecond is the number of
+// Next returns the Retry-After delay of one rejected request. perSecond is the number of
 // requests served per second, and queue the time to serve those that are waiting.
-func (r *RetryDelays) Tell(now time.Time, perSecond float64, queue time.Duration) time.Duration {
+func (r *RetryDelays) Next(now time.Time, perSecond float64, queue time.Duration) time.Duration {
 	if perSecond <= 0 {
 		return defaultRetryAfter
 	}
--- a/internal/rule/quota/retry_after_test.go
+++ b/internal/rule/quota/retry_after_test.go
@@ -16,16 +16,16 @@
 	var r RetryDelays
 	var got []time.Duration
 	for range 3 {
-		got = append(got, r.Tell(now, perSecond, time.Second))
+		got = append(got, r.Next(now, perSecond, time.Second))
 	}
 	now = now.Add(10 * time.Second)
-	got = append(got, r.Tell(now, perSecond, 0))
+	got = append(got, r.Next(now, perSecond, 0))
 	want := []time.Duration{time.Second, time.Second + interval, time.Second + 2*interval, minRetryAfter}
 	if diff := cmp.Diff(want, got); diff != "" {
 		t.Error(diff)
 	}
 	for range 1000 {
-		if delay := r.Tell(now, perSecond, 0); delay > MaxReturn {
+		if delay := r.Next(now, perSecond, 0); delay > MaxReturn {
 			t.Fatalf("Retry-After delay of %v, want at most MaxReturn", delay)
 		}
 	}
@@ -36,7 +36,7 @@
 func TestRetryAfterDelayWithoutRate(t *testing.T) {
 	var r RetryDelays
 	for range 40 {
-		if diff := cmp.Diff(defaultRetryAfter, r.Tell(time.Unix(1000, 0), 0, 0)); diff != "" {
+		if diff := cmp.Diff(defaultRetryAfter, r.Next(time.Unix(1000, 0), 0, 0)); diff != "" {
 			t.Fatal(diff)
 		}
 	}
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -131,7 +131,7 @@
 	resp := PermitResponse{Result: result, Held: s.home.Held(req.Edge), Work: s.home.ConfirmedWork()}
 	if req.MustPlace {
 		queue, _ := s.rate.queueDelay(s.queue.Len())
-		resp.RetryAfter = s.retryDelays.Tell(now, s.rate.requestsPerSecond(), queue)
+		resp.RetryAfter = s.retryDelays.Next(now, s.rate.requestsPerSecond(), queue)
 	}
 	return resp
 }
