--- a/internal/rule/quota/retry_after.go
+++ b/internal/rule/quota/retry_after.go
@@ -5,9 +5,9 @@
 const (
 	// minRetryAfter is the minimum Retry-After delay: several round trips.
 	minRetryAfter = 200 * time.Millisecond
-	// MaxReturn is the maximum Retry-After delay: longer than callers wait for interactive
+	// MaxRetryAfter is the maximum Retry-After delay: longer than callers wait for interactive
 	// answers.
-	MaxReturn = 30 * time.Second
+	MaxRetryAfter = 30 * time.Second
 	// defaultRetryAfter is the Retry-After delay while no rate has been measured, as after a start.
 	// A rate is available when the delay has elapsed.
 	defaultRetryAfter = time.Second
@@ -35,7 +35,7 @@
 	if r.next.Before(earliest) {
 		r.next = earliest
 	}
-	delay := min(r.next.Sub(now), MaxReturn)
+	delay := min(r.next.Sub(now), MaxRetryAfter)
 	r.next = now.Add(delay + time.Duration(float64(time.Second)/(retryCapacityRatio*perSecond)))
 	return delay
 }
--- a/internal/rule/quota/retry_after_test.go
+++ b/internal/rule/quota/retry_after_test.go
@@ -8,7 +8,7 @@
 )
 
 // Each rejected request receives a delay of its own: at least the time to serve the queue,
-// spaced at the rate at which capacity is freed for retries, and at most MaxReturn.
+// spaced at the rate at which capacity is freed for retries, and at most MaxRetryAfter.
 func TestRetryAfterDelaysAreSpread(t *testing.T) {
 	const perSecond = 10
 	interval := time.Duration(float64(time.Second) / (perSecond * retryCapacityRatio))
@@ -25,7 +25,7 @@
 		t.Error(diff)
 	}
 	for range 1000 {
-		if delay := r.Next(now, perSecond, 0); delay > MaxReturn {
+		if delay := r.Next(now, perSecond, 0); delay > MaxRetryAfter {
 			t.Fatalf("Retry-After delay of %v, want at most MaxReturn", delay)
 		}
 	}
--- a/internal/share/home/rate.go
+++ b/internal/share/home/rate.go
@@ -62,7 +62,7 @@
 	if requestsPerSecond <= 0 {
 		return 0, false
 	}
-	seconds := min(float64(ahead+1)/requestsPerSecond, quota.MaxReturn.Seconds())
+	seconds := min(float64(ahead+1)/requestsPerSecond, quota.MaxRetryAfter.Seconds())
 	return time.Duration(seconds * float64(time.Second)), true
 }
 
