--- a/internal/edge/route/limit.go
+++ b/internal/edge/route/limit.go
@@ -47,7 +47,7 @@
 	defer r.mu.Unlock()
 	now := r.clock()
 	if err != nil {
-		a.NoHome(now, w.Rate, routers)
+		a.GrantLocally(now, w.Rate, routers)
 		if a.Take(now) {
 			return nil
 		}
--- a/internal/rule/quota/bucket.go
+++ b/internal/rule/quota/bucket.go
@@ -71,7 +71,7 @@
 	// requests counts the requests since measuredSince, to size the next token request.
 	requests      int
 	measuredSince time.Time
-	// localUntil is the end of the period covered by the tokens that NoHome added last.
+	// localUntil is the end of the period covered by the tokens that GrantLocally added last.
 	localUntil time.Time
 }
 
@@ -132,8 +132,8 @@
 	a.expiresAt = now.Add(grantTTL)
 }
 
-// NoHome adds this edge router's equal share of the rate while the home is unreachable.
-func (a *Allowance) NoHome(now time.Time, rate Rate, routers int) {
+// GrantLocally adds this edge router's equal share of the rate while the home is unreachable.
+func (a *Allowance) GrantLocally(now time.Time, rate Rate, routers int) {
 	if now.Before(a.localUntil) {
 		return
 	}
--- a/internal/rule/quota/quota_test.go
+++ b/internal/rule/quota/quota_test.go
@@ -150,7 +150,7 @@
 	served := 0
 	for ms := range 4000 {
 		now := start.Add(time.Duration(ms) * time.Millisecond)
-		a.NoHome(now, 16, 8)
+		a.GrantLocally(now, 16, 8)
 		if a.Take(now) {
 			served++
 		}
@@ -166,7 +166,7 @@
 	var a quota.Allowance
 	a.Granted(start, 1, 0)
 	a.Take(start)
-	a.NoHome(start, 16, 2)
+	a.GrantLocally(start, 16, 2)
 	if !a.Take(start) {
 		t.Error("no token while the home is unreachable")
 	}
