--- a/internal/edge/route/limit.go
+++ b/internal/edge/route/limit.go
@@ -33,7 +33,7 @@
 		r.mu.Unlock()
 		return fault.New(op, Limited, RetryAfter{Wait: wait})
 	}
-	want := a.Ask(now)
+	want := a.RequestSize(now)
 	routers := r.assigned.Routers()
 	to := WorkspaceHome(w.Name, routers)
 	r.mu.Unlock()
--- a/internal/rule/quota/bucket.go
+++ b/internal/rule/quota/bucket.go
@@ -104,9 +104,9 @@
 	return 0, false
 }
 
-// Ask returns the number of tokens to request: those that this edge router's own traffic
+// RequestSize returns the number of tokens to request: those that this edge router's own traffic
 // uses in about half a second.
-func (a *Allowance) Ask(now time.Time) int {
+func (a *Allowance) RequestSize(now time.Time) int {
 	elapsed := now.Sub(a.measuredSince).Seconds()
 	if elapsed < 0.1 {
 		return 1
--- a/internal/rule/quota/quota_test.go
+++ b/internal/rule/quota/quota_test.go
@@ -117,7 +117,7 @@
 		if _, denied := a.Denied(now); denied {
 			continue
 		}
-		granted, retryAfter := b.Grant(now, a.Ask(now))
+		granted, retryAfter := b.Grant(now, a.RequestSize(now))
 		a.Granted(now, granted, retryAfter)
 		if granted > 0 && a.Take(now) {
 			served++
