--- a/internal/edge/route/limit.go
+++ b/internal/edge/route/limit.go
@@ -53,7 +53,7 @@
 		}
 		return fault.New(op, Limited, RetryAfter{Wait: time.Second})
 	}
-	a.Granted(now, granted, retryAfter)
+	a.RecordGrant(now, granted, retryAfter)
 	if granted == 0 {
 		return fault.New(op, Limited, RetryAfter{Wait: retryAfter})
 	}
--- a/internal/rule/quota/bucket.go
+++ b/internal/rule/quota/bucket.go
@@ -118,9 +118,9 @@
 	return min(max(int(requestsPerSecond/2), 1), maxTokenRequest)
 }
 
-// Granted records the home's response. It takes no token: the request for which the grant
+// RecordGrant records the home's response. It takes no token: the request for which the grant
 // was made takes its own with Take.
-func (a *Allowance) Granted(now time.Time, tokens int, retryAfter time.Duration) {
+func (a *Allowance) RecordGrant(now time.Time, tokens int, retryAfter time.Duration) {
 	if tokens == 0 {
 		a.deniedUntil = now.Add(retryAfter)
 		return
--- a/internal/rule/quota/quota_test.go
+++ b/internal/rule/quota/quota_test.go
@@ -118,7 +118,7 @@
 			continue
 		}
 		granted, retryAfter := b.Grant(now, a.RequestSize(now))
-		a.Granted(now, granted, retryAfter)
+		a.RecordGrant(now, granted, retryAfter)
 		if granted > 0 && a.Take(now) {
 			served++
 		}
@@ -164,7 +164,7 @@
 // up, and no router answers the next token request.
 func TestHomeUnreachableAfterGrant(t *testing.T) {
 	var a quota.Allowance
-	a.Granted(start, 1, 0)
+	a.RecordGrant(start, 1, 0)
 	a.Take(start)
 	a.GrantLocally(start, 16, 2)
 	if !a.Take(start) {
