--- a/internal/rule/quota/queue.go
+++ b/internal/rule/quota/queue.go
@@ -207,9 +207,9 @@
 	return next
 }
 
-// Return restores a popped waiter to its position, when no engine had capacity for it, and
+// Restore restores a popped waiter to its position, when no engine had capacity for it, and
 // undoes the turn.
-func (q *Queue) Return(w *Waiter) {
+func (q *Queue) Restore(w *Waiter) {
 	q.fairTurn = !q.fairTurn
 	f := q.flows[w.Workspace]
 	if f == nil {
--- a/internal/rule/quota/quota_test.go
+++ b/internal/rule/quota/quota_test.go
@@ -97,7 +97,7 @@
 	}
 	q.Push(next)
 	popped, _ := q.Pop(start)
-	q.Return(popped)
+	q.Restore(popped)
 	if again, _ := q.Pop(start); again != next {
 		t.Error("a returned waiter is lost")
 	}
@@ -196,7 +196,7 @@
 	for range 80 {
 		w, _ := q.Pop(start)
 		// No engine had capacity: the next Pop must repeat the same turn.
-		q.Return(w)
+		q.Restore(w)
 		w, _ = q.Pop(start)
 		got[w.Workspace]++
 		q.Push(waiter(string(w.Workspace), 1, w.Priority))
--- a/internal/share/home/place.go
+++ b/internal/share/home/place.go
@@ -175,7 +175,7 @@
 		w := next.Value.(*queuedRequest)
 		d := s.home.Place(now, w.req.Request)
 		if d.Result != place.Placed && d.Result != place.Full {
-			s.queue.Return(next)
+			s.queue.Restore(next)
 			return
 		}
 		w.response <- s.decisionResponse(now, w.req, d)
