--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -36,7 +36,7 @@
 	// superseded contains, by service, the versions whose rollout was replaced by another one
 	// before a verdict. It is unknown whether they are sound.
 	superseded map[ident.Service]map[ident.Version]bool
-	baselines  map[match.RouteName]*canary.Norm
+	baselines  map[match.RouteName]*canary.Baseline
 	// nextReport is the index of the peer evidence that is reported next.
 	nextReport int
 }
@@ -86,7 +86,7 @@
 	return &rollouts{
 		canaryRatio: canaryRatio * canaryRatioMargin, source: source, logger: logger, clock: clock, current: map[ident.Service]*rollout{},
 		statuses: map[ident.Service]statusRow{}, superseded: map[ident.Service]map[ident.Version]bool{},
-		baselines: map[match.RouteName]*canary.Norm{},
+		baselines: map[match.RouteName]*canary.Baseline{},
 	}
 }
 
@@ -224,7 +224,7 @@
 	defer r.mu.Unlock()
 	baseline := r.baselines[route]
 	if baseline == nil {
-		baseline = &canary.Norm{}
+		baseline = &canary.Baseline{}
 		r.baselines[route] = baseline
 	}
 	if as == service {
--- a/internal/rule/canary/canary_test.go
+++ b/internal/rule/canary/canary_test.go
@@ -43,7 +43,7 @@
 	rng *rand.Rand
 	// failureRatios are the shares of requests that the current version fails, by route.
 	failureRatios []float64
-	norms         []Norm
+	norms         []Baseline
 }
 
 // answer returns the result and the response time of one request to the current version. Response
@@ -55,7 +55,7 @@
 // rollout sends requests to a canary until it is judged bad or has given the number of answers, and
 // returns the evidence. spoil turns answers of the current version into those of the canary.
 func (w *simulation) rollout(answers int, spoil func(route int, ok bool, took time.Duration) (bool, time.Duration)) Evidence {
-	w.norms = make([]Norm, len(w.failureRatios))
+	w.norms = make([]Baseline, len(w.failureRatios))
 	var e Evidence
 	for range answers {
 		for range 15 {
--- a/internal/rule/canary/evidence.go
+++ b/internal/rule/canary/evidence.go
@@ -16,10 +16,10 @@
 	priorAnswers = 10
 )
 
-// Norm is the baseline of one route: the share of poor answers and the mean response time of the
+// Baseline is the baseline of one route: the share of poor answers and the mean response time of the
 // current version, as measured by one router. Baselines are kept per route because some routes
 // fail often with any version.
-type Norm struct {
+type Baseline struct {
 	answers, poor float64
 	// latency is the mean response time of successful answers.
 	latency time.Duration
@@ -27,12 +27,12 @@
 
 // Poor reports whether an answer is poor: it failed, or it was slow relative to the mean of the
 // route.
-func (n *Norm) Poor(ok bool, latency time.Duration) bool {
+func (n *Baseline) Poor(ok bool, latency time.Duration) bool {
 	return !ok || n.answers >= minBaselineAnswers && latency > slowFactor*n.latency
 }
 
 // Note adds an answer of the current version to the baseline.
-func (n *Norm) Note(ok bool, latency time.Duration) {
+func (n *Baseline) Note(ok bool, latency time.Duration) {
 	const decay = 1 - 1.0/baselineWindow
 	poor := n.Poor(ok, latency)
 	n.answers, n.poor = n.answers*decay+1, n.poor*decay
@@ -45,7 +45,7 @@
 }
 
 // Share returns the estimated share of poor answers.
-func (n *Norm) Share() float64 { return (n.poor + priorPoor) / (n.answers + priorAnswers) }
+func (n *Baseline) Share() float64 { return (n.poor + priorPoor) / (n.answers + priorAnswers) }
 
 // Evidence counts the answers of a canary.
 type Evidence struct {
@@ -57,7 +57,7 @@
 }
 
 // Add adds an answer of the canary, given the baseline of the request's route.
-func (e *Evidence) Add(norm *Norm, ok bool, latency time.Duration) {
+func (e *Evidence) Add(norm *Baseline, ok bool, latency time.Duration) {
 	e.Answers++
 	e.Expected += norm.Share()
 	if norm.Poor(ok, latency) {
