--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -228,7 +228,7 @@
 		r.baselines[route] = baseline
 	}
 	if as == service {
-		baseline.Note(ok, took)
+		baseline.Record(ok, took)
 		return
 	}
 	if ro := r.current[service]; ro != nil {
--- a/internal/rule/canary/canary_test.go
+++ b/internal/rule/canary/canary_test.go
@@ -60,7 +60,7 @@
 	for range answers {
 		for range 15 {
 			route := w.rng.IntN(len(w.failureRatios))
-			w.norms[route].Note(w.answer(route))
+			w.norms[route].Record(w.answer(route))
 		}
 		route := w.rng.IntN(len(w.failureRatios))
 		ok, took := w.answer(route)
--- a/internal/rule/canary/evidence.go
+++ b/internal/rule/canary/evidence.go
@@ -31,8 +31,8 @@
 	return !ok || n.answers >= minBaselineAnswers && latency > slowFactor*n.latency
 }
 
-// Note adds an answer of the current version to the baseline.
-func (n *Baseline) Note(ok bool, latency time.Duration) {
+// Record adds an answer of the current version to the baseline.
+func (n *Baseline) Record(ok bool, latency time.Duration) {
 	const decay = 1 - 1.0/baselineWindow
 	poor := n.Poor(ok, latency)
 	n.answers, n.poor = n.answers*decay+1, n.poor*decay
