--- a/internal/rule/canary/evidence.go
+++ b/internal/rule/canary/evidence.go
@@ -44,8 +44,8 @@
 	}
 }
 
-// Share returns the estimated share of poor answers.
-func (n *Baseline) Share() float64 { return (n.poor + priorPoor) / (n.answers + priorAnswers) }
+// PoorRatio returns the estimated share of poor answers.
+func (n *Baseline) PoorRatio() float64 { return (n.poor + priorPoor) / (n.answers + priorAnswers) }
 
 // Evidence counts the answers of a canary.
 type Evidence struct {
@@ -59,7 +59,7 @@
 // Add adds an answer of the canary, given the baseline of the request's route.
 func (e *Evidence) Add(norm *Baseline, ok bool, latency time.Duration) {
 	e.Answers++
-	e.Expected += norm.Share()
+	e.Expected += norm.PoorRatio()
 	if norm.Poor(ok, latency) {
 		e.Poor++
 	}
