--- a/internal/edge/entry/retry.go
+++ b/internal/edge/entry/retry.go
@@ -10,7 +10,7 @@
 // shouldRetry decides whether a failed attempt is followed by another one.
 func (h *Handler) shouldRetry(ctx context.Context, j *job, placement *route.Placement, attempt result) bool {
 	j.avoid = append(j.avoid, placement.Hash)
-	j.outcome = retry.Worse(j.outcome, retry.OutcomeOf(attempt.step))
+	j.outcome = retry.CombineOutcomes(j.outcome, retry.OutcomeOf(attempt.step))
 	reason := h.decideRetry(ctx, j, attempt)
 	h.logAttempt(j, placement, attempt, reason)
 	return reason == retryAllowed
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -279,7 +279,7 @@
 // handleFailure decides whether a failed attempt is retried. It returns nil for a retry, or else the problem
 // with which the request ends.
 func (f *Front) handleFailure(ctx context.Context, j *job, placement *route.Placement, step retry.Step, err error) *Problem {
-	j.outcome = retry.Worse(j.outcome, retry.OutcomeOf(step))
+	j.outcome = retry.CombineOutcomes(j.outcome, retry.OutcomeOf(step))
 	j.avoid = append(j.avoid, placement.Hash)
 	_ = level.Info(f.Logger).Log("msg", "attempt failed", "request", j.id, "attempt", j.attemptID, "target", placement.Target.ID, "step", int(step), "err", err)
 	switch {
@@ -303,7 +303,7 @@
 // have run the request.
 func (f *Front) mergeOutcome(j *job, p *Problem) *Problem {
 	if j.outcome != "" {
-		p.Outcome = retry.Worse(j.outcome, p.Outcome)
+		p.Outcome = retry.CombineOutcomes(j.outcome, p.Outcome)
 	}
 	return p
 }
--- a/internal/rule/retry/outcome.go
+++ b/internal/rule/retry/outcome.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Worse combines the outcomes of two attempts at the same request: the request did not run
+// CombineOutcomes combines the outcomes of two attempts at the same request: the request did not run
 // only if neither attempt did. An empty a stands for no earlier attempt.
-func Worse(a, b Outcome) Outcome {
+func CombineOutcomes(a, b Outcome) Outcome {
 	switch {
 	case a == "":
 		return b
--- a/internal/rule/retry/retry_test.go
+++ b/internal/rule/retry/retry_test.go
@@ -44,7 +44,7 @@
 		{retry.NotRun, retry.NotRun, retry.NotRun},
 	}
 	for _, c := range cases {
-		if got := retry.Worse(c.a, c.b); got != c.want {
+		if got := retry.CombineOutcomes(c.a, c.b); got != c.want {
 			t.Errorf("Worse(%q, %q) = %q, want %q", c.a, c.b, got, c.want)
 		}
 	}
