--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -146,7 +146,7 @@
 func (h *Handler) sendFailed(ctx context.Context, j *job, placement *route.Placement, began time.Time, err error) result {
 	step := relay.StepOf(err)
 	reason := Unreachable
-	if !retry.Free(step) {
+	if !retry.IsFree(step) {
 		j.sends++
 		j.runs++
 		reason = Lost
@@ -156,7 +156,7 @@
 		// The failure is local to this box. Reporting it as a target failure would exclude nearly
 		// all targets of a pool from new work of this router and overload the rest.
 		h.Finder.ReportCancelled(placement.Hash)
-	case retry.Free(step) && ctx.Err() == nil:
+	case retry.IsFree(step) && ctx.Err() == nil:
 		h.Finder.ReportUnreachable(placement.Hash)
 	default:
 		h.reportResult(ctx, placement, false)
--- a/internal/edge/entry/retry.go
+++ b/internal/edge/entry/retry.go
@@ -56,7 +56,7 @@
 		// Other targets would fail in the same way.
 		return retryNoConnection
 	}
-	if retry.Free(attempt.step) {
+	if retry.IsFree(attempt.step) {
 		j.unreached++
 		if j.unreached > maxUnreachable {
 			return retryNoAttempts
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -151,7 +151,7 @@
 		return
 	}
 	// A resumed stream has no fingerprint, since it does not run the request again.
-	if j.fingerprint == 0 || ctx.Err() != nil || retry.Free(relay.StepOf(err)) {
+	if j.fingerprint == 0 || ctx.Err() != nil || retry.IsFree(relay.StepOf(err)) {
 		return
 	}
 	f.Guard.ReportInterrupted(guard.Break{Request: string(j.id), Fingerprint: j.fingerprint, Target: target, Ran: f.Clock().Sub(sentAt)})
@@ -287,7 +287,7 @@
 		return &Problem{Status: statusCallerGone, Code: CodeCallerGone, Message: "the caller has gone", Outcome: j.outcome}
 	case f.Guard.QuarantineLeft(j.fingerprint) > 0:
 		return attemptProblem(err, j.outcome)
-	case retry.MaySend(j.decision.Repeat, step, !j.firstByteAt.IsZero()) && j.attempts < f.limits.Tries && (retry.Free(step) || f.takeRetryToken()):
+	case retry.MaySend(j.decision.Repeat, step, !j.firstByteAt.IsZero()) && j.attempts < f.limits.Tries && (retry.IsFree(step) || f.takeRetryToken()):
 		return nil
 	case step == retry.Refused && j.outcome == retry.NotRun:
 		return &Problem{
--- a/internal/rule/retry/outcome.go
+++ b/internal/rule/retry/outcome.go
@@ -81,6 +81,6 @@
 	return repeat == Safe
 }
 
-// Free reports whether a retry after the given step need not be charged to the budget: the
+// IsFree reports whether a retry after the given step need not be charged to the budget: the
 // attempt sent nothing to a target, so that it put no load on one.
-func Free(step Step) bool { return step == Placing || step == Dialing }
+func IsFree(step Step) bool { return step == Placing || step == Dialing }
