--- a/internal/oper/node/cold.go
+++ b/internal/oper/node/cold.go
@@ -37,7 +37,7 @@
 			continue
 		}
 		until := s.cold[t.ID].until
-		if reopenedUntil := reopened.Add(service.ColdFor); !reopened.IsZero() && reopenedUntil.After(until) {
+		if reopenedUntil := reopened.Add(service.ColdTime); !reopened.IsZero() && reopenedUntil.After(until) {
 			until = reopenedUntil
 		}
 		return place.Cold{Until: until, Rate: service.ColdRate}
--- a/internal/oper/node/cold_test.go
+++ b/internal/oper/node/cold_test.go
@@ -36,7 +36,7 @@
 	rows := &coldRows{left: 3 * time.Second, incarnation: 1}
 	version := table.Version(0)
 	s := newState(rows, log.NewNopLogger(), func() time.Time { return now })
-	s.services = []match.Service{{Name: "s", ColdFor: 3 * time.Second, ColdRate: 13}}
+	s.services = []match.Service{{Name: "s", ColdTime: 3 * time.Second, ColdRate: 13}}
 	until := func() time.Time {
 		version++
 		s.updateTargets(feed.Change{Rows: []table.Row{{Key: "t", Version: version}}})
--- a/internal/rule/match/config.go
+++ b/internal/rule/match/config.go
@@ -66,10 +66,10 @@
 	Conns int
 	// Copies is set if engines can copy cached prompt prefixes from each other.
 	Copies bool
-	// ColdFor is the time for which a target is cold after its start or after its availability zone
+	// ColdTime is the time for which a target is cold after its start or after its availability zone
 	// was opened again. ColdRate is the number of requests per second that a cold target can
 	// serve; zero means no limit.
-	ColdFor  time.Duration
+	ColdTime time.Duration
 	ColdRate float64
 }
 
