--- a/internal/edge/entry/accept.go
+++ b/internal/edge/entry/accept.go
@@ -42,7 +42,7 @@
 	}
 	j.placementKey = j.newPlacementKey()
 	j.service = j.route.ServiceOf(j.placementKey)
-	j.copiesCache = table.Service(j.service).Copies
+	j.copiesCache = table.Service(j.service).CopiesPrefixes
 	return j, nil
 }
 
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -336,7 +336,7 @@
 		target := newFakeTarget(t, answer(200, "", "fine"))
 		table, err := match.Compile(match.Config{
 			Routes: []match.Route{newRoute(nil)}, Limits: match.Limits{BodyBytes: 1 << 20},
-			Services: []match.Service{{Name: "s", Copies: copies}},
+			Services: []match.Service{{Name: "s", CopiesPrefixes: copies}},
 		})
 		if err != nil {
 			t.Fatal(err)
--- a/internal/rule/match/config.go
+++ b/internal/rule/match/config.go
@@ -64,8 +64,8 @@
 	// Conns is the number of connections that one target accepts from all clients together; zero
 	// means that it is unknown.
 	Conns int
-	// Copies is set if engines can copy cached prompt prefixes from each other.
-	Copies bool
+	// CopiesPrefixes is set if engines can copy cached prompt prefixes from each other.
+	CopiesPrefixes bool
 	// ColdTime is the time for which a target is cold after its start or after its availability zone
 	// was opened again. ColdRate is the number of requests per second that a cold target can
 	// serve; zero means no limit.
