--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -41,7 +41,7 @@
 }
 
 func TestRouterAnswers(t *testing.T) {
-	table, err := match.Compile(match.Config{Routes: []match.Route{newRoute(func(r *match.Route) { r.Prefix = "/a/" })}, Keyed: true})
+	table, err := match.Compile(match.Config{Routes: []match.Route{newRoute(func(r *match.Route) { r.Prefix = "/a/" })}, RequireKeys: true})
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -220,7 +220,7 @@
 func newSetup(t *testing.T, r match.Route, targets ...*fakeTarget) *setup {
 	t.Helper()
 	table, err := match.Compile(match.Config{
-		Revision: 1, Routes: []match.Route{r}, Keyed: true, Limits: match.Limits{BodyBytes: 1 << 20},
+		Revision: 1, Routes: []match.Route{r}, RequireKeys: true, Limits: match.Limits{BodyBytes: 1 << 20},
 		Workspaces: []match.Workspace{{Name: "w", Keys: []string{"k"}}},
 	})
 	if err != nil {
--- a/internal/rule/match/config.go
+++ b/internal/rule/match/config.go
@@ -90,7 +90,7 @@
 	Routes     []Route
 	Services   []Service
 	Workspaces []Workspace
-	// Keyed is set if requests need an API key, except on public routes.
-	Keyed  bool
-	Limits Limits
+	// RequireKeys is set if requests need an API key, except on public routes.
+	RequireKeys bool
+	Limits      Limits
 }
--- a/internal/rule/match/table.go
+++ b/internal/rule/match/table.go
@@ -34,7 +34,7 @@
 	t := &Table{
 		Revision: c.Revision,
 		Limits:   c.Limits,
-		keyed:    c.Keyed,
+		keyed:    c.RequireKeys,
 		routes:   make(map[routeKey]*Route, len(c.Routes)),
 		keys:     map[string]*Workspace{},
 		services: make(map[ident.Service]Service, len(c.Services)),
--- a/internal/rule/match/table_test.go
+++ b/internal/rule/match/table_test.go
@@ -65,7 +65,7 @@
 	closed, open := route("closed", "h", "/c/"), route("open", "h", "/o/")
 	open.Public = true
 	compiled := table(t, Config{
-		Routes: []Route{closed, open}, Keyed: true,
+		Routes: []Route{closed, open}, RequireKeys: true,
 		Workspaces: []Workspace{{Name: "w", Keys: []string{"k1", "k2"}}},
 	})
 	for _, c := range []struct {
