--- a/internal/edge/relay/error.go
+++ b/internal/edge/relay/error.go
@@ -57,7 +57,7 @@
 // target. The argument late is how long after the dial timeout the dial failed.
 func dialErrorKind(err error, late time.Duration) Kind {
 	switch {
-	case fault.OwnLack(err):
+	case fault.IsLocalResourceError(err):
 		return Exhausted
 	case late > HeldUpAfter:
 		return HeldUp
--- a/internal/share/home/link.go
+++ b/internal/share/home/link.go
@@ -147,7 +147,7 @@
 func (l *link) recordError(err error) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.localFailure = l.localFailure || fault.OwnLack(err)
+	l.localFailure = l.localFailure || fault.IsLocalResourceError(err)
 }
 
 // closedError returns the error of requests on a closed link.
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -242,7 +242,7 @@
 	out := n.outgoing(peer.ID, false)
 	reply, err := n.dial.At(peer.Addr).Gossip(ctx, connect.NewRequest(Encode(n.clock(), out)))
 	if err != nil {
-		if ctx.Err() != context.Canceled && !fault.OwnLack(err) {
+		if ctx.Err() != context.Canceled && !fault.IsLocalResourceError(err) {
 			n.UpdateView(func(v *View) { v.ContactFailed(n.clock(), peer.ID) })
 		}
 		return fault.New("peer.Exchange", Unreachable, err)
