--- a/internal/edge/entry/gate.go
+++ b/internal/edge/entry/gate.go
@@ -118,7 +118,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	g.reads = g.reads*decay.Kept(now.Sub(g.readsAt), readRateHalfLife) + 1
+	g.reads = g.reads*decay.Factor(now.Sub(g.readsAt), readRateHalfLife) + 1
 	g.readsAt = now
 	if delay < overloadDelay {
 		g.consecutiveLate = 0
@@ -138,7 +138,7 @@
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	now := g.clock()
-	reads := g.reads * decay.Kept(now.Sub(g.readsAt), readRateHalfLife)
+	reads := g.reads * decay.Factor(now.Sub(g.readsAt), readRateHalfLife)
 	return g.retryTimes.Next(now, reads*math.Ln2/readRateHalfLife.Seconds(), overloadDelay)
 }
 
--- a/internal/edge/route/throttle.go
+++ b/internal/edge/route/throttle.go
@@ -57,7 +57,7 @@
 
 // decay reduces the weight of earlier requests.
 func (t *throttle) decay(now time.Time) {
-	kept := decay.Kept(now.Sub(t.decayedAt), throttleHalfLife)
+	kept := decay.Factor(now.Sub(t.decayedAt), throttleHalfLife)
 	t.decided *= kept
 	t.granted *= kept
 	t.decayedAt = now
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -43,7 +43,7 @@
 // decay reduces earlier counts.
 func (r *record) decay(now time.Time) {
 	if since := now.Sub(r.at); since > 0 {
-		kept := decay.Kept(since, healthHalfLife)
+		kept := decay.Factor(since, healthHalfLife)
 		r.sent *= kept
 		r.failed *= kept
 		r.at = now
--- a/internal/share/home/rate.go
+++ b/internal/share/home/rate.go
@@ -33,7 +33,7 @@
 // record records released work and the work that is in flight from now on.
 func (r *releaseRate) record(now time.Time, releasedWork, inFlight ident.Work) {
 	if elapsed := now.Sub(r.at); elapsed > 0 && !r.at.IsZero() {
-		kept := decay.Kept(elapsed, rateHalfLife)
+		kept := decay.Factor(elapsed, rateHalfLife)
 		r.releasedWork *= kept
 		// The work in flight since the last call decays while it is integrated.
 		halfLife := rateHalfLife.Seconds() / math.Ln2
