--- a/internal/plat/table/client.go
+++ b/internal/plat/table/client.go
@@ -63,7 +63,7 @@
 	c.writes.Add(1)
 	body, err := json.Marshal(txn)
 	if err != nil {
-		return fault.New(op, Refused, err)
+		return fault.New(op, Rejected, err)
 	}
 	_, err = c.call(ctx, op, http.MethodPost, "/v1/commit", body, nil)
 	return err
@@ -99,7 +99,7 @@
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
 	if err != nil {
-		return startEra, fault.New(op, Refused, err)
+		return startEra, fault.New(op, Rejected, err)
 	}
 	// Without GetBody the transport cannot retry a commit by itself.
 	req.GetBody = nil
@@ -153,6 +153,6 @@
 	case status >= http.StatusInternalServerError:
 		return Unknown
 	default:
-		return Refused
+		return Rejected
 	}
 }
--- a/internal/plat/table/error.go
+++ b/internal/plat/table/error.go
@@ -22,8 +22,8 @@
 	Unknown Kind = "unknown"
 	// Compacted means that the requested part of the change log no longer exists.
 	Compacted Kind = "compacted"
-	// Refused means that the service rejects this request permanently; a retry would not succeed.
-	Refused Kind = "refused"
+	// Rejected means that the service rejects this request permanently; a retry would not succeed.
+	Rejected Kind = "refused"
 )
 
 // Error is this package's error type.
--- a/internal/share/claim/claims.go
+++ b/internal/share/claim/claims.go
@@ -87,7 +87,7 @@
 		if err == nil {
 			return c.newTicket(key, hash, attempt, version, restores)
 		}
-		if table.KindOf(err) == table.Refused {
+		if table.KindOf(err) == table.Rejected {
 			return nil, nil, fault.New("claim.Begin", Unavailable, err)
 		}
 		row, record, err := c.readRow(ctx, key)
