--- a/internal/fake/store/client.go
+++ b/internal/fake/store/client.go
@@ -54,5 +54,5 @@
 	if kind := table.KindOf(err); kind == table.Unavailable || kind == table.Unknown {
 		return before
 	}
-	return c.Of(strconv.FormatUint(uint64(c.store.Era()), 10), before)
+	return c.EraOf(strconv.FormatUint(uint64(c.store.Era()), 10), before)
 }
--- a/internal/plat/table/client.go
+++ b/internal/plat/table/client.go
@@ -112,7 +112,7 @@
 	if err != nil {
 		return startEra, c.fail(op, err)
 	}
-	era := c.Of(resp.Header.Get(HeaderEra), startEra)
+	era := c.EraOf(resp.Header.Get(HeaderEra), startEra)
 	kind := errorKindOf(resp.StatusCode)
 	if kind == Unknown || kind == Unavailable {
 		c.failed.Add(1)
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -44,10 +44,10 @@
 	}
 }
 
-// Of returns the era of a response, given the era reported in its header and the era in which the call
+// EraOf returns the era of a response, given the era reported in its header and the era in which the call
 // started. The latest era is used if the header is missing or invalid, or if its era is before that in
 // which the call started: only a response in flight while the era changed can have an earlier era.
-func (e *Eras) Of(reported string, startEra Era) Era {
+func (e *Eras) EraOf(reported string, startEra Era) Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	number, err := strconv.ParseUint(reported, 10, 64)
--- a/internal/plat/table/eras_test.go
+++ b/internal/plat/table/eras_test.go
@@ -35,7 +35,7 @@
 		{"negative", "-3", 2, 2},
 		{"skips eras", "5", 2, 5},
 	} {
-		if got := e.Of(step.header, step.startEra); got != step.want {
+		if got := e.EraOf(step.header, step.startEra); got != step.want {
 			t.Errorf("%s: era %d, want %d", step.name, got, step.want)
 		}
 	}
