--- a/internal/fake/store/client.go
+++ b/internal/fake/store/client.go
@@ -23,7 +23,7 @@
 
 // Commit applies a transaction atomically.
 func (c *Client) Commit(ctx context.Context, txn table.Txn) error {
-	before := c.Now()
+	before := c.CurrentEra()
 	err := c.store.Commit(ctx, txn)
 	c.observeEra(before, err)
 	return err
@@ -31,7 +31,7 @@
 
 // Get returns one row.
 func (c *Client) Get(ctx context.Context, name table.Name, key table.Key) (table.Row, error) {
-	before := c.Now()
+	before := c.CurrentEra()
 	row, err := c.store.Get(ctx, name, key)
 	row.Era = c.observeEra(before, err)
 	return row, err
@@ -39,7 +39,7 @@
 
 // Scan returns rows in key order.
 func (c *Client) Scan(ctx context.Context, r table.Range) ([]table.Row, error) {
-	before := c.Now()
+	before := c.CurrentEra()
 	rows, err := c.store.Scan(ctx, r)
 	era := c.observeEra(before, err)
 	for i := range rows {
--- a/internal/plat/table/client.go
+++ b/internal/plat/table/client.go
@@ -94,7 +94,7 @@
 // call sends one request, decodes the response into dest unless that is nil, and returns the era of the
 // response.
 func (c *Client) call(ctx context.Context, op, method, path string, body []byte, dest any) (Era, error) {
-	startEra := c.Now()
+	startEra := c.CurrentEra()
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, c.base+path, bytes.NewReader(body))
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -28,8 +28,8 @@
 // be registered before the first call of the client.
 func (e *Eras) OnChange(onChange func(era, was Era)) { e.onChange = append(e.onChange, onChange) }
 
-// Now returns the latest era seen, zero before the first.
-func (e *Eras) Now() Era {
+// CurrentEra returns the latest era seen, zero before the first.
+func (e *Eras) CurrentEra() Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.latest
--- a/internal/plat/table/eras_test.go
+++ b/internal/plat/table/eras_test.go
@@ -44,7 +44,7 @@
 	if diff := cmp.Diff([][]Era{{1, 2, 5, 7}, {0, 1, 2, 5}}, [][]Era{changes, before}); diff != "" {
 		t.Errorf("eras passed to the callbacks: %s", diff)
 	}
-	if diff := cmp.Diff(7, int(e.Now())); diff != "" {
+	if diff := cmp.Diff(7, int(e.CurrentEra())); diff != "" {
 		t.Error(diff)
 	}
 	// Logged once each: missing before the first era, lower, missing, not a number and negative.
--- a/internal/share/claim/claim.go
+++ b/internal/share/claim/claim.go
@@ -120,8 +120,8 @@
 // EraStore is a store that reports its era.
 type EraStore interface {
 	Store
-	// Now returns the latest era reported by the store.
-	Now() table.Era
+	// CurrentEra returns the latest era reported by the store.
+	CurrentEra() table.Era
 	// OnChange registers a callback, which must not block. It is called with the first era that is
 	// observed, and with the new and the previous era when the store was restored from an older
 	// snapshot.
--- a/internal/share/claim/claims.go
+++ b/internal/share/claim/claims.go
@@ -123,7 +123,7 @@
 // older snapshot in the meantime, the claim is released instead, because another router's claim on
 // the key may have been lost.
 func (c *Claims) newTicket(key Key, hash BodyHash, attempt ident.Attempt, version table.Version, restores int) (*Ticket, *Answer, error) {
-	ticket := &Ticket{Key: key, Attempt: attempt, Version: version, era: c.store.Now(), hash: hash}
+	ticket := &Ticket{Key: key, Attempt: attempt, Version: version, era: c.store.CurrentEra(), hash: hash}
 	c.recentClaims.add(key, c.sentRecord(hash, attempt), version)
 	if err := c.checkNotRestored(restores); err != nil {
 		c.Release(ticket)
