--- a/internal/plat/table/client.go
+++ b/internal/plat/table/client.go
@@ -136,7 +136,7 @@
 func (c *Client) fail(op string, err error) error {
 	c.failed.Add(1)
 	c.up.Store(false)
-	return fault.New(op, KindOfFailure(err), err)
+	return fault.New(op, KindOfCallError(err), err)
 }
 
 // errorKindOf returns the error kind of a response status, empty for a success.
--- a/internal/plat/table/error.go
+++ b/internal/plat/table/error.go
@@ -32,9 +32,9 @@
 // KindOf returns the kind of an error of this package, or the empty kind.
 func KindOf(err error) Kind { return fault.KindOf[Kind](err) }
 
-// KindOfFailure returns the kind of a call that failed without a response. Only after a failure to
+// KindOfCallError returns the kind of a call that failed without a response. Only after a failure to
 // connect it is certain that nothing was written.
-func KindOfFailure(err error) Kind {
+func KindOfCallError(err error) Kind {
 	var failure *net.OpError
 	if errors.As(err, &failure) && failure.Op == "dial" {
 		return Unavailable
