--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -48,7 +48,7 @@
 	// quarantined.
 	QuarantineLeft(request ident.Fingerprint) time.Duration
 	// ReportInterrupted records an answer that broke off.
-	ReportInterrupted(b guard.Break)
+	ReportInterrupted(b guard.Interruption)
 	// Served records a complete answer.
 	Served(request ident.Fingerprint)
 }
@@ -262,7 +262,7 @@
 func (h *Handler) reportToGuard(j *job, placement *route.Placement, attempt result) {
 	switch {
 	case attempt.connBroken:
-		h.Guard.ReportInterrupted(guard.Break{
+		h.Guard.ReportInterrupted(guard.Interruption{
 			Request: string(j.call.ID), Fingerprint: j.fingerprint(), Target: placement.Target, Ran: attempt.took,
 		})
 	case attempt.complete:
--- a/internal/edge/entry/quarantine_test.go
+++ b/internal/edge/entry/quarantine_test.go
@@ -55,7 +55,7 @@
 
 func (g *fakeGuard) QuarantineLeft(ident.Fingerprint) time.Duration { return g.quarantine }
 func (g *fakeGuard) Served(ident.Fingerprint)                       { g.served++ }
-func (g *fakeGuard) ReportInterrupted(guard.Break) {
+func (g *fakeGuard) ReportInterrupted(guard.Interruption) {
 	if g.broke++; g.broke == g.quarantineAfter {
 		g.quarantine = time.Minute
 	}
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -53,7 +53,7 @@
 	// QuarantineLeft returns the remaining quarantine time of a request; zero if it is not quarantined.
 	QuarantineLeft(request ident.Fingerprint) time.Duration
 	// ReportInterrupted records an interrupted response.
-	ReportInterrupted(b guard.Break)
+	ReportInterrupted(b guard.Interruption)
 	// Served records a complete response.
 	Served(request ident.Fingerprint)
 }
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -128,8 +128,8 @@
 	return p.quarantine
 }
 
-func (p *fakeParts) ReportInterrupted(guard.Break) {}
-func (p *fakeParts) Served(ident.Fingerprint)      {}
+func (p *fakeParts) ReportInterrupted(guard.Interruption) {}
+func (p *fakeParts) Served(ident.Fingerprint)             {}
 
 // call sends a request with the token of a workspace.
 func call(handler http.Handler, method, path string, body io.Reader, token, key string) *httptest.ResponseRecorder {
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -56,8 +56,8 @@
 	}, cancel
 }
 
-// Break is a response of a target that was interrupted, or missing because the connection failed.
-type Break struct {
+// Interruption is a response of a target that was interrupted, or missing because the connection failed.
+type Interruption struct {
 	// Request is the request's id, for the log.
 	Request     string
 	Fingerprint ident.Fingerprint
@@ -85,7 +85,7 @@
 // ReportInterrupted records an interrupted response and probes whether the target crashed. It waits for the probe only
 // if the request is already suspect and may be quarantined as a result, since that has to be known before
 // the request is sent again.
-func (g *Guard) ReportInterrupted(b Break) {
+func (g *Guard) ReportInterrupted(b Interruption) {
 	g.mu.Lock()
 	suspect := g.record.NearQuarantine(b.Fingerprint)
 	g.mu.Unlock()
@@ -97,7 +97,7 @@
 }
 
 // checkCrash probes the target and, if it crashed, attributes the crash to the request.
-func (g *Guard) checkCrash(b Break) {
+func (g *Guard) checkCrash(b Interruption) {
 	targetGone := g.targetGone(b.Target.Addr)
 	_ = level.Info(g.Logger).Log("msg", "response interrupted", "request", b.Request, "fingerprint", b.Fingerprint,
 		"target", b.Target.ID, "addr", b.Target.Addr, "ran_ms", b.Ran.Milliseconds(), "target_gone", targetGone)
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -96,7 +96,7 @@
 // interrupt interrupts the responses of the given targets to the test request.
 func (g *testGuard) interrupt(targets ...ident.Target) {
 	for _, id := range targets {
-		g.checkCrash(Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id), Incarnation: 1}, Ran: time.Second})
+		g.checkCrash(Interruption{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id), Incarnation: 1}, Ran: time.Second})
 	}
 }
 
@@ -185,8 +185,8 @@
 	prober := blockingProber{proceed: make(chan struct{})}
 	g, closeGuard := New(Parts{Prober: prober, Logger: log.NewNopLogger(), Clock: time.Now, TriggerGossip: func() {}})
 	t.Cleanup(closeGuard)
-	breakAt := func(id ident.Target) Break {
-		return Break{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id)}, Ran: time.Second}
+	breakAt := func(id ident.Target) Interruption {
+		return Interruption{Fingerprint: request, Target: route.Target{ID: id, Addr: string(id)}, Ran: time.Second}
 	}
 	g.ReportInterrupted(breakAt("a"))
 	prober.proceed <- struct{}{}
