--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -43,7 +43,7 @@
 	return errors.New("store unavailable")
 }
 
-func (p *fakeDeps) Held(context.Context) ([]table.Row, error) {
+func (p *fakeDeps) QuarantineRows(context.Context) ([]table.Row, error) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.reads++
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -22,8 +22,8 @@
 
 // Store is the store that contains the rows.
 type Store interface {
-	// Held returns all rows of the table.
-	Held(ctx context.Context) ([]table.Row, error)
+	// QuarantineRows returns all rows of the table.
+	QuarantineRows(ctx context.Context) ([]table.Row, error)
 	// Commit applies a transaction atomically.
 	Commit(ctx context.Context, txn table.Txn) error
 }
@@ -140,7 +140,7 @@
 func (g *Guard) load(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
-	rows, err := g.Store.Held(ctx)
+	rows, err := g.Store.QuarantineRows(ctx)
 	if err != nil {
 		_ = level.Warn(g.Logger).Log("msg", "could not read quarantined requests from the store", "err", err)
 		return false
--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -147,8 +147,8 @@
 // maxQuarantinedRows limits the rows read in one scan; the guard keeps no more than that either.
 const maxQuarantinedRows = 1000
 
-// Held returns the rows of quarantined requests.
-func (h quarantineStore) Held(ctx context.Context) ([]table.Row, error) {
+// QuarantineRows returns the rows of quarantined requests.
+func (h quarantineStore) QuarantineRows(ctx context.Context) ([]table.Row, error) {
 	return h.Scan(ctx, table.Range{Table: guard.Table, Limit: maxQuarantinedRows})
 }
 
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -107,8 +107,8 @@
 // quarantineRows provides the rows of quarantined requests in the store.
 type quarantineRows struct{ Store }
 
-// Held returns the rows of quarantined requests.
-func (q quarantineRows) Held(ctx context.Context) ([]table.Row, error) {
+// QuarantineRows returns the rows of quarantined requests.
+func (q quarantineRows) QuarantineRows(ctx context.Context) ([]table.Row, error) {
 	page, err := q.All(ctx, guard.Table)
 	return page.Rows, err
 }
