--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -25,8 +25,8 @@
 	Store  Store
 	Logger log.Logger
 	Clock  ident.Clock
-	// Reads reports whether this router is a reader, which reads the store's tables for the other routers.
-	Reads func() bool
+	// IsReader reports whether this router is a reader, which reads the store's tables for the other routers.
+	IsReader func() bool
 	// TriggerGossip requests that suspect requests are gossiped to the peers soon; it must not block.
 	TriggerGossip func()
 }
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -84,7 +84,7 @@
 	out := &testGuard{}
 	g, closeGuard := New(Parts{
 		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, TriggerGossip: func() { out.spreads++ },
-		Reads: func() bool { return out.reads },
+		IsReader: func() bool { return out.reads },
 	})
 	t.Cleanup(closeGuard)
 	out.Guard = g
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -114,7 +114,7 @@
 // while the store does not respond, would send it 300 requests at a time.
 func (g *Guard) loadOnce(ctx context.Context) {
 	for delay := storeRetryDelay; ctx.Err() == nil; delay = min(2*delay, maxStoreRetryDelay) {
-		if g.Reads() && g.load(ctx) {
+		if g.IsReader() && g.load(ctx) {
 			return
 		}
 		pause.For(ctx, delay)
@@ -181,7 +181,7 @@
 // requests whose crashes this router observed and, if it is a reader, those of all quarantined requests,
 // since the routers that observed the crashes may no longer run.
 func (g *Guard) Rewrite() {
-	all := g.Reads()
+	all := g.IsReader()
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	for request := range g.quarantined {
--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -134,7 +134,7 @@
 func (d *Daemon) buildGuard(prober guard.Prober) func() {
 	g, closeGuard := guard.New(guard.Parts{
 		Prober: prober, Store: quarantineStore{d.table}, Logger: d.logger, Clock: d.clock, TriggerGossip: d.node.TriggerGossip,
-		Reads: func() bool { return true },
+		IsReader: func() bool { return true },
 	})
 	d.guard = g
 	d.node.SetCrashes(g)
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -91,7 +91,7 @@
 	conns, closeConns := relay.NewConns(relay.DefaultConnLimits)
 	n.conns = conns
 	g, closeGuard := guard.New(guard.Parts{
-		Prober: conns, Store: quarantineRows{n.Store}, Logger: n.Logger, Clock: n.Clock, Reads: n.isStoreReader, TriggerGossip: n.peers.TriggerGossip,
+		Prober: conns, Store: quarantineRows{n.Store}, Logger: n.Logger, Clock: n.Clock, IsReader: n.isStoreReader, TriggerGossip: n.peers.TriggerGossip,
 	})
 	n.guard = g
 	n.cleanups = append(n.cleanups, closeConns, closeGuard)
