--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -78,7 +78,7 @@
 	Outcome   retry.Outcome
 	Code      Code
 	Warm      bool
-	Tries     int
+	Attempts  int
 	// Waited is the time from the arrival of the request until a target was found, FirstByte the time until
 	// the first byte was sent to the caller, and Whole the total time.
 	Waited    time.Duration
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -325,7 +325,7 @@
 	j.finished = true
 	now := f.Clock()
 	end := Finished{
-		Workspace: j.workspace.Name, Service: j.service.Name, Outcome: outcome, Code: code, Warm: j.warm, Tries: j.attempts,
+		Workspace: j.workspace.Name, Service: j.service.Name, Outcome: outcome, Code: code, Warm: j.warm, Attempts: j.attempts,
 		Whole: now.Sub(j.arrivedAt),
 	}
 	if !j.foundAt.IsZero() {
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -100,8 +100,8 @@
 func (m *Metrics) Finished(f front.Finished) {
 	service := string(f.Service)
 	m.requests.WithLabelValues(service, string(f.Outcome), string(f.Code)).Inc()
-	if f.Tries > 1 {
-		m.retries.Add(float64(f.Tries - 1))
+	if f.Attempts > 1 {
+		m.retries.Add(float64(f.Attempts - 1))
 	}
 	if f.Waited > 0 {
 		m.waitTime.WithLabelValues(service).Observe(f.Waited.Seconds())
