--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -83,7 +83,7 @@
 	// the first byte was sent to the caller, and Whole the total time.
 	Waited    time.Duration
 	FirstByte time.Duration
-	Whole     time.Duration
+	TotalTime time.Duration
 }
 
 // Limits are the limits for requests of callers.
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -326,7 +326,7 @@
 	now := f.Clock()
 	end := Finished{
 		Workspace: j.workspace.Name, Service: j.service.Name, Outcome: outcome, Code: code, Warm: j.warm, Attempts: j.attempts,
-		Whole: now.Sub(j.arrivedAt),
+		TotalTime: now.Sub(j.arrivedAt),
 	}
 	if !j.foundAt.IsZero() {
 		end.Waited = j.foundAt.Sub(j.arrivedAt)
@@ -336,5 +336,5 @@
 	}
 	f.Observer.Finished(end)
 	_ = level.Info(f.Logger).Log("msg", "request", "request", j.id, "attempt", j.attemptID, "workspace", j.workspace.Name, "service", j.service.Name,
-		"chat", strconv.FormatUint(uint64(j.key), 16), "outcome", outcome, "code", code, "tries", j.attempts, "ms", end.Whole.Milliseconds())
+		"chat", strconv.FormatUint(uint64(j.key), 16), "outcome", outcome, "code", code, "tries", j.attempts, "ms", end.TotalTime.Milliseconds())
 }
