--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -79,9 +79,9 @@
 	Code      Code
 	Warm      bool
 	Attempts  int
-	// Waited is the time from the arrival of the request until a target was found, FirstByte the time until
+	// WaitTime is the time from the arrival of the request until a target was found, FirstByte the time until
 	// the first byte was sent to the caller, and Whole the total time.
-	Waited    time.Duration
+	WaitTime  time.Duration
 	FirstByte time.Duration
 	TotalTime time.Duration
 }
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -329,7 +329,7 @@
 		TotalTime: now.Sub(j.arrivedAt),
 	}
 	if !j.foundAt.IsZero() {
-		end.Waited = j.foundAt.Sub(j.arrivedAt)
+		end.WaitTime = j.foundAt.Sub(j.arrivedAt)
 	}
 	if !j.firstByteAt.IsZero() {
 		end.FirstByte = j.firstByteAt.Sub(j.arrivedAt)
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -103,8 +103,8 @@
 	if f.Attempts > 1 {
 		m.retries.Add(float64(f.Attempts - 1))
 	}
-	if f.Waited > 0 {
-		m.waitTime.WithLabelValues(service).Observe(f.Waited.Seconds())
+	if f.WaitTime > 0 {
+		m.waitTime.WithLabelValues(service).Observe(f.WaitTime.Seconds())
 		warm := "no"
 		if f.Warm {
 			warm = "yes"
