--- a/cmd/demo/load.go
+++ b/cmd/demo/load.go
@@ -78,7 +78,7 @@
 		wg.Go(func() {
 			rng := rand.New(rand.NewPCG(seed, uint64(w)))
 			// Spread the first requests over rampUpTime, so that they don't arrive at the same moment.
-			pause.For(ctx, time.Duration(rng.Int64N(int64(rampUpTime))))
+			pause.Sleep(ctx, time.Duration(rng.Int64N(int64(rampUpTime))))
 			for n := 0; ctx.Err() == nil; n++ {
 				// The context is not cancelled, so that the end of the workload never cuts an answer off.
 				l.chat(context.WithoutCancel(ctx), rng, workspace, fmt.Sprintf("%d/%d/%d", seed, w, n))
--- a/cmd/demo/run.go
+++ b/cmd/demo/run.go
@@ -122,11 +122,11 @@
 }
 
 func (d *demo) steadyLoad(ctx context.Context) error {
-	pause.For(ctx, settleTime)
+	pause.Sleep(ctx, settleTime)
 	before, served, warm := d.controlTraffic(), 0, 0
 	servedBefore, warmBefore := d.served()
 	started := time.Now()
-	pause.For(ctx, measureTime)
+	pause.Sleep(ctx, measureTime)
 	bytesPerSecond := float64(d.controlTraffic()-before) / time.Since(started).Seconds() / routers
 	served, warm = d.served()
 	d.summary.ControlBytes = bytesPerSecond
@@ -161,7 +161,7 @@
 	surge, end := context.WithCancel(ctx)
 	defer end()
 	wait := d.workload.start(surge, surgeCallers, 0, 2)
-	pause.For(ctx, phaseDuration)
+	pause.Sleep(ctx, phaseDuration)
 	end()
 	d.pendingWaits = append(d.pendingWaits, wait)
 	logf("traffic surge of %s: the maximum engine load was %.2f times the mean", workspaces[0], d.loadTracker.maxRatio())
@@ -186,9 +186,9 @@
 	leaving := d.fleet.Engines[3]
 	leaving.Leave()
 	d.loadTracker.exclude(leaving)
-	pause.For(ctx, leavingGrace)
+	pause.Sleep(ctx, leavingGrace)
 	d.loadTracker.resetLate()
-	pause.For(ctx, phaseDuration)
+	pause.Sleep(ctx, phaseDuration)
 	d.summary.RequestsToLeaving = d.loadTracker.lateCount()
 	logf("engine %s reported that it is leaving; after a grace period of %s it got %d new requests", leaving.ID, leavingGrace, d.summary.RequestsToLeaving)
 	return nil
--- a/internal/edge/entry/accept.go
+++ b/internal/edge/entry/accept.go
@@ -99,7 +99,7 @@
 		if table != nil || ctx.Err() != nil || !h.Clock().Before(until) {
 			return table
 		}
-		pause.For(ctx, startupPollInterval)
+		pause.Sleep(ctx, startupPollInterval)
 	}
 }
 
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -117,7 +117,7 @@
 		if g.IsReader() && g.load(ctx) {
 			return
 		}
-		pause.For(ctx, delay)
+		pause.Sleep(ctx, delay)
 	}
 }
 
@@ -130,7 +130,7 @@
 		case <-g.saveRequested:
 		}
 		for ctx.Err() == nil && !g.writeUnsaved(ctx) {
-			pause.For(ctx, storeRetryDelay)
+			pause.Sleep(ctx, storeRetryDelay)
 		}
 	}
 }
--- a/internal/fake/target/chat.go
+++ b/internal/fake/target/chat.go
@@ -205,5 +205,5 @@
 	if d <= 0 {
 		return ctx.Err() == nil
 	}
-	return pause.For(ctx, d)
+	return pause.Sleep(ctx, d)
 }
--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -91,7 +91,7 @@
 			_ = level.Info(d.logger).Log("msg", "ready", "revision", d.Revision())
 			return
 		}
-		pause.For(ctx, configRetryInterval)
+		pause.Sleep(ctx, configRetryInterval)
 	}
 }
 
@@ -133,7 +133,7 @@
 		d.node.Tell(ctx)
 	}
 	d.mesh.Refresh(ctx)
-	pause.For(ctx, d.settings.Limits.DrainDelay)
+	pause.Sleep(ctx, d.settings.Limits.DrainDelay)
 	if err := callers.Shutdown(ctx); err != nil {
 		_ = level.Error(d.logger).Log("msg", "drain timeout: stopped with requests in flight", "err", err)
 	}
--- a/internal/oper/mesh/loop.go
+++ b/internal/oper/mesh/loop.go
@@ -57,7 +57,7 @@
 	start := time.Now()
 	m.Update()
 	trigger(m.reassignDue)
-	pause.For(ctx, min(updateRestFactor*time.Since(start), maxUpdateRest))
+	pause.Sleep(ctx, min(updateRestFactor*time.Since(start), maxUpdateRest))
 }
 
 // trigger requests another round of a loop unless one is already pending.
@@ -84,7 +84,7 @@
 		case <-ctx.Done():
 			return
 		case <-signals:
-			pause.For(ctx, delay)
+			pause.Sleep(ctx, delay)
 		case <-ticker.C:
 		}
 		work(ctx)
--- a/internal/oper/node/catchup.go
+++ b/internal/oper/node/catchup.go
@@ -38,7 +38,7 @@
 		case <-ctx.Done():
 			return
 		case from := <-n.aheadPeer:
-			pause.For(ctx, catchUpDelay)
+			pause.Sleep(ctx, catchUpDelay)
 			n.pullFromPeers(ctx, from)
 		}
 	}
--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -101,7 +101,7 @@
 			return
 		}
 		_ = level.Warn(n.Logger).Log("msg", "failed to write this router's row", "err", err)
-		pause.For(ctx, announceRetryDelay(rng))
+		pause.Sleep(ctx, announceRetryDelay(rng))
 	}
 }
 
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -119,7 +119,7 @@
 	}
 	n.mesh.Refresh(ctx)
 	n.removeOwnRow(ctx)
-	pause.For(ctx, drainDelay-n.Clock().Sub(start))
+	pause.Sleep(ctx, drainDelay-n.Clock().Sub(start))
 	if err := callers.Shutdown(ctx); err != nil {
 		_ = level.Error(n.Logger).Log("msg", "stopped with requests in flight", "err", err)
 	}
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -52,7 +52,7 @@
 	if !n.settings.Load().First || !n.hasNoPeers() {
 		return
 	}
-	pause.For(ctx, firstStartDelay)
+	pause.Sleep(ctx, firstStartDelay)
 	n.readRouters(ctx)
 }
 
@@ -116,7 +116,7 @@
 		if n.Clock().After(peerFallbackAt) {
 			n.roles.Starve(true)
 		}
-		pause.For(ctx, readyPollInterval)
+		pause.Sleep(ctx, readyPollInterval)
 	}
 }
 
--- a/internal/plat/pause/pause.go
+++ b/internal/plat/pause/pause.go
@@ -5,9 +5,9 @@
 	"time"
 )
 
-// For waits for the duration d or until ctx is done, whichever is first, and reports whether the
+// Sleep waits for the duration d or until ctx is done, whichever is first, and reports whether the
 // full duration passed.
-func For(ctx context.Context, d time.Duration) bool {
+func Sleep(ctx context.Context, d time.Duration) bool {
 	timer := time.NewTimer(d)
 	defer timer.Stop()
 	select {
--- a/internal/plat/pause/pause_test.go
+++ b/internal/plat/pause/pause_test.go
@@ -31,7 +31,7 @@
 				ctx, cancel := context.WithTimeout(t.Context(), c.timeout)
 				defer cancel()
 				start := time.Now()
-				got := outcome{Completed: pause.For(ctx, time.Minute), Elapsed: time.Since(start)}
+				got := outcome{Completed: pause.Sleep(ctx, time.Minute), Elapsed: time.Since(start)}
 				if diff := cmp.Diff(c.want, got); diff != "" {
 					t.Errorf("outcome (-want +got):\n%s", diff)
 				}
--- a/internal/share/claim/batch.go
+++ b/internal/share/claim/batch.go
@@ -174,7 +174,7 @@
 		err := b.store.Commit(b.ctx, txn)
 		kind := table.KindOf(err)
 		retryable := kind == table.Unavailable || kind == table.Unknown
-		if !b.retryForever || !retryable || !pause.For(b.ctx, b.options.RetryDelay) {
+		if !b.retryForever || !retryable || !pause.Sleep(b.ctx, b.options.RetryDelay) {
 			return err
 		}
 	}
--- a/internal/share/claim/claims.go
+++ b/internal/share/claim/claims.go
@@ -144,7 +144,7 @@
 func (c *Claims) awaitOutcome(ctx context.Context, key Key) (table.Row, *Record, error) {
 	delay := c.options.RetryDelay
 	for {
-		if !pause.For(ctx, delay) {
+		if !pause.Sleep(ctx, delay) {
 			return table.Row{}, nil, fault.New("claim.Begin", Running, nil)
 		}
 		delay = min(delay*2, maxAwaitDelay)
@@ -189,7 +189,7 @@
 		case table.Missing:
 			return row, nil, nil
 		}
-		if !pause.For(ctx, c.options.RetryDelay) {
+		if !pause.Sleep(ctx, c.options.RetryDelay) {
 			return row, nil, fault.New(op, Unavailable, err)
 		}
 	}
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -47,7 +47,7 @@
 // rewriteClaims rewrites a list of claims one by one.
 func (c *Claims) rewriteClaims(ctx context.Context, claims []ident.Attempt) {
 	for _, attempt := range claims {
-		for retries := 0; !c.rewriteClaim(ctx, attempt, retries) && pause.For(ctx, c.options.RetryDelay); retries++ {
+		for retries := 0; !c.rewriteClaim(ctx, attempt, retries) && pause.Sleep(ctx, c.options.RetryDelay); retries++ {
 		}
 	}
 }
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -48,13 +48,13 @@
 		}
 		want := claim.Answer{Status: 200, Body: []byte("booked")}
 		first.Finish(ticket, want)
-		pause.For(t.Context(), time.Second)
+		pause.Sleep(t.Context(), time.Second)
 		f.store.SetBack(snapshot)
 		if ticket, _, kind := begin(second, time.Second); ticket != nil || kind != claim.Restored {
 			t.Errorf("second router right after the rollback: got ticket %v and kind %q, want kind restored", ticket, kind)
 		}
 		readStore(t, firstClient)
-		pause.For(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.Settling)
 		ticket, got, kind := begin(second, time.Second)
 		if ticket != nil || got == nil {
 			t.Fatalf("second router after the settling time: got ticket %v and kind %q, want the answer", ticket, kind)
@@ -77,12 +77,12 @@
 		f.store.SetBack(snapshot)
 		readStore(t, firstClient)
 		readStore(t, secondClient)
-		pause.For(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.Settling)
 		if again, _, kind := begin(second, 100*time.Millisecond); again != nil || kind != claim.Running {
 			t.Errorf("while the request runs: got ticket %v and kind %q, want kind running", again, kind)
 		}
 		first.Finish(ticket, claim.Answer{Status: 200})
-		pause.For(t.Context(), time.Second)
+		pause.Sleep(t.Context(), time.Second)
 		if _, got, kind := begin(second, time.Second); got == nil {
 			t.Errorf("after the request ended: got kind %q, want the answer", kind)
 		}
@@ -98,10 +98,10 @@
 		snapshot := f.store.Snapshot()
 		ticket, _, _ := begin(first, time.Second)
 		first.Release(ticket)
-		pause.For(t.Context(), time.Second)
+		pause.Sleep(t.Context(), time.Second)
 		f.store.SetBack(snapshot)
 		readStore(t, client)
-		pause.For(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.Settling)
 		again, _, kind := begin(first, time.Second)
 		if again == nil {
 			t.Fatalf("got no ticket and kind %q", kind)
@@ -163,7 +163,7 @@
 		case 6:
 			f.store.SetBack(snapshot)
 		}
-		pause.For(t.Context(), time.Duration(rng.IntN(500))*time.Millisecond)
+		pause.Sleep(t.Context(), time.Duration(rng.IntN(500))*time.Millisecond)
 		for _, client := range clients {
 			readStore(t, client)
 		}
@@ -181,10 +181,10 @@
 		f.stops = append(f.stops, stop)
 		ticket, _, _ := begin(c, time.Second)
 		c.Finish(ticket, claim.Answer{Status: 200, Body: []byte("booked")})
-		pause.For(t.Context(), time.Second)
+		pause.Sleep(t.Context(), time.Second)
 		f.store.SetBack(f.store.Snapshot())
 		readStore(t, client)
-		pause.For(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.Settling)
 		if _, got, kind := begin(c, time.Second); got == nil {
 			t.Errorf("got kind %q, want the answer", kind)
 		}
--- a/internal/share/config/follow.go
+++ b/internal/share/config/follow.go
@@ -71,7 +71,7 @@
 		f.logFailure(ctx, f.Poll(ctx))
 		// The jitter of half the interval spreads the polls of different routers.
 		wait := f.pollInterval*3/4 + time.Duration(f.rng.Int64N(int64(f.pollInterval/2)+1))
-		if !pause.For(ctx, wait) {
+		if !pause.Sleep(ctx, wait) {
 			return
 		}
 	}
--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -61,7 +61,7 @@
 		}
 		f.recordSuccess()
 		if after, _ := f.board.Position(f.name); after != before {
-			pause.For(ctx, f.timing.BatchDelay)
+			pause.Sleep(ctx, f.timing.BatchDelay)
 		}
 	}
 }
@@ -105,7 +105,7 @@
 	page.Full = true
 	if !f.board.Take(f.name, table.Position{}, page) {
 		f.logStoreBehind(page.At)
-		pause.For(ctx, f.timing.MaxBackoff)
+		pause.Sleep(ctx, f.timing.MaxBackoff)
 		return nil
 	}
 	f.needsFullRead, f.storeBehind = false, false
@@ -144,9 +144,9 @@
 // waitAfterFailure waits after a failed call. It waits longer while peers respond, until they stop
 // responding or this router becomes a reader.
 func (f *Follower) waitAfterFailure(ctx context.Context) {
-	pause.For(ctx, f.nextBackoff())
+	pause.Sleep(ctx, f.nextBackoff())
 	remaining := f.timing.MaxChildBackoff/2 + time.Duration(f.rng.Int64N(int64(f.timing.MaxChildBackoff/2)+1))
-	for remaining > 0 && f.roles.leavesStoreToReaders() && pause.For(ctx, f.timing.MaxBackoff) {
+	for remaining > 0 && f.roles.leavesStoreToReaders() && pause.Sleep(ctx, f.timing.MaxBackoff) {
 		remaining -= f.timing.MaxBackoff
 	}
 }
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -49,7 +49,7 @@
 		<-ctx.Done()
 		return at, fault.New("test", table.Unavailable, ctx.Err())
 	}
-	pause.For(ctx, storeLatency)
+	pause.Sleep(ctx, storeLatency)
 	return at, nil
 }
 
@@ -69,7 +69,7 @@
 	if err != nil || at.Version > after {
 		return deltaPageIn(at.Era, at.Version, rowIn(at.Era, "a", at.Version, "")), err
 	}
-	pause.For(ctx, wait)
+	pause.Sleep(ctx, wait)
 	return table.Page{At: at}, nil
 }
 
@@ -82,7 +82,7 @@
 }
 
 func (z zonePeers) Rows(ctx context.Context, from ident.Router, have []State, wait time.Duration) ([]Reply, error) {
-	pause.For(ctx, storeLatency/10)
+	pause.Sleep(ctx, storeLatency/10)
 	b := z.zone.boards[from]
 	after := map[table.Name]table.Position{}
 	for _, s := range have {
@@ -170,9 +170,9 @@
 		defer wg.Wait()
 		defer cancel()
 		z.run(ctx, &wg)
-		pause.For(ctx, 5*time.Second)
+		pause.Sleep(ctx, 5*time.Second)
 		before := z.setHanging(true)
-		pause.For(ctx, outageTime)
+		pause.Sleep(ctx, outageTime)
 		z.mu.Lock()
 		z.version++
 		z.mu.Unlock()
@@ -183,7 +183,7 @@
 		}
 		began := time.Now()
 		for z.lagging() > 0 && time.Since(began) < 10*time.Second {
-			pause.For(ctx, 10*time.Millisecond)
+			pause.Sleep(ctx, 10*time.Millisecond)
 		}
 		if took := time.Since(began); took > maxDelay {
 			t.Errorf("a change reached all routers %v after the store's recovery, want %v at most", took, maxDelay)
@@ -212,23 +212,23 @@
 		defer wg.Wait()
 		defer cancel()
 		z.run(ctx, &wg)
-		pause.For(ctx, 5*time.Second)
+		pause.Sleep(ctx, 5*time.Second)
 		z.setHanging(true)
-		pause.For(ctx, 2*time.Second)
+		pause.Sleep(ctx, 2*time.Second)
 		z.mu.Lock()
 		z.version, z.era, z.fullReads = 32, 2, 0
 		z.mu.Unlock()
 		z.setHanging(false)
 		began := time.Now()
 		for z.lagging() > 0 && time.Since(began) < 10*time.Second {
-			pause.For(ctx, 10*time.Millisecond)
+			pause.Sleep(ctx, 10*time.Millisecond)
 		}
 		took := time.Since(began)
 		t.Logf("the new era reached all routers after %v, with %d full reads", took, z.fullReads)
 		if took > maxDelay {
 			t.Errorf("the new era reached all routers %v after the store's recovery, want %v at most", took, maxDelay)
 		}
-		pause.For(ctx, 5*time.Second)
+		pause.Sleep(ctx, 5*time.Second)
 		if z.fullReads > maxFullReads {
 			t.Errorf("%d of %d routers read the full table, want %d at most", z.fullReads, routersPerZone, maxFullReads)
 		}
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -78,13 +78,13 @@
 		peer, ok := p.peer()
 		if !ok {
 			p.handleResult(ctx, peer, fault.New("feed.Pull", Alone, nil))
-			pause.For(ctx, p.timing.MaxBackoff)
+			pause.Sleep(ctx, p.timing.MaxBackoff)
 			continue
 		}
 		err := p.Step(ctx, peer)
 		p.handleResult(ctx, peer, err)
 		if err != nil {
-			pause.For(ctx, p.timing.MinBackoff)
+			pause.Sleep(ctx, p.timing.MinBackoff)
 		}
 	}
 }
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -144,7 +144,7 @@
 		case <-n.trigger:
 			wg.Go(func() { n.Tell(ctx) })
 		}
-		if !pause.For(ctx, triggerInterval) {
+		if !pause.Sleep(ctx, triggerInterval) {
 			return
 		}
 	}
@@ -171,7 +171,7 @@
 		n.mu.Lock()
 		wait := interval - interval/10 + time.Duration(n.rng.Int64N(int64(interval/5)+1))
 		n.mu.Unlock()
-		if !pause.For(ctx, wait) {
+		if !pause.Sleep(ctx, wait) {
 			return
 		}
 	}
