--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -175,7 +175,7 @@
 	if placement.Holder != nil && j.copiesCache {
 		holder = placement.Holder.Addr
 	}
-	h.Dialect.Write(header, j.call, Order{
+	h.Dialect.Write(header, j.call, TargetHeaders{
 		Holder:    holder,
 		Left:      j.deadline.Sub(h.Clock()) - targetDeadlineMargin,
 		Target:    placement.Target.ID,
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -32,7 +32,7 @@
 	return Call{ID: RequestID(h.Get("Id")), Key: h.Get("Key")}
 }
 
-func (testDialect) Write(h http.Header, _ Call, o Order) {
+func (testDialect) Write(h http.Header, _ Call, o TargetHeaders) {
 	h.Del("Key")
 	h.Set("Target", string(o.Target))
 	h.Set("Workspace", string(o.Workspace))
--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -30,8 +30,8 @@
 	Parts []Part
 }
 
-// Order contains the values that are sent to a target in addition to the caller's request.
-type Order struct {
+// TargetHeaders contains the values that are sent to a target in addition to the caller's request.
+type TargetHeaders struct {
 	// Left is the time the target has to process the request.
 	Left time.Duration
 	// Target identifies the target that is to run the request. Any other target at the same
@@ -60,7 +60,7 @@
 	// Read returns the values of a caller's headers.
 	Read(h http.Header) Call
 	// Write converts a copy of the caller's headers into the headers sent to a target.
-	Write(h http.Header, call Call, o Order)
+	Write(h http.Header, call Call, o TargetHeaders)
 	// Matches reports whether an answer with these headers belongs to the call.
 	Matches(h http.Header, call Call) bool
 	// Reply returns the values of a target's status and headers.
