--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -14,8 +14,8 @@
 // EventID is the ID of an event of a stream.
 type EventID string
 
-// Part is a part of a prompt that several requests may share.
-type Part struct {
+// PromptPart is a part of a prompt that several requests may share.
+type PromptPart struct {
 	ID string
 }
 
@@ -27,7 +27,7 @@
 	// Key is the caller's API key.
 	Key string
 	// Parts are the parts of the prompt in order; the last part is specific to this request.
-	Parts []Part
+	Parts []PromptPart
 }
 
 // TargetHeaders contains the values that are sent to a target in addition to the caller's request.
