--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -68,7 +68,7 @@
 	reply := h.Dialect.Reply(answer.Status, answer.Header)
 	h.reportNotice(j, placement, answer, reply)
 	if reply.NotRun {
-		if reply.Elsewhere {
+		if reply.AddressReassigned {
 			h.Finder.ReportUnreachable(placement.Hash)
 		}
 		return result{step: retry.Refused, reason: Refused, status: answer.Status, took: h.Clock().Sub(began)}
@@ -89,7 +89,7 @@
 // reportNotice reports the target's status, draining state and backoff from an answer to the
 // finder.
 func (h *Handler) reportNotice(j *job, placement *route.Placement, answer *relay.Answer, reply Reply) {
-	if reply.Elsewhere {
+	if reply.AddressReassigned {
 		// The answer comes from another target that has taken over the address.
 		return
 	}
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -46,7 +46,7 @@
 
 func (testDialect) Reply(status int, h http.Header) Reply {
 	return Reply{
-		NotRun: h.Get("Not-Run") != "", Elsewhere: status == http.StatusMisdirectedRequest, Leaving: h.Get("Leaving") != "",
+		NotRun: h.Get("Not-Run") != "", AddressReassigned: status == http.StatusMisdirectedRequest, Leaving: h.Get("Leaving") != "",
 	}
 }
 
--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -49,8 +49,8 @@
 type Reply struct {
 	// NotRun is set when the target did not run the request and will not run it.
 	NotRun bool
-	// Elsewhere is set when another target has taken over the address.
-	Elsewhere bool
+	// AddressReassigned is set when another target has taken over the address.
+	AddressReassigned bool
 	// Leaving is set when the server that answered is draining and must receive no new work.
 	Leaving bool
 }
