--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -177,7 +177,7 @@
 	}
 	h.Dialect.Write(header, j.call, TargetHeaders{
 		Holder:    holder,
-		Left:      j.deadline.Sub(h.Clock()) - targetDeadlineMargin,
+		Timeout:   j.deadline.Sub(h.Clock()) - targetDeadlineMargin,
 		Target:    placement.Target.ID,
 		Workspace: j.workspace.Name,
 		After:     j.lastEvent,
--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -32,8 +32,8 @@
 
 // TargetHeaders contains the values that are sent to a target in addition to the caller's request.
 type TargetHeaders struct {
-	// Left is the time the target has to process the request.
-	Left time.Duration
+	// Timeout is the time the target has to process the request.
+	Timeout time.Duration
 	// Target identifies the target that is to run the request. Any other target at the same
 	// address must reject it.
 	Target    ident.Target
