--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -180,7 +180,7 @@
 		Timeout:   j.deadline.Sub(h.Clock()) - targetDeadlineMargin,
 		Target:    placement.Target.ID,
 		Workspace: j.workspace.Name,
-		After:     j.lastEvent,
+		LastEvent: j.lastEvent,
 	})
 	fresh := maxIdleUnrepeatable
 	if j.route.Repeat == retry.Safe {
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -37,8 +37,8 @@
 	h.Set("Target", string(o.Target))
 	h.Set("Workspace", string(o.Workspace))
 	h.Set("Holder", o.Holder)
-	if o.After != "" {
-		h.Set("After", string(o.After))
+	if o.LastEvent != "" {
+		h.Set("After", string(o.LastEvent))
 	}
 }
 
--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -40,9 +40,9 @@
 	Workspace ident.Workspace
 	// Holder is the address of another engine that has the prompt prefix cached, or empty.
 	Holder string
-	// After is the ID of the last event delivered to the caller, for a stream that is resumed at
+	// LastEvent is the ID of the last event delivered to the caller, for a stream that is resumed at
 	// another target.
-	After EventID
+	LastEvent EventID
 }
 
 // Reply contains the values of the headers of a target's answer.
