--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -68,8 +68,8 @@
 	Choose(service ident.Service) (as ident.Service)
 	// RecordSent records that a target was found under a name.
 	RecordSent(service, as ident.Service)
-	// Answered records the result of a request to a target that was found under a name.
-	Answered(service, as ident.Service, route match.RouteName, ok bool, took time.Duration)
+	// Finished records the result of a request to a target that was found under a name.
+	Finished(service, as ident.Service, route match.RouteName, ok bool, took time.Duration)
 }
 
 // noTrials is used when there are no canary versions.
@@ -77,7 +77,7 @@
 
 func (noTrials) Choose(service ident.Service) ident.Service { return service }
 func (noTrials) RecordSent(_, _ ident.Service)              {}
-func (noTrials) Answered(_, _ ident.Service, _ match.RouteName, _ bool, _ time.Duration) {
+func (noTrials) Finished(_, _ ident.Service, _ match.RouteName, _ bool, _ time.Duration) {
 }
 
 // Observer receives the end of each request.
@@ -240,7 +240,7 @@
 	if attempt.reason == CallerGone || attempt.reason == Unread || attempt.step == retry.Refused && !attempt.ended {
 		return
 	}
-	h.Canaries.Answered(j.service, j.lookupName, j.route.Name, attempt.succeeded(), attempt.took)
+	h.Canaries.Finished(j.service, j.lookupName, j.route.Name, attempt.succeeded(), attempt.took)
 }
 
 // quarantineProblem returns the problem for a quarantined request, or nil. Such a request would
--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -215,8 +215,8 @@
 	}
 }
 
-// Answered implements entry.Trials.
-func (r *rollouts) Answered(service, as ident.Service, route match.RouteName, ok bool, took time.Duration) {
+// Finished implements entry.Trials.
+func (r *rollouts) Finished(service, as ident.Service, route match.RouteName, ok bool, took time.Duration) {
 	if !r.enabled() {
 		return
 	}
--- a/internal/oper/node/rollouts_test.go
+++ b/internal/oper/node/rollouts_test.go
@@ -56,7 +56,7 @@
 	if !ok {
 		f.poor++
 	}
-	r.Answered(testService, as, "route", ok, 50*time.Millisecond)
+	r.Finished(testService, as, "route", ok, 50*time.Millisecond)
 }
 
 // second simulates one second, in which each router sends perRouter requests on average and
