--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -100,7 +100,7 @@
 	// Whole until the end. First and Found are zero if that point was not reached.
 	Found time.Duration
 	First time.Duration
-	Whole time.Duration
+	Total time.Duration
 }
 
 // Parts contains the dependencies of a handler.
--- a/internal/edge/entry/job.go
+++ b/internal/edge/entry/job.go
@@ -137,7 +137,7 @@
 
 // newEnd returns the end of the request at the given time, without reason and status.
 func (j *job) newEnd(now time.Time) End {
-	e := End{Service: j.service, Sends: j.sends, Found: j.found, First: j.first, Whole: now.Sub(j.arrived)}
+	e := End{Service: j.service, Sends: j.sends, Found: j.found, First: j.first, Total: now.Sub(j.arrived)}
 	if j.route != nil {
 		e.Route = j.route.Name
 	}
@@ -164,7 +164,7 @@
 		"service", e.Service, "revision", j.revision, "reason", e.Reason, "status", e.Status, "sends", e.Sends, "outcome", j.outcome,
 		"target", target, "key", strconv.FormatUint(uint64(j.placementKey), 16), "warm", warm, "holder", holder, "home", home,
 		"rule", basis.Rule, "load", basis.Load.Requests(), "mean", basis.Mean.Requests(),
-		"found_ms", e.Found.Milliseconds(), "first_ms", e.First.Milliseconds(), "whole_ms", e.Whole.Milliseconds(),
+		"found_ms", e.Found.Milliseconds(), "first_ms", e.First.Milliseconds(), "whole_ms", e.Total.Milliseconds(),
 		"err", j.placementErr)
 }
 
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -93,7 +93,7 @@
 	if e.First > 0 {
 		m.firstByte.WithLabelValues(service).Observe(e.First.Seconds())
 	}
-	m.duration.WithLabelValues(service).Observe(e.Whole.Seconds())
+	m.duration.WithLabelValues(service).Observe(e.Total.Seconds())
 }
 
 // Handler returns the HTTP handler of the metrics endpoint.
