--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -247,7 +247,7 @@
 	f.dropResponses = false
 	f.backoffs = nil
 	f.now = f.now.Add(time.Second)
-	r.Returned(assigned.Home(id))
+	r.ResetHome(assigned.Home(id))
 	acquire(t, r, 2).Release()
 	want := []place.Backoff{{Engine: ident.Target("engine-1").Hash(), Left: 2 * time.Second}}
 	if diff := cmp.Diff(want, f.backoffs); diff != "" {
--- a/internal/edge/route/home.go
+++ b/internal/edge/route/home.go
@@ -32,8 +32,8 @@
 // homeSkipTime is how long the standby is used in place of a home that did not respond.
 const homeSkipTime = 3 * time.Second
 
-// Returned records that a router responded or restarted. It is no longer skipped.
-func (r *Router) Returned(router ident.Router) {
+// ResetHome records that a router responded or restarted. It is no longer skipped.
+func (r *Router) ResetHome(router ident.Router) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	delete(r.skipped, router)
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -223,7 +223,7 @@
 	}
 	m.logState(r, before)
 	if r.State == peer.Live {
-		m.Router.Returned(r.ID)
+		m.Router.ResetHome(r.ID)
 	}
 }
 
