--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -308,7 +308,7 @@
 		s := n.router.Stats()
 		requested += s.PermitRequests
 		must += s.Must
-		fallback += s.Fallback
+		fallback += s.LocalPlacements
 	}
 	return strategyStats{
 		permitRequests: float64(requested) / float64(max(h.choices, 1)), bytes: h.bytes, choices: h.choices,
--- a/internal/edge/route/choose.go
+++ b/internal/edge/route/choose.go
@@ -31,7 +31,7 @@
 		placement.Basis = decision.Basis
 		return placement, nil
 	}
-	r.stats.Fallback++
+	r.stats.LocalPlacements++
 	placement := r.holdPermit(p, p.shardOf(decision.Engine), permit, target)
 	placement.Basis = decision.Basis
 	placement.Holder = r.holder(p, decision.Holder)
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -138,11 +138,11 @@
 
 // Stats counts the ways in which targets were found.
 type Stats struct {
-	Placed         uint64
-	Warm           uint64
-	PermitRequests uint64
-	Fallback       uint64
-	Must           uint64
+	Placed          uint64
+	Warm            uint64
+	PermitRequests  uint64
+	LocalPlacements uint64
+	Must            uint64
 	// Throttled counts the requests rejected without a permit request.
 	Throttled uint64
 }
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -353,7 +353,7 @@
 	if got := f.permits(next); got != 2 {
 		t.Errorf("the standby counts %d permits after one was released, want 2", got)
 	}
-	if got := r.Stats().Fallback; got != 0 {
+	if got := r.Stats().LocalPlacements; got != 0 {
 		t.Errorf("%d requests placed without a home", got)
 	}
 }
@@ -379,7 +379,7 @@
 	if one.Hash == two.Hash {
 		t.Error("both requests on one engine although the other is idle")
 	}
-	if got := r.Stats().Fallback; got != 2 {
+	if got := r.Stats().LocalPlacements; got != 2 {
 		t.Errorf("%d requests placed without a home, want 2", got)
 	}
 }
@@ -439,11 +439,11 @@
 		f.down[name] = false
 	}
 	f.now = f.now.Add(5 * time.Second)
-	fallbacks := r.Stats().Fallback
+	fallbacks := r.Stats().LocalPlacements
 	for key := range ident.ChatKey(10) {
 		acquire(t, r, key).Release()
 	}
-	if got := r.Stats().Fallback - fallbacks; got != 0 {
+	if got := r.Stats().LocalPlacements - fallbacks; got != 0 {
 		t.Errorf("%d of 10 requests were placed locally although homes respond again", got)
 	}
 }
--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -31,7 +31,7 @@
 			c := d.table.Counts()
 			return float64(c.Reads + c.Writes)
 		},
-		Fallbacks:      func() float64 { return float64(d.router.Stats().Fallback) },
+		Fallbacks:      func() float64 { return float64(d.router.Stats().LocalPlacements) },
 		PermitRequests: func() float64 { return float64(d.router.Stats().PermitRequests) },
 	}
 }
--- a/internal/oper/node/metrics.go
+++ b/internal/oper/node/metrics.go
@@ -32,7 +32,7 @@
 		counter("valescale_permit_asks_total", "Requests for permits.",
 			func() float64 { return float64(n.router.Stats().PermitRequests) }),
 		counter("valescale_fallback_placements_total", "Placements made without the home.",
-			func() float64 { return float64(n.router.Stats().Fallback) }),
+			func() float64 { return float64(n.router.Stats().LocalPlacements) }),
 		counter("valescale_throttled_requests_total", "Requests refused without asking a home that refuses most like them.",
 			func() float64 { return float64(n.router.Stats().Throttled) }),
 	}
