--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -307,7 +307,7 @@
 	for _, n := range h.nodes {
 		s := n.router.Stats()
 		requested += s.PermitRequests
-		must += s.Must
+		must += s.WaitingRequests
 		fallback += s.LocalPlacements
 	}
 	return strategyStats{
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -223,7 +223,7 @@
 	}
 	placeRequest.Permit = r.permit
 	if step.MustPlace {
-		r.stats.Must++
+		r.stats.WaitingRequests++
 		placeRequest.MustPlace = true
 		placeRequest.Wait = max(request.Deadline.Sub(now), 0)
 	}
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -142,7 +142,7 @@
 	Warm            uint64
 	PermitRequests  uint64
 	LocalPlacements uint64
-	Must            uint64
+	WaitingRequests uint64
 	// Throttled counts the requests rejected without a permit request.
 	Throttled uint64
 }
