--- a/internal/edge/front/problem.go
+++ b/internal/edge/front/problem.go
@@ -121,7 +121,7 @@
 		p.Code, p.Message = CodeOverloaded, "every target of the service wants no requests for a while"
 	case route.Limited:
 		p.Status, p.Code, p.Message = http.StatusTooManyRequests, CodeRateLimited, "the workspace is over its rate"
-	case route.Gone:
+	case route.CallerGone:
 		p.Status, p.Code, p.Message = statusCallerGone, CodeCallerGone, "the caller has gone"
 	default:
 		p.Code, p.Message = CodeWaitedTooLong, "no target became free while the request could wait"
--- a/internal/edge/route/error.go
+++ b/internal/edge/route/error.go
@@ -22,8 +22,8 @@
 	TimedOut Kind = "timed_out"
 	// Limited means that the workspace exceeded its rate.
 	Limited Kind = "limited"
-	// Gone means that the caller has disconnected.
-	Gone Kind = "gone"
+	// CallerGone means that the caller has disconnected.
+	CallerGone Kind = "gone"
 )
 
 // Error is the error type of this package.
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -138,7 +138,7 @@
 	case resp.Result == home.Shed:
 		return fault.New(op, Shed, retryAfter)
 	case ctx.Err() != nil:
-		return fault.New(op, Gone, ctx.Err())
+		return fault.New(op, CallerGone, ctx.Err())
 	default:
 		return fault.New(op, TimedOut, retryAfter)
 	}
@@ -147,7 +147,7 @@
 // placeWithoutHome places a request locally after a home did not respond.
 func (r *Router) placeWithoutHome(ctx context.Context, p *pool, request TargetRequest, cause error) (*Placement, bool, error) {
 	if ctx.Err() != nil {
-		return nil, false, fault.New("route.Acquire", Gone, cause)
+		return nil, false, fault.New("route.Acquire", CallerGone, cause)
 	}
 	placement, err := r.placeLocally(p, request)
 	return placement, false, err
