--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -152,7 +152,7 @@
 		reason = Lost
 	}
 	switch {
-	case relay.Blameless(err):
+	case relay.IsLocalFailure(err):
 		// The failure is local to this box. Reporting it as a target failure would exclude nearly
 		// all targets of a pool from new work of this router and overload the rest.
 		h.Finder.ReportCancelled(placement.Hash)
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -225,7 +225,7 @@
 	reply, err := f.Sender.Send(ctx, call)
 	if err != nil {
 		placement.Release()
-		if relay.Blameless(err) {
+		if relay.IsLocalFailure(err) {
 			f.Finder.ReportCancelled(placement.Hash)
 		} else {
 			f.recordResult(ctx, placement, false)
--- a/internal/edge/relay/error.go
+++ b/internal/edge/relay/error.go
@@ -66,9 +66,9 @@
 	}
 }
 
-// Blameless reports whether an attempt failed because of exhausted resources or a delay of this
+// IsLocalFailure reports whether an attempt failed because of exhausted resources or a delay of this
 // router, which is no failure of the target.
-func Blameless(err error) bool {
+func IsLocalFailure(err error) bool {
 	kind := fault.KindOf[Kind](err)
 	return kind == Exhausted || kind == HeldUp
 }
