--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -116,7 +116,7 @@
 // reportSilence reports a target that has sent nothing for too long. If this router itself was
 // delayed, the target is not reported.
 func (h *Handler) reportSilence(j *job, placement *route.Placement, since time.Time) {
-	if h.Clock().Sub(since)-j.suspectAfter() > relay.HeldUpAfter {
+	if h.Clock().Sub(since)-j.suspectAfter() > relay.LocalDelayThreshold {
 		return
 	}
 	if h.Finder.ReportSilent(placement.Hash, since) {
--- a/internal/edge/entry/idle_timeout.go
+++ b/internal/edge/entry/idle_timeout.go
@@ -62,7 +62,7 @@
 // the timer late may have the answer in its receive buffer.
 func (t *idleTimeout) cause() error {
 	period := t.idle.Load()
-	if t.clock().Sub(period.since)-period.limit > relay.HeldUpAfter {
+	if t.clock().Sub(period.since)-period.limit > relay.LocalDelayThreshold {
 		return errRouterDelayed
 	}
 	return errTargetSilent
--- a/internal/edge/relay/error.go
+++ b/internal/edge/relay/error.go
@@ -49,9 +49,9 @@
 	return &failure{error: fault.New(op, kind, err), step: step}
 }
 
-// HeldUpAfter is the delay in detecting the end of a timeout above which this router itself counts
+// LocalDelayThreshold is the delay in detecting the end of a timeout above which this router itself counts
 // as held up: suspended, or short of processor time.
-const HeldUpAfter = 100 * time.Millisecond
+const LocalDelayThreshold = 100 * time.Millisecond
 
 // dialErrorKind distinguishes exhausted resources and delays of this box from an unreachable
 // target. The argument late is how long after the dial timeout the dial failed.
@@ -59,7 +59,7 @@
 	switch {
 	case fault.IsLocalResourceError(err):
 		return Exhausted
-	case late > HeldUpAfter:
+	case late > LocalDelayThreshold:
 		return HeldUp
 	default:
 		return Connect
