--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -187,7 +187,7 @@
 		fresh = maxIdleRepeatable
 	}
 	return relay.Exchange{
-		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, Fresh: fresh,
+		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, MaxIdleTime: fresh,
 		Keep:    h.Rules.IdleConns(j.service),
 		Matches: func(got http.Header) bool { return h.Dialect.Matches(got, j.call) },
 	}
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -27,8 +27,8 @@
 	Body   []byte
 	// Matches reports by an answer's header whether the answer is to this request.
 	Matches func(http.Header) bool
-	// Fresh is the maximum idle time of a connection that is reused.
-	Fresh time.Duration
+	// MaxIdleTime is the maximum idle time of a connection that is reused.
+	MaxIdleTime time.Duration
 	// Keep is the maximum number of idle connections to the target; zero means the limit for all
 	// targets.
 	Keep int
@@ -107,7 +107,7 @@
 // how far the attempt got. The end of the context closes the connection.
 func (c *Conns) Send(ctx context.Context, e Exchange) (*Answer, error) {
 	const op = "relay.Send"
-	cn := c.takeIdle(e.Addr, time.Now(), e.Fresh)
+	cn := c.takeIdle(e.Addr, time.Now(), e.MaxIdleTime)
 	if cn == nil {
 		var err error
 		if cn, err = c.dial(ctx, e.Addr); err != nil {
--- a/internal/edge/relay/idle_test.go
+++ b/internal/edge/relay/idle_test.go
@@ -25,7 +25,7 @@
 		t.Cleanup(cancel)
 		return conns.Send(ctx, Exchange{
 			Addr: addr, Method: "GET", Path: "/", Host: "h", Header: http.Header{},
-			Matches: func(http.Header) bool { return true }, Fresh: time.Minute,
+			Matches: func(http.Header) bool { return true }, MaxIdleTime: time.Minute,
 		})
 	}
 	var open []*Answer
@@ -67,7 +67,7 @@
 		}
 		a, err := conns.Send(t.Context(), Exchange{
 			Addr: addr, Method: "GET", Path: "/", Host: "h", Header: http.Header{},
-			Matches: func(http.Header) bool { return true }, Fresh: time.Minute,
+			Matches: func(http.Header) bool { return true }, MaxIdleTime: time.Minute,
 		})
 		if err != nil {
 			t.Fatal(err)
