--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -188,8 +188,8 @@
 	}
 	return relay.Exchange{
 		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, MaxIdleTime: fresh,
-		Keep:    h.Rules.IdleConns(j.service),
-		Matches: func(got http.Header) bool { return h.Dialect.Matches(got, j.call) },
+		MaxIdleConns: h.Rules.IdleConns(j.service),
+		Matches:      func(got http.Header) bool { return h.Dialect.Matches(got, j.call) },
 	}
 }
 
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -29,9 +29,9 @@
 	Matches func(http.Header) bool
 	// MaxIdleTime is the maximum idle time of a connection that is reused.
 	MaxIdleTime time.Duration
-	// Keep is the maximum number of idle connections to the target; zero means the limit for all
+	// MaxIdleConns is the maximum number of idle connections to the target; zero means the limit for all
 	// targets.
-	Keep int
+	MaxIdleConns int
 }
 
 // Answer is the head of an answer. It must be closed.
@@ -114,7 +114,7 @@
 			return nil, err
 		}
 	}
-	cn.maxIdle = e.Keep
+	cn.maxIdle = e.MaxIdleConns
 	stopContextWatch := context.AfterFunc(ctx, func() { _ = cn.Close() })
 	written, err := cn.write(e)
 	if err != nil {
