--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -102,13 +102,13 @@
 // would cost a failed request to detect.
 func (c *Conns) closeSilent(addr string, silence time.Duration) {
 	if silence >= silenceTimeout {
-		c.Forget(addr)
+		c.CloseIdle(addr)
 	}
 }
 
-// Forget closes the idle connections to an address, as after a restart of its target: they lead to
+// CloseIdle closes the idle connections to an address, as after a restart of its target: they lead to
 // the earlier process, or nowhere.
-func (c *Conns) Forget(addr string) {
+func (c *Conns) CloseIdle(addr string) {
 	c.mu.Lock()
 	list := c.idle[addr]
 	delete(c.idle, addr)
--- a/internal/edge/relay/idle_test.go
+++ b/internal/edge/relay/idle_test.go
@@ -63,7 +63,7 @@
 	t.Cleanup(closeConns)
 	for _, forget := range []bool{false, false, true} {
 		if forget {
-			conns.Forget(addr)
+			conns.CloseIdle(addr)
 		}
 		a, err := conns.Send(t.Context(), Exchange{
 			Addr: addr, Method: "GET", Path: "/", Host: "h", Header: http.Header{},
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -31,7 +31,7 @@
 	n.board.Follow(n.Rows.TargetTable(), feed.Rules{LostFor: feed.LapseGrace}, func(change feed.Change) {
 		update, restarted := n.state.updateTargets(change)
 		for _, addr := range restarted {
-			n.conns.Forget(addr)
+			n.conns.CloseIdle(addr)
 		}
 		n.publishTargets(update)
 		n.mesh.MarkDirty()
