--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -92,7 +92,7 @@
 		arrivedAt: f.Clock(),
 		call: relay.Call{
 			Method: r.Method, Path: r.URL.Path, Query: r.URL.RawQuery, Header: r.Header, Timeout: service.Timeout,
-			HTTP2: service.Protocol == policy.HTTP2, Echoes: service.Echo,
+			HTTP2: service.Protocol == policy.HTTP2, EchoesAttemptID: service.Echo,
 		},
 	}, nil
 }
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -51,9 +51,9 @@
 	Key     ident.ChatKey
 	// HTTP2 means that the target is called by HTTP/2 over clear text.
 	HTTP2 bool
-	// Echoes means that the target returns the attempt's id with each answer. Only then can a
+	// EchoesAttemptID means that the target returns the attempt's id with each answer. Only then can a
 	// connection be reused, since a late answer on it is identified by its id.
-	Echoes bool
+	EchoesAttemptID bool
 	// Once means that the request must not be sent twice, even if the connection fails.
 	Once bool
 	// Fence is the fencing token for targets that check one; zero means none.
@@ -176,7 +176,7 @@
 	switch {
 	case call.HTTP2:
 		roundTripper = r.http2
-	case call.Once || !call.Echoes:
+	case call.Once || !call.EchoesAttemptID:
 		roundTripper = r.singleUse
 	}
 	start := time.Now()
@@ -188,7 +188,7 @@
 		}
 		return nil, newFailure(op, Broken, retry.Sending, err)
 	}
-	if echo := resp.Header.Get(engine.AttemptHeader); echo != string(call.Attempt) && (echo != "" || call.Echoes) {
+	if echo := resp.Header.Get(engine.AttemptHeader); echo != string(call.Attempt) && (echo != "" || call.EchoesAttemptID) {
 		cancel()
 		_ = resp.Body.Close()
 		return nil, newFailure(op, Crossed, retry.Answering, errors.Errorf("attempt %s received the answer to attempt %q", call.Attempt, echo))
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -137,7 +137,7 @@
 			r := newRelay(t)
 			for i := range 50 {
 				call := h.call(false)
-				call.Echoes = echoes
+				call.EchoesAttemptID = echoes
 				call.Attempt = ident.Attempt(fmt.Sprint("attempt-", i))
 				if body, err := attempt(r, call); err == nil && body != "ok" {
 					t.Fatalf("request %d received the surplus answer %q", i, body)
@@ -150,7 +150,7 @@
 func TestMissingEcho(t *testing.T) {
 	h := newFakeTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\n\r\nok", true)
 	call := h.call(false)
-	call.Echoes = true
+	call.EchoesAttemptID = true
 	if _, err := attempt(newRelay(t), call); fault.KindOf[relay.Kind](err) != relay.Crossed {
 		t.Errorf("got %v, want kind %q", err, relay.Crossed)
 	}
@@ -164,7 +164,7 @@
 			h := newFakeTarget(t, "HTTP/1.1 200 OK\r\nContent-Length: 2\r\nX-Attempt-Id: $ATTEMPT\r\n\r\nok", true)
 			r := newRelay(t)
 			call := h.call(once)
-			call.Echoes = true
+			call.EchoesAttemptID = true
 			if _, err := attempt(r, call); err != nil {
 				t.Fatal(err)
 			}
