--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -116,7 +116,7 @@
 		return nil, claimProblem(err)
 	}
 	j.ticket = ticket
-	j.call.Once = true
+	j.call.SingleUse = true
 	if ticket != nil && j.service.Fenced {
 		j.call.Fence = ticket.Fence()
 	}
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -54,8 +54,8 @@
 	// EchoesAttemptID means that the target returns the attempt's id with each answer. Only then can a
 	// connection be reused, since a late answer on it is identified by its id.
 	EchoesAttemptID bool
-	// Once means that the request must not be sent twice, even if the connection fails.
-	Once bool
+	// SingleUse means that the request must not be sent twice, even if the connection fails.
+	SingleUse bool
 	// Fence is the fencing token for targets that check one; zero means none.
 	Fence ident.Epoch
 	// Timeout is the timeout of the whole attempt.
@@ -176,7 +176,7 @@
 	switch {
 	case call.HTTP2:
 		roundTripper = r.http2
-	case call.Once || !call.EchoesAttemptID:
+	case call.SingleUse || !call.EchoesAttemptID:
 		roundTripper = r.singleUse
 	}
 	start := time.Now()
--- a/internal/edge/relay/relay_test.go
+++ b/internal/edge/relay/relay_test.go
@@ -69,7 +69,7 @@
 func (h *fakeTarget) call(once bool) relay.Call {
 	return relay.Call{
 		Addr: h.addr, Method: http.MethodPost, Path: "/orders", Attempt: "attempt-1",
-		Header: http.Header{"Idempotency-Key": {"k"}}, Timeout: 5 * time.Second, Once: once,
+		Header: http.Header{"Idempotency-Key": {"k"}}, Timeout: 5 * time.Second, SingleUse: once,
 	}
 }
 
