--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -164,7 +164,7 @@
 		// A router that has just started may be home of a shard before it has the shard's engines.
 		err = fault.New("route.Acquire", NoTarget, nil)
 	}
-	homeFault := err != nil && ctx.Err() == nil && fault.KindOf[home.Kind](err) != home.HeldUp
+	homeFault := err != nil && ctx.Err() == nil && fault.KindOf[home.Kind](err) != home.LocalDelay
 	if homeFault {
 		r.skipHome(ctx, to)
 	}
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -63,7 +63,7 @@
 		f.onPlace()
 	}
 	if f.heldUp {
-		return home.PermitResponse{}, fault.New("test", home.HeldUp, nil)
+		return home.PermitResponse{}, fault.New("test", home.LocalDelay, nil)
 	}
 	if f.dropResponses {
 		return home.PermitResponse{}, fault.New("test", home.Unreachable, nil)
--- a/internal/share/home/link.go
+++ b/internal/share/home/link.go
@@ -156,7 +156,7 @@
 	defer l.mu.Unlock()
 	kind := Unreachable
 	if l.localFailure {
-		kind = HeldUp
+		kind = LocalDelay
 	}
 	return fault.New("home.Place", kind, nil)
 }
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -19,9 +19,9 @@
 const (
 	// Unreachable means that the home did not respond. It may have granted the permit.
 	Unreachable Kind = "unreachable"
-	// HeldUp means that this router itself was delayed, by a pause or a shortage of processor time
+	// LocalDelay means that this router itself was delayed, by a pause or a shortage of processor time
 	// or file descriptors, so the home may have responded in time.
-	HeldUp Kind = "held_up"
+	LocalDelay Kind = "held_up"
 	// Unknown means that the home is not in the membership view.
 	Unknown Kind = "unknown"
 	// Foreign means that a router sent a request in the name of another.
@@ -72,7 +72,7 @@
 		return resp, err
 	}
 	if late := time.Since(start) - maxWait; late > maxLocalDelay {
-		return resp, fault.New("home.Place", HeldUp, err)
+		return resp, fault.New("home.Place", LocalDelay, err)
 	}
 	if l.recordMissed() {
 		r.links.closeLink(home)
