--- a/internal/oper/mesh/reassign.go
+++ b/internal/oper/mesh/reassign.go
@@ -31,7 +31,7 @@
 // forwardRegrouped hands off the cache holders of prompt prefixes in pools whose shards have
 // changed.
 func (m *Mesh) forwardRegrouped(ctx context.Context, live *place.Assignment) {
-	for _, p := range m.Homes.Regrouped() {
+	for _, p := range m.Homes.TakeResharded() {
 		p.To = live.Home(p.ID)
 		if p.To == m.Self.ID {
 			m.Homes.Accept(p)
--- a/internal/share/home/reshard_test.go
+++ b/internal/share/home/reshard_test.go
@@ -39,7 +39,7 @@
 	const shards = 2
 	before.SetPool(pool, place.BoundOf(4), place.NewRoster(shards, engines))
 	after.SetPool(pool, place.BoundOf(4), place.NewRoster(shards, engines))
-	for _, transfer := range before.Regrouped() {
+	for _, transfer := range before.TakeResharded() {
 		after.Accept(transfer)
 	}
 	grown := place.NewPool(pool, shards, place.BoundOf(4))
@@ -63,7 +63,7 @@
 	if lost > 0 {
 		t.Errorf("%d of %d chats neither placed on their engine nor copied from it", lost, chats)
 	}
-	if again := before.Regrouped(); len(again) > 0 {
+	if again := before.TakeResharded(); len(again) > 0 {
 		t.Errorf("%d transfers returned twice", len(again))
 	}
 }
--- a/internal/share/home/transfer.go
+++ b/internal/share/home/transfer.go
@@ -70,8 +70,8 @@
 	}
 }
 
-// Regrouped returns the chat places to send to the homes of other shards, and clears them.
-func (h *Homes) Regrouped() []Transfer {
+// TakeResharded returns the chat places to send to the homes of other shards, and clears them.
+func (h *Homes) TakeResharded() []Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	out := h.resharded
