--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -224,7 +224,7 @@
 	live := h.assignment(h.visibleRouters(n))
 	n.homes.SetPool(p.Name, h.bound, p.Roster)
 	n.router.Move(context.Background(), n.router.Set([]route.Pool{p}, live))
-	for _, transfer := range n.homes.Misplaced(live.Home) {
+	for _, transfer := range n.homes.PendingTransfers(live.Home) {
 		h.countMessage(home.HandoffSize(transfer))
 		if to := h.node(transfer.To); to != nil {
 			to.homes.Accept(transfer)
--- a/internal/oper/mesh/reassign.go
+++ b/internal/oper/mesh/reassign.go
@@ -45,7 +45,7 @@
 
 // handOff hands off the shards whose home is now another router.
 func (m *Mesh) handOff(ctx context.Context, live *place.Assignment) {
-	for _, p := range m.Homes.Misplaced(live.Home) {
+	for _, p := range m.Homes.PendingTransfers(live.Home) {
 		if err := m.Remote.Handoff(ctx, p); err != nil {
 			_ = level.Warn(m.Logger).Log("msg", "shard handoff failed", "pool", p.ID.Pool, "shard", p.ID.Shard, "to", p.To, "err", err)
 			continue
--- a/internal/share/home/fleet_test.go
+++ b/internal/share/home/fleet_test.go
@@ -210,7 +210,7 @@
 
 // transferShards transfers the shards of which another router is home, as routers do.
 func (f *fleet) transferShards(m *member) {
-	for _, p := range m.homes.Misplaced(m.assigned.Home) {
+	for _, p := range m.homes.PendingTransfers(m.assigned.Home) {
 		f.member(p.To).homes.Accept(p)
 		m.homes.Moved(p.ID, p.To)
 	}
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -108,19 +108,19 @@
 	otherHome := func(place.ShardID) ident.Router { return "router-c" }
 	req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	h.Place(t.Context(), req, nil)
-	transfers := h.Misplaced(otherHome)
+	transfers := h.PendingTransfers(otherHome)
 	if len(transfers) != 1 || transfers[0].To != "router-c" || len(transfers[0].Places) != 1 {
 		t.Fatalf("got %+v, want one chat place for router-c", transfers)
 	}
 	h.Moved(id, "router-c")
-	if again := h.Misplaced(otherHome); len(again) != 0 {
+	if again := h.PendingTransfers(otherHome); len(again) != 0 {
 		t.Errorf("shard transferred twice: %+v", again)
 	}
 	if permits, _ := h.InFlight(); permits != 1 {
 		t.Errorf("home counts %d permits, want the one that the edge router holds", permits)
 	}
 	h.Release(id, "router-b", []uint64{1})
-	h.Misplaced(otherHome)
+	h.PendingTransfers(otherHome)
 	digests := h.Digests()
 	if len(digests) == 0 || len(digests[0].Loads) != 0 {
 		t.Errorf("got %+v, want a final digest without loads", digests)
