--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -48,7 +48,7 @@
 				state = "leaving"
 			}
 			out.Engines = append(out.Engines, admin.EngineStatus{
-				ID: e.ID, Pool: p.Name, Zone: e.Zone, State: state, InFlight: d.homes.RequestsAt(p.Name, e.Hash),
+				ID: e.ID, Pool: p.Name, Zone: e.Zone, State: state, InFlight: d.homes.EngineRequests(p.Name, e.Hash),
 			})
 		}
 	}
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -42,7 +42,7 @@
 	*now = now.Add(place.DefaultBound.DigestTTL + time.Second)
 	h.Merge([]place.Digest{publishedDigest(engine, "router-new", 1)})
 	h.Sync(id, "router-b", nil, 0, "")
-	if diff := cmp.Diff(7, h.RequestsAt(pool, engine)); diff != "" {
+	if diff := cmp.Diff(7, h.EngineRequests(pool, engine)); diff != "" {
 		t.Error(diff)
 	}
 }
@@ -70,12 +70,12 @@
 	}
 	*now = now.Add(time.Second)
 	h.ExpirePermits()
-	if diff := cmp.Diff(3, h.RequestsAt(pool, engine)); diff != "" {
+	if diff := cmp.Diff(3, h.EngineRequests(pool, engine)); diff != "" {
 		t.Errorf("within the lease: %s", diff)
 	}
 	*now = now.Add(5 * time.Second)
 	h.ExpirePermits()
-	if diff := cmp.Diff(0, h.RequestsAt(pool, engine)); diff != "" {
+	if diff := cmp.Diff(0, h.EngineRequests(pool, engine)); diff != "" {
 		t.Errorf("after the lease: %s", diff)
 	}
 }
@@ -147,7 +147,7 @@
 		req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-b", Permit: permit + 1, Key: 7, Work: ident.OneRequest}}
 		h.Place(t.Context(), req, nil)
 	}
-	highest := max(h.RequestsAt(pool, one.Hash), h.RequestsAt(pool, two.Hash))
+	highest := max(h.EngineRequests(pool, one.Hash), h.EngineRequests(pool, two.Hash))
 	if diff := cmp.Diff(4, highest); diff != "" {
 		t.Errorf("max requests of one chat on one engine: %s", diff)
 	}
--- a/internal/share/home/stats.go
+++ b/internal/share/home/stats.go
@@ -16,9 +16,9 @@
 	return permits, waiting
 }
 
-// RequestsAt returns the load of an engine in requests, or zero if this router is not the home of
+// EngineRequests returns the load of an engine in requests, or zero if this router is not the home of
 // its shard.
-func (h *Homes) RequestsAt(pool ident.Pool, engine ident.TargetHash) int {
+func (h *Homes) EngineRequests(pool ident.Pool, engine ident.TargetHash) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	info, ok := h.pools[pool]
