--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -116,7 +116,7 @@
 // buildMesh creates the parts that count, place and share requests with other routers.
 func (n *Node) buildMesh(s *Settings) {
 	n.homes = home.New(s.ID, home.DefaultLimits, n.Clock, noRateLimit)
-	n.homes.OnBlocked(n.logBlocked)
+	n.homes.SetOnBlocked(n.logBlocked)
 	firstPermit := mesh.FirstPermit(n.self.Incarnation)
 	remote, closeLinks := home.NewRemote(home.Edge{ID: s.ID, Zone: s.Zone, Base: firstPermit}, n.homes, n.peers, permitTimeout)
 	n.cleanups = append(n.cleanups, closeLinks)
--- a/internal/share/home/blocked.go
+++ b/internal/share/home/blocked.go
@@ -20,9 +20,9 @@
 	Backoff time.Duration
 }
 
-// OnBlocked sets the function that is called for each engine that is blocked. The function is
+// SetOnBlocked sets the function that is called for each engine that is blocked. The function is
 // called with the lock held and must not call methods of Homes.
-func (h *Homes) OnBlocked(notify func(Blocked)) {
+func (h *Homes) SetOnBlocked(notify func(Blocked)) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	h.onBlocked = notify
@@ -39,7 +39,7 @@
 	}
 }
 
-// reportBlocked calls the OnBlocked function for an engine that was blocked because of a report of
+// reportBlocked calls the SetOnBlocked function for an engine that was blocked because of a report of
 // an edge router.
 func (h *Homes) reportBlocked(req PermitRequest, engine ident.TargetHash, backoff time.Duration) {
 	if h.onBlocked != nil {
