--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -276,9 +276,9 @@
 				other.homes.Merge([]place.Digest{p.Digest})
 			}
 		}
-		if p.Whole != nil {
-			h.countMessage(home.HandoffSize(*p.Whole))
-			h.node(p.Whole.To).homes.Accept(*p.Whole)
+		if p.FullPlaces != nil {
+			h.countMessage(home.HandoffSize(*p.FullPlaces))
+			h.node(p.FullPlaces.To).homes.Accept(*p.FullPlaces)
 		}
 	}
 }
--- a/internal/oper/mesh/reassign.go
+++ b/internal/oper/mesh/reassign.go
@@ -64,10 +64,10 @@
 		for _, to := range p.To {
 			m.Remote.Publish(to, p.Digest)
 		}
-		if p.Whole != nil {
+		if p.FullPlaces != nil {
 			// If the handoff fails, the standby gets the cache holders from the requests of later
 			// chat turns.
-			_ = m.Remote.Handoff(ctx, *p.Whole)
+			_ = m.Remote.Handoff(ctx, *p.FullPlaces)
 		}
 	}
 }
--- a/internal/share/home/publish.go
+++ b/internal/share/home/publish.go
@@ -85,8 +85,8 @@
 type Publication struct {
 	Digest place.Digest
 	To     []ident.Router
-	// Whole is set when the first standby has changed and needs all chat places.
-	Whole *Transfer
+	// FullPlaces is set when the first standby has changed and needs all chat places.
+	FullPlaces *Transfer
 }
 
 // Publications returns what is to be published now. The arguments are the assignments among the
@@ -96,7 +96,7 @@
 	for _, d := range h.Digests() {
 		p := Publication{Digest: d, To: place.Standbys(d.ID, h.self, live, known)}
 		if len(p.To) > 0 {
-			p.Whole = h.fullPlaces(d.ID, p.To[0])
+			p.FullPlaces = h.fullPlaces(d.ID, p.To[0])
 		}
 		out = append(out, p)
 	}
