--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -29,7 +29,7 @@
 	now := h.clock()
 	for _, s := range h.shards {
 		if expired := s.home.ExpirePermits(now, permitLease); expired > 0 {
-			s.correction.Lapsed += expired
+			s.correction.Expired += expired
 			h.markUrgent(s)
 			h.dispatch(s)
 		}
