--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -18,7 +18,7 @@
 	// left the fleet or restarted.
 	Withdrawn int
 	Expired   int
-	Forgotten int
+	Removed   int
 	// Counted is the current number of permits. Own and Foreign are the work on the shard's engines
 	// that was admitted by this home and by others, Mean is the mean work per engine of the pool.
 	Counted int
@@ -29,7 +29,7 @@
 
 // nonZero reports whether the count was corrected.
 func (c *Correction) nonZero() bool {
-	return c.Listed != 0 || c.Withdrawn != 0 || c.Expired != 0 || c.Forgotten != 0
+	return c.Listed != 0 || c.Withdrawn != 0 || c.Expired != 0 || c.Removed != 0
 }
 
 // permitCountChange calls apply and returns by how much that changed the shard's number of permits.
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -105,7 +105,7 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, s := range h.shards {
-		s.correction.Forgotten -= s.permitCountChange(func() { s.home.RemovePermitsBelow(below) })
+		s.correction.Removed -= s.permitCountChange(func() { s.home.RemovePermitsBelow(below) })
 		h.dispatch(s)
 	}
 }
