--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -19,9 +19,9 @@
 	Withdrawn int
 	Expired   int
 	Removed   int
-	// Counted is the current number of permits. Own and Foreign are the work on the shard's engines
+	// Permits is the current number of permits. Own and Foreign are the work on the shard's engines
 	// that was admitted by this home and by others, Mean is the mean work per engine of the pool.
-	Counted int
+	Permits int
 	Own     ident.Work
 	Foreign ident.Work
 	Mean    ident.Work
@@ -50,7 +50,7 @@
 		}
 		c := s.correction
 		s.correction = Correction{}
-		c.Shard, c.Counted = id, s.home.Len()
+		c.Shard, c.Permits = id, s.home.Len()
 		c.Own, c.Foreign, c.Mean = s.home.Counts(h.clock())
 		out = append(out, c)
 	}
