--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -21,10 +21,10 @@
 	Removed   int
 	// Permits is the current number of permits. Own and Foreign are the work on the shard's engines
 	// that was admitted by this home and by others, Mean is the mean work per engine of the pool.
-	Permits int
-	Own     ident.Work
-	Foreign ident.Work
-	Mean    ident.Work
+	Permits  int
+	Own      ident.Work
+	PeerWork ident.Work
+	Mean     ident.Work
 }
 
 // nonZero reports whether the count was corrected.
@@ -51,7 +51,7 @@
 		c := s.correction
 		s.correction = Correction{}
 		c.Shard, c.Permits = id, s.home.Len()
-		c.Own, c.Foreign, c.Mean = s.home.Counts(h.clock())
+		c.Own, c.PeerWork, c.Mean = s.home.Counts(h.clock())
 		out = append(out, c)
 	}
 	return out
