--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -22,7 +22,7 @@
 	// Permits is the current number of permits. Own and Foreign are the work on the shard's engines
 	// that was admitted by this home and by others, Mean is the mean work per engine of the pool.
 	Permits  int
-	Own      ident.Work
+	OwnWork  ident.Work
 	PeerWork ident.Work
 	Mean     ident.Work
 }
@@ -51,7 +51,7 @@
 		c := s.correction
 		s.correction = Correction{}
 		c.Shard, c.Permits = id, s.home.Len()
-		c.Own, c.PeerWork, c.Mean = s.home.Counts(h.clock())
+		c.OwnWork, c.PeerWork, c.Mean = s.home.Counts(h.clock())
 		out = append(out, c)
 	}
 	return out
