--- a/internal/oper/mesh/log.go
+++ b/internal/oper/mesh/log.go
@@ -54,5 +54,5 @@
 func (m *Mesh) logCorrection(c home.Correction) {
 	_ = level.Info(m.Logger).Log("msg", "permit counts corrected", "pool", c.Shard.Pool, "shard", c.Shard.Shard,
 		"listed", c.Listed, "withdrawn", c.Withdrawn, "lapsed", c.Expired, "forgotten", c.Removed,
-		"permits", c.Permits, "own", c.OwnWork.Requests(), "foreign", c.PeerWork.Requests(), "mean", c.Mean.Requests())
+		"permits", c.Permits, "own", c.OwnWork.Requests(), "foreign", c.PeerWork.Requests(), "mean", c.MeanWork.Requests())
 }
--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -24,7 +24,7 @@
 	Permits  int
 	OwnWork  ident.Work
 	PeerWork ident.Work
-	Mean     ident.Work
+	MeanWork ident.Work
 }
 
 // nonZero reports whether the count was corrected.
@@ -51,7 +51,7 @@
 		c := s.correction
 		s.correction = Correction{}
 		c.Shard, c.Permits = id, s.home.Len()
-		c.OwnWork, c.PeerWork, c.Mean = s.home.Counts(h.clock())
+		c.OwnWork, c.PeerWork, c.MeanWork = s.home.Counts(h.clock())
 		out = append(out, c)
 	}
 	return out
