--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -271,7 +271,7 @@
 	}
 	for _, p := range n.homes.Publications(h.assignment(h.visibleRouters(n)), h.assignment(routers)) {
 		for _, to := range p.To {
-			h.bytes += float64(home.LoadSize(p.Digest)) + messageOverhead
+			h.bytes += float64(home.DigestSize(p.Digest)) + messageOverhead
 			if other := h.node(to); other != nil {
 				other.homes.Merge([]place.Digest{p.Digest})
 			}
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -107,8 +107,8 @@
 	}
 }
 
-// LoadSize returns the encoded size of a digest in bytes, without framing.
-func LoadSize(d place.Digest) int { return proto.Size(encodeDigest(d)) }
+// DigestSize returns the encoded size of a digest in bytes, without framing.
+func DigestSize(d place.Digest) int { return proto.Size(encodeDigest(d)) }
 
 // Sync sends a home the full list of permits that this router holds in a shard.
 func (r *Remote) Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
