--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -341,7 +341,7 @@
 	answer := node.homes.Place(ctx, ask, released)
 	if to != ask.Edge {
 		// A request and its response are two messages.
-		n.h.countMessage(home.PlaceSize(ask, released, answer) + messageOverhead)
+		n.h.countMessage(home.PermitExchangeSize(ask, released, answer) + messageOverhead)
 	}
 	return answer, nil
 }
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -147,9 +147,9 @@
 	})
 }
 
-// PlaceSize returns the encoded size of a permit request and its response in bytes, without
+// PermitExchangeSize returns the encoded size of a permit request and its response in bytes, without
 // framing.
-func PlaceSize(req PermitRequest, released []uint64, resp PermitResponse) int {
+func PermitExchangeSize(req PermitRequest, released []uint64, resp PermitResponse) int {
 	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(resp))
 }
 
