--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -225,7 +225,7 @@
 	n.homes.SetPool(p.Name, h.bound, p.Roster)
 	n.router.Move(context.Background(), n.router.Set([]route.Pool{p}, live))
 	for _, transfer := range n.homes.PendingTransfers(live.Home) {
-		h.countMessage(home.HandoffSize(transfer))
+		h.countMessage(home.TransferSize(transfer))
 		if to := h.node(transfer.To); to != nil {
 			to.homes.Accept(transfer)
 			n.homes.Moved(transfer.ID, transfer.To)
@@ -277,7 +277,7 @@
 			}
 		}
 		if p.FullPlaces != nil {
-			h.countMessage(home.HandoffSize(*p.FullPlaces))
+			h.countMessage(home.TransferSize(*p.FullPlaces))
 			h.node(p.FullPlaces.To).homes.Accept(*p.FullPlaces)
 		}
 	}
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -153,8 +153,8 @@
 	return proto.Size(encodePermitRequest(req, released, 0)) + proto.Size(encodePermitResponse(resp))
 }
 
-// HandoffSize returns the encoded size of a transfer in bytes, without framing.
-func HandoffSize(p Transfer) int { return proto.Size(encodeTransfer("", p)) }
+// TransferSize returns the encoded size of a transfer in bytes, without framing.
+func TransferSize(p Transfer) int { return proto.Size(encodeTransfer("", p)) }
 
 func encodeTransfer(from ident.Router, p Transfer) *peerpb.HandoffRequest {
 	return &peerpb.HandoffRequest{
