--- a/internal/share/claim/inspect.go
+++ b/internal/share/claim/inspect.go
@@ -36,10 +36,10 @@
 	return record, row.Version, err
 }
 
-// GiveBack releases a claim that no process holds any more, and writes an audit row in the same
+// ForceRelease releases a claim that no process holds any more, and writes an audit row in the same
 // transaction. The system cannot verify that nobody holds the claim; the operator is responsible
 // for that.
-func GiveBack(ctx context.Context, store Store, key Key, release GivenBack) (Record, error) {
+func ForceRelease(ctx context.Context, store Store, key Key, release GivenBack) (Record, error) {
 	const op = "claim.GiveBack"
 	record, version, err := Inspect(ctx, store, key)
 	if err != nil {
--- a/internal/share/claim/sweep_test.go
+++ b/internal/share/claim/sweep_test.go
@@ -72,7 +72,7 @@
 		c := f.router()
 		ticket, _, _ := begin(c, time.Second)
 		release := claim.GivenBack{Operator: "ana", At: time.Now(), Workspace: key.Workspace, Key: key.Name, Note: "did not run"}
-		if _, err := claim.GiveBack(ctx, f.store, key, release); err != nil {
+		if _, err := claim.ForceRelease(ctx, f.store, key, release); err != nil {
 			t.Fatal(err)
 		}
 		rows, err := f.store.Scan(ctx, table.Range{Table: claim.AuditTable})
@@ -82,7 +82,7 @@
 		if again, _, kind := begin(f.router(), time.Second); again == nil || again.Fence() <= ticket.Fence() {
 			t.Errorf("got kind %q and ticket %+v, want a greater fencing token", kind, again)
 		}
-		_, err = claim.GiveBack(ctx, f.store, claim.Key{Workspace: "w", Name: "none"}, release)
+		_, err = claim.ForceRelease(ctx, f.store, claim.Key{Workspace: "w", Name: "none"}, release)
 		if kind := fault.KindOf[claim.Kind](err); kind != claim.Running {
 			t.Errorf("releasing a missing claim: got %v, want kind running", err)
 		}
