--- a/internal/oper/admin/service.go
+++ b/internal/oper/admin/service.go
@@ -281,7 +281,7 @@
 	var record claim.Record
 	var err error
 	if m.GetGiveBack() {
-		record, err = claim.ForceRelease(ctx, s.Claims, key, claim.GivenBack{
+		record, err = claim.ForceRelease(ctx, s.Claims, key, claim.ManualRelease{
 			Operator: string(operatorOf(ctx)), At: s.Clock(), Workspace: key.Workspace, Key: key.Name, Note: m.GetNote(),
 		})
 	} else {
--- a/internal/share/claim/inspect.go
+++ b/internal/share/claim/inspect.go
@@ -13,8 +13,8 @@
 // AuditTable is the name of the table that records claims released by operators.
 const AuditTable table.Name = "claim_audit"
 
-// GivenBack is a row of the audit table.
-type GivenBack struct {
+// ManualRelease is a row of the audit table.
+type ManualRelease struct {
 	Operator  string          `json:"operator"`
 	At        time.Time       `json:"at"`
 	Workspace ident.Workspace `json:"workspace"`
@@ -39,7 +39,7 @@
 // ForceRelease releases a claim that no process holds any more, and writes an audit row in the same
 // transaction. The system cannot verify that nobody holds the claim; the operator is responsible
 // for that.
-func ForceRelease(ctx context.Context, store Store, key Key, release GivenBack) (Record, error) {
+func ForceRelease(ctx context.Context, store Store, key Key, release ManualRelease) (Record, error) {
 	const op = "claim.GiveBack"
 	record, version, err := Inspect(ctx, store, key)
 	if err != nil {
--- a/internal/share/claim/sweep_test.go
+++ b/internal/share/claim/sweep_test.go
@@ -71,7 +71,7 @@
 		ctx := context.Background()
 		c := f.router()
 		ticket, _, _ := begin(c, time.Second)
-		release := claim.GivenBack{Operator: "ana", At: time.Now(), Workspace: key.Workspace, Key: key.Name, Note: "did not run"}
+		release := claim.ManualRelease{Operator: "ana", At: time.Now(), Workspace: key.Workspace, Key: key.Name, Note: "did not run"}
 		if _, err := claim.ForceRelease(ctx, f.store, key, release); err != nil {
 			t.Fatal(err)
 		}
