--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -110,7 +110,7 @@
 	sender, closeSender := relay.New(relayLimits)
 	d.cleanups = append(d.cleanups, closeSender, func() { stopWithoutFlush(stopClaimWriter) })
 	d.engines = engine.New(platform, s.Platform.Timeout)
-	d.sweeper = claim.NewSweeper(d.table, claim.DefaultKeep, d.clock)
+	d.sweeper = claim.NewSweeper(d.table, claim.DefaultRetention, d.clock)
 	d.sweepLease = lease.New(d.table, sweepLeaseName, s.Router.ID, string(claim.NewAttempt()), s.Pace.Lease, d.clock)
 	closeGuard := d.buildGuard(sender)
 	d.cleanups = append(d.cleanups, closeGuard)
--- a/internal/share/claim/sweep.go
+++ b/internal/share/claim/sweep.go
@@ -17,8 +17,8 @@
 	Sent time.Duration
 }
 
-// DefaultKeep exceeds the time during which callers can be expected to retry.
-var DefaultKeep = Retention{Ended: 7 * 24 * time.Hour, Sent: 30 * 24 * time.Hour}
+// DefaultRetention exceeds the time during which callers can be expected to retry.
+var DefaultRetention = Retention{Ended: 7 * 24 * time.Hour, Sent: 30 * 24 * time.Hour}
 
 // ScanStore contains the table operations that a sweep requires.
 type ScanStore interface {
--- a/internal/share/claim/sweep_test.go
+++ b/internal/share/claim/sweep_test.go
@@ -27,13 +27,13 @@
 		<-time.After(time.Second)
 		sweep := func(later time.Duration) int {
 			clock := func() time.Time { return time.Now().Add(later) }
-			n, err := claim.NewSweeper(f.store, claim.DefaultKeep, clock).SweepPage(context.Background())
+			n, err := claim.NewSweeper(f.store, claim.DefaultRetention, clock).SweepPage(context.Background())
 			if err != nil {
 				t.Fatal(err)
 			}
 			return n
 		}
-		got := []int{sweep(0), sweep(claim.DefaultKeep.Ended * 2), sweep(claim.DefaultKeep.Ended * 2), sweep(claim.DefaultKeep.Sent * 2)}
+		got := []int{sweep(0), sweep(claim.DefaultRetention.Ended * 2), sweep(claim.DefaultRetention.Ended * 2), sweep(claim.DefaultRetention.Sent * 2)}
 		// Both claims are recent at first. The ended one expires before the one with an unknown
 		// outcome.
 		if diff := cmp.Diff([]int{0, 1, 0, 1}, got); diff != "" {
@@ -56,8 +56,8 @@
 				begin(f.router(), time.Second)
 			}
 		})
-		later := func() time.Time { return time.Now().Add(claim.DefaultKeep.Ended * 2) }
-		if n, err := claim.NewSweeper(f.store, claim.DefaultKeep, later).SweepPage(context.Background()); n != 0 || err != nil {
+		later := func() time.Time { return time.Now().Add(claim.DefaultRetention.Ended * 2) }
+		if n, err := claim.NewSweeper(f.store, claim.DefaultRetention, later).SweepPage(context.Background()); n != 0 || err != nil {
 			t.Errorf("removed %d claims (%v), want none: the claim was retaken", n, err)
 		}
 		if _, _, kind := begin(f.router(), time.Second); kind != claim.Running {
