--- a/internal/edge/front/problem.go
+++ b/internal/edge/front/problem.go
@@ -138,7 +138,7 @@
 	switch fault.KindOf[claim.Kind](err) {
 	case claim.Restored:
 		return &Problem{
-			Status: http.StatusServiceUnavailable, Code: CodeStoreDown, Outcome: retry.NotRun, RetryAfter: claim.Settling,
+			Status: http.StatusServiceUnavailable, Code: CodeStoreDown, Outcome: retry.NotRun, RetryAfter: claim.RestoreDelay,
 			Message: "the store that keeps the request from running twice has been restored, and is being completed",
 		}
 	case claim.Running:
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -14,9 +14,9 @@
 	"valescale/internal/plat/table"
 )
 
-// Settling is how long no claims are made after the store was restored from an older snapshot. Each
+// RestoreDelay is how long no claims are made after the store was restored from an older snapshot. Each
 // router detects the rollback within a second and rewrites the claims that the snapshot lacks.
-const Settling = 3 * time.Second
+const RestoreDelay = 3 * time.Second
 
 // onRestore rewrites this router's claims and blocks new ones until other routers have had time to
 // rewrite theirs: a missing claim may be a lost one.
@@ -25,12 +25,12 @@
 		return
 	}
 	c.mu.Lock()
-	c.blockedUntil = c.clock().Add(Settling)
+	c.blockedUntil = c.clock().Add(RestoreDelay)
 	c.restoreCount++
 	c.mu.Unlock()
 	claims := c.recentClaims.attempts()
 	_ = level.Warn(c.logger).Log("msg", "store restored from an older snapshot; new claims are blocked while this router rewrites its recent ones", "era", era,
-		"claims", len(claims), "for_ms", Settling.Milliseconds())
+		"claims", len(claims), "for_ms", RestoreDelay.Milliseconds())
 	c.outcomeWrites.background(func(ctx context.Context) {
 		var wg sync.WaitGroup
 		defer wg.Wait()
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -54,7 +54,7 @@
 			t.Errorf("second router right after the rollback: got ticket %v and kind %q, want kind restored", ticket, kind)
 		}
 		readStore(t, firstClient)
-		pause.Sleep(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.RestoreDelay)
 		ticket, got, kind := begin(second, time.Second)
 		if ticket != nil || got == nil {
 			t.Fatalf("second router after the settling time: got ticket %v and kind %q, want the answer", ticket, kind)
@@ -77,7 +77,7 @@
 		f.store.SetBack(snapshot)
 		readStore(t, firstClient)
 		readStore(t, secondClient)
-		pause.Sleep(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.RestoreDelay)
 		if again, _, kind := begin(second, 100*time.Millisecond); again != nil || kind != claim.Running {
 			t.Errorf("while the request runs: got ticket %v and kind %q, want kind running", again, kind)
 		}
@@ -101,7 +101,7 @@
 		pause.Sleep(t.Context(), time.Second)
 		f.store.SetBack(snapshot)
 		readStore(t, client)
-		pause.Sleep(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.RestoreDelay)
 		again, _, kind := begin(first, time.Second)
 		if again == nil {
 			t.Fatalf("got no ticket and kind %q", kind)
@@ -184,7 +184,7 @@
 		pause.Sleep(t.Context(), time.Second)
 		f.store.SetBack(f.store.Snapshot())
 		readStore(t, client)
-		pause.Sleep(t.Context(), claim.Settling)
+		pause.Sleep(t.Context(), claim.RestoreDelay)
 		if _, got, kind := begin(c, time.Second); got == nil {
 			t.Errorf("got kind %q, want the answer", kind)
 		}
