--- a/internal/oper/daemon/daemon.go
+++ b/internal/oper/daemon/daemon.go
@@ -202,7 +202,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(context.Background(), d.settings.Platform.Timeout*2)
 		defer cancel()
-		if err := d.follower.Heard(ctx, from); err != nil {
+		if err := d.follower.FollowPeer(ctx, from); err != nil {
 			_ = level.Warn(d.logger).Log("msg", "failed to fetch configuration from peer", "from", from, "err", err)
 		}
 	}()
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -220,7 +220,7 @@
 		case 2:
 			_ = at.follower.Poll(ctx)
 		case 3:
-			_ = at.follower.Heard(ctx, rapid.SampledFrom(names).Draw(r, "from"))
+			_ = at.follower.FollowPeer(ctx, rapid.SampledFrom(names).Draw(r, "from"))
 		case 4:
 			s.LoseResponses(rapid.IntRange(0, 2).Draw(r, "lost"))
 		case 5:
--- a/internal/share/config/follow.go
+++ b/internal/share/config/follow.go
@@ -128,9 +128,9 @@
 	return err
 }
 
-// Heard follows a new head reported by a peer. It fetches the changes from that peer, or from the
+// FollowPeer follows a new head reported by a peer. It fetches the changes from that peer, or from the
 // store if the peer does not respond.
-func (f *Follower) Heard(ctx context.Context, from ident.Router) error {
+func (f *Follower) FollowPeer(ctx context.Context, from ident.Router) error {
 	f.fetchMu.Lock()
 	err := f.fetch(ctx, from)
 	f.fetchMu.Unlock()
