--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -115,7 +115,7 @@
 	var peers []peer.Member
 	d.node.Read(func(v *peer.View) { peers = v.Peers() })
 	for _, p := range peers {
-		if err := d.follower.Copy(ctx, p.ID); err == nil {
+		if err := d.follower.Bootstrap(ctx, p.ID); err == nil {
 			return
 		}
 	}
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -178,12 +178,12 @@
 	if err := b.follower.Poll(ctx); err == nil || b.follower.Seen() {
 		t.Error("a router without store or peers reports that it has the configuration")
 	}
-	if err := b.follower.Copy(ctx, "a"); err != nil || !b.follower.Seen() || b.keeper.InForce().Revision != 1 {
+	if err := b.follower.Bootstrap(ctx, "a"); err != nil || !b.follower.Seen() || b.keeper.InForce().Revision != 1 {
 		t.Errorf("got revision %d and %v, want 1", b.keeper.InForce().Revision, err)
 	}
 	c := newRouter(s, p, "c")
 	p.cut = true
-	if err := c.follower.Copy(ctx, "a"); err == nil || c.follower.Seen() {
+	if err := c.follower.Bootstrap(ctx, "a"); err == nil || c.follower.Seen() {
 		t.Error("a disconnected router reports that it has the configuration")
 	}
 }
--- a/internal/share/config/follow.go
+++ b/internal/share/config/follow.go
@@ -151,9 +151,9 @@
 	return f.install(got.Changes)
 }
 
-// Copy installs the configuration of a ready router. It is used at startup while the store does not
+// Bootstrap installs the configuration of a ready router. It is used at startup while the store does not
 // respond.
-func (f *Follower) Copy(ctx context.Context, from ident.Router) error {
+func (f *Follower) Bootstrap(ctx context.Context, from ident.Router) error {
 	f.fetchMu.Lock()
 	defer f.fetchMu.Unlock()
 	if err := f.fetch(ctx, from); err != nil {
