--- a/internal/oper/daemon/peers.go
+++ b/internal/oper/daemon/peers.go
@@ -34,7 +34,7 @@
 // caller is too far behind.
 func (p *peerService) Fetch(_ context.Context, req *connect.Request[peerpb.FetchRequest]) (*connect.Response[peerpb.FetchReply], error) {
 	d := p.daemon
-	if !d.follower.Seen() {
+	if !d.follower.Initialized() {
 		return nil, connect.NewError(connect.CodeUnavailable, nil)
 	}
 	reply := &peerpb.FetchReply{Head: uint64(d.keeper.InForce().Revision)}
--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -82,10 +82,10 @@
 func (d *Daemon) waitUntilReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.node.Tell(ctx)
-		if !d.follower.Seen() {
+		if !d.follower.Initialized() {
 			d.copyConfig(ctx)
 		}
-		if d.follower.Seen() {
+		if d.follower.Initialized() {
 			d.mesh.Refresh(ctx)
 			d.ready.Store(!d.leaving.Load())
 			_ = level.Info(d.logger).Log("msg", "ready", "revision", d.Revision())
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -39,7 +39,7 @@
 
 func (p *peers) Fetch(_ context.Context, from ident.Router, after ident.Revision) (config.Fetched, error) {
 	r, ok := p.routers[from]
-	if !ok || p.cut || !r.follower.Seen() {
+	if !ok || p.cut || !r.follower.Initialized() {
 		return config.Fetched{}, errors.New("unreachable")
 	}
 	changes, ok := r.keeper.Since(after)
@@ -175,15 +175,15 @@
 	}
 	s.SetDown(true)
 	b := newRouter(s, p, "b")
-	if err := b.follower.Poll(ctx); err == nil || b.follower.Seen() {
+	if err := b.follower.Poll(ctx); err == nil || b.follower.Initialized() {
 		t.Error("a router without store or peers reports that it has the configuration")
 	}
-	if err := b.follower.Bootstrap(ctx, "a"); err != nil || !b.follower.Seen() || b.keeper.InForce().Revision != 1 {
+	if err := b.follower.Bootstrap(ctx, "a"); err != nil || !b.follower.Initialized() || b.keeper.InForce().Revision != 1 {
 		t.Errorf("got revision %d and %v, want 1", b.keeper.InForce().Revision, err)
 	}
 	c := newRouter(s, p, "c")
 	p.cut = true
-	if err := c.follower.Bootstrap(ctx, "a"); err == nil || c.follower.Seen() {
+	if err := c.follower.Bootstrap(ctx, "a"); err == nil || c.follower.Initialized() {
 		t.Error("a disconnected router reports that it has the configuration")
 	}
 }
@@ -295,11 +295,11 @@
 	newRouter(s, p, "a").record(t, "one", 1)
 	var late *router
 	early := false
-	late = newRouter(&hookedStore{Store: s, beforeScan: func() { early = early || late.follower.Seen() }}, p, "late")
+	late = newRouter(&hookedStore{Store: s, beforeScan: func() { early = early || late.follower.Initialized() }}, p, "late")
 	if err := late.follower.Poll(ctx); err != nil {
 		t.Fatal(err)
 	}
-	if early || !late.follower.Seen() {
-		t.Errorf("Seen before the install: %v, after it: %v; want false, true", early, late.follower.Seen())
+	if early || !late.follower.Initialized() {
+		t.Errorf("Seen before the install: %v, after it: %v; want false, true", early, late.follower.Initialized())
 	}
 }
--- a/internal/share/config/follow.go
+++ b/internal/share/config/follow.go
@@ -163,9 +163,9 @@
 	return nil
 }
 
-// Seen reports whether this router has ever obtained the configuration, from the store or from a
+// Initialized reports whether this router has ever obtained the configuration, from the store or from a
 // ready router.
-func (f *Follower) Seen() bool {
+func (f *Follower) Initialized() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.initialized
