--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -36,7 +36,7 @@
 func (n *Node) assignRole() {
 	zone := n.zoneOrder(n.self.Zone)
 	rank := slices.Index(zone, n.self.ID)
-	n.roles.Deputize(rank > 0 && rank <= backupReaders)
+	n.roles.SetBackupReader(rank > 0 && rank <= backupReaders)
 	if rank <= 0 {
 		n.setRole(true, "")
 		return
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -122,7 +122,7 @@
 		roles := NewRoles()
 		if i > 0 {
 			roles.Assign(false, routerAt((i-1)/childrenPerParent))
-			roles.Deputize(i <= backupReaders)
+			roles.SetBackupReader(i <= backupReaders)
 		}
 		f := NewFollower(z.boards[id], z, tableName, DefaultPace, roles, log.NewNopLogger(), uint64(i))
 		p := NewPuller(z.boards[id], zonePeers{z, id}, []table.Name{tableName}, DefaultPace, roles, log.NewNopLogger(), time.Now)
--- a/internal/share/feed/roles.go
+++ b/internal/share/feed/roles.go
@@ -58,8 +58,8 @@
 	r.notify()
 }
 
-// Deputize sets whether this router is a backup reader of its availability zone.
-func (r *Roles) Deputize(backupReader bool) { r.set(&r.backupReader, backupReader) }
+// SetBackupReader sets whether this router is a backup reader of its availability zone.
+func (r *Roles) SetBackupReader(backupReader bool) { r.set(&r.backupReader, backupReader) }
 
 // Reader returns whether this router is a reader, and its parent if it is not.
 func (r *Roles) Reader() (reader bool, parent ident.Router) {
