--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -94,7 +94,7 @@
 // becomeReady waits until configuration and targets are known. It also reads the store once the
 // readers' head start is over, and queries peers once peerFallbackDelay is over.
 func (n *Node) becomeReady(ctx context.Context) {
-	defer n.roles.Press(false)
+	defer n.roles.SetAlsoStore(false)
 	defer n.roles.Starve(false)
 	defer n.roles.Consult(false)
 	storeFallbackAt := n.Clock().Add(n.headStart())
@@ -111,7 +111,7 @@
 			return
 		}
 		if n.Clock().After(storeFallbackAt) {
-			n.roles.Press(true)
+			n.roles.SetAlsoStore(true)
 		}
 		if n.Clock().After(peerFallbackAt) {
 			n.roles.Starve(true)
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -207,11 +207,11 @@
 	if first, second := step(), step(); first != "parent" || second != "parent" || roles.readsStore() {
 		t.Errorf("called %s and %s, reads the store: %v; want the parent until its tables are loaded", first, second, roles.readsStore())
 	}
-	roles.Press(true)
+	roles.SetAlsoStore(true)
 	if !roles.readsStore() || !roles.readsPeers() {
 		t.Error("a router without a first copy reads from one source only")
 	}
-	roles.Press(false)
+	roles.SetAlsoStore(false)
 	*now = now.Add(DefaultPace.MaxPeerAge)
 	step()
 	if !roles.readsStore() {
--- a/internal/share/feed/roles.go
+++ b/internal/share/feed/roles.go
@@ -74,8 +74,8 @@
 	r.changed = make(chan struct{})
 }
 
-// Press sets whether a router that is no reader also reads from the store.
-func (r *Roles) Press(alsoStore bool) { r.set(&r.alsoStore, alsoStore) }
+// SetAlsoStore sets whether a router that is no reader also reads from the store.
+func (r *Roles) SetAlsoStore(alsoStore bool) { r.set(&r.alsoStore, alsoStore) }
 
 // Starve sets whether a reader also reads from peers.
 func (r *Roles) Starve(alsoPeers bool) { r.set(&r.alsoPeers, alsoPeers) }
