--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -95,7 +95,7 @@
 // readers' head start is over, and queries peers once peerFallbackDelay is over.
 func (n *Node) becomeReady(ctx context.Context) {
 	defer n.roles.SetAlsoStore(false)
-	defer n.roles.Starve(false)
+	defer n.roles.SetAlsoPeers(false)
 	defer n.roles.Consult(false)
 	storeFallbackAt := n.Clock().Add(n.headStart())
 	peerFallbackAt := n.Clock().Add(peerFallbackDelay)
@@ -114,7 +114,7 @@
 			n.roles.SetAlsoStore(true)
 		}
 		if n.Clock().After(peerFallbackAt) {
-			n.roles.Starve(true)
+			n.roles.SetAlsoPeers(true)
 		}
 		pause.Sleep(ctx, readyPollInterval)
 	}
--- a/internal/share/feed/roles.go
+++ b/internal/share/feed/roles.go
@@ -77,8 +77,8 @@
 // SetAlsoStore sets whether a router that is no reader also reads from the store.
 func (r *Roles) SetAlsoStore(alsoStore bool) { r.set(&r.alsoStore, alsoStore) }
 
-// Starve sets whether a reader also reads from peers.
-func (r *Roles) Starve(alsoPeers bool) { r.set(&r.alsoPeers, alsoPeers) }
+// SetAlsoPeers sets whether a reader also reads from peers.
+func (r *Roles) SetAlsoPeers(alsoPeers bool) { r.set(&r.alsoPeers, alsoPeers) }
 
 // Consult sets whether this router reads from peers regardless of its role.
 func (r *Roles) Consult(consulting bool) { r.set(&r.consulting, consulting) }
