--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -48,7 +48,7 @@
 		}
 	})
 	n.roles = feed.NewRoles()
-	n.roles.Consult(true)
+	n.roles.SetConsulting(true)
 	n.state = newState(n.Rows, n.Logger, n.Clock)
 	n.buildPeers(s)
 	n.buildRollouts(s)
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -96,7 +96,7 @@
 func (n *Node) becomeReady(ctx context.Context) {
 	defer n.roles.SetAlsoStore(false)
 	defer n.roles.SetAlsoPeers(false)
-	defer n.roles.Consult(false)
+	defer n.roles.SetConsulting(false)
 	storeFallbackAt := n.Clock().Add(n.headStart())
 	peerFallbackAt := n.Clock().Add(peerFallbackDelay)
 	var tablesKnown time.Time
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -227,7 +227,7 @@
 	r := &waitRecorder{fakePeers: fakePeers{others: []ident.Router{"x", "y", "z", "w"}}, waits: &waits}
 	for _, empty := range []int{0, 1, 2, 3} {
 		roles := NewRoles()
-		roles.Consult(true)
+		roles.SetConsulting(true)
 		calls := 0
 		r.reply = func(ident.Router) ([]Reply, error) {
 			calls++
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -140,7 +140,7 @@
 		p.emptyResponses++
 	}
 	if err == nil || kind == Stale || p.emptyResponses >= minEmptyResponses {
-		p.roles.Consult(false)
+		p.roles.SetConsulting(false)
 	}
 }
 
--- a/internal/share/feed/roles.go
+++ b/internal/share/feed/roles.go
@@ -80,8 +80,8 @@
 // SetAlsoPeers sets whether a reader also reads from peers.
 func (r *Roles) SetAlsoPeers(alsoPeers bool) { r.set(&r.alsoPeers, alsoPeers) }
 
-// Consult sets whether this router reads from peers regardless of its role.
-func (r *Roles) Consult(consulting bool) { r.set(&r.consulting, consulting) }
+// SetConsulting sets whether this router reads from peers regardless of its role.
+func (r *Roles) SetConsulting(consulting bool) { r.set(&r.consulting, consulting) }
 
 // Consulted reports whether the consultation of peers is over.
 func (r *Roles) Consulted() bool {
