--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -29,7 +29,7 @@
 			Value: fmt.Appendf(nil, `{"Service":"s","Addr":"10.1.%d.%d:8361","Zone":"zone-a","Version":"v1","Slots":16,"State":"ready"}`, i/250, i%250),
 		})
 	}
-	board.Take(packedTable, table.Position{}, page)
+	board.Apply(packedTable, table.Position{}, page)
 	return &peerService{board: board, packCache: newPackCache()}
 }
 
@@ -69,7 +69,7 @@
 		t.Error(diff)
 	}
 	changed := table.Row{Table: packedTable, Key: "i-00000007", Version: rows + 1, Value: []byte("other")}
-	p.board.Take(packedTable, table.Position{Version: rows}, table.Page{At: table.Position{Version: rows + 1}, Rows: []table.Row{changed}})
+	p.board.Apply(packedTable, table.Position{Version: rows}, table.Page{At: table.Position{Version: rows + 1}, Rows: []table.Row{changed}})
 	after := sortedRows(t, p.fetch(t, true))
 	if diff := gocmp.Diff(sortedRows(t, p.fetch(t, false)), after); diff != "" || string(after[7].Value) != "other" {
 		t.Errorf("after a change: %q, %s", after[7].Value, diff)
--- a/internal/share/feed/board.go
+++ b/internal/share/feed/board.go
@@ -79,10 +79,10 @@
 	return ident.Elapsed(r.confirmedAt, b.clock()), r.loaded
 }
 
-// Take applies a full snapshot, or a delta that starts at a position of the replica. It rejects
+// Apply applies a full snapshot, or a delta that starts at a position of the replica. It rejects
 // pages that are older than the replica or leave a gap, and applies only their ranked rows in that
 // case.
-func (b *Board) Take(name table.Name, after table.Position, page table.Page) bool {
+func (b *Board) Apply(name table.Name, after table.Position, page table.Page) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[name]
--- a/internal/share/feed/board_test.go
+++ b/internal/share/feed/board_test.go
@@ -51,17 +51,17 @@
 
 func TestReplicaRejectsOlderPages(t *testing.T) {
 	b, _, keys := testBoard()
-	b.Take(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5)))
-	if b.Take(tableName, pos(0), fullPage(4, row("a", 3))) {
+	b.Apply(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5)))
+	if b.Apply(tableName, pos(0), fullPage(4, row("a", 3))) {
 		t.Error("an older full snapshot is applied")
 	}
-	if b.Take(tableName, pos(4), deltaPage(4, deletedRow("b", 4))) {
+	if b.Apply(tableName, pos(4), deltaPage(4, deletedRow("b", 4))) {
 		t.Error("an older delta is applied")
 	}
-	if b.Take(tableName, pos(7), deltaPage(8, row("c", 8))) {
+	if b.Apply(tableName, pos(7), deltaPage(8, row("c", 8))) {
 		t.Error("a delta with a gap is applied")
 	}
-	if !b.Take(tableName, pos(4), deltaPage(6, row("b", 5), row("c", 6))) {
+	if !b.Apply(tableName, pos(4), deltaPage(6, row("b", 5), row("c", 6))) {
 		t.Error("an overlapping delta is rejected")
 	}
 	if diff := cmp.Diff([]table.Key{"a", "b", "c"}, *keys); diff != "" {
@@ -71,15 +71,15 @@
 
 func TestGracePeriodOnlyAfterOutage(t *testing.T) {
 	b, now, keys := testBoard()
-	b.Take(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5), row("c", 5)))
+	b.Apply(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5), row("c", 5)))
 	*now = now.Add(time.Second)
-	b.Take(tableName, pos(5), deltaPage(6, deletedRow("a", 6)))
+	b.Apply(tableName, pos(5), deltaPage(6, deletedRow("a", 6)))
 	if diff := cmp.Diff([]table.Key{"b", "c"}, *keys); diff != "" {
 		t.Errorf("without an outage: %s", diff)
 	}
 	*now = now.Add(10 * time.Second)
-	b.Take(tableName, pos(6), deltaPage(8, deletedRow("b", 7), deletedRow("c", 8)))
-	b.Take(tableName, pos(8), deltaPage(9, row("c", 9)))
+	b.Apply(tableName, pos(6), deltaPage(8, deletedRow("b", 7), deletedRow("c", 8)))
+	b.Apply(tableName, pos(8), deltaPage(9, row("c", 9)))
 	*now = now.Add(LapseGrace - time.Millisecond)
 	b.Sweep()
 	if diff := cmp.Diff([]table.Key{"b", "c"}, *keys); diff != "" {
@@ -100,18 +100,18 @@
 		have, loaded := c.Position(tableName)
 		page, ok := b.Since(State{Table: tableName, Known: loaded, At: have})
 		if ok {
-			c.Take(tableName, have, page)
+			c.Apply(tableName, have, page)
 		}
 	}
 	sync()
-	b.Take(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5)))
+	b.Apply(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5)))
 	sync()
-	b.Take(tableName, pos(5), deltaPage(7, deletedRow("a", 6), row("d", 7)))
+	b.Apply(tableName, pos(5), deltaPage(7, deletedRow("a", 6), row("d", 7)))
 	sync()
 	if diff := cmp.Diff([]table.Key{"b", "d"}, *keys); diff != "" {
 		t.Error(diff)
 	}
-	b.Take(tableName, pos(7), deltaPage(8, deletedRow("b", 8)))
+	b.Apply(tableName, pos(7), deltaPage(8, deletedRow("b", 8)))
 	*now = now.Add(2 * tombstoneTTL)
 	b.Sweep()
 	sync()
@@ -122,7 +122,7 @@
 
 func TestAgePropagatesThroughReplicas(t *testing.T) {
 	b, now, _ := testBoard()
-	b.Take(tableName, pos(0), fullPage(5))
+	b.Apply(tableName, pos(0), fullPage(5))
 	*now = now.Add(700 * time.Millisecond)
 	page, _ := b.Since(State{Table: tableName, Known: false, At: pos(0)})
 	if diff := cmp.Diff(700*time.Millisecond, page.Age); diff != "" {
@@ -135,11 +135,11 @@
 func TestReplicaOfReplicaAfterFullRead(t *testing.T) {
 	b, _, _ := testBoard()
 	c, _, keys := testBoard()
-	b.Take(tableName, pos(0), fullPage(5, row("a", 3)))
-	c.Take(tableName, pos(0), fullPage(7, row("a", 3), row("b", 7)))
-	b.Take(tableName, pos(0), fullPage(9, row("a", 3)))
+	b.Apply(tableName, pos(0), fullPage(5, row("a", 3)))
+	c.Apply(tableName, pos(0), fullPage(7, row("a", 3), row("b", 7)))
+	b.Apply(tableName, pos(0), fullPage(9, row("a", 3)))
 	page, _ := b.Since(State{Table: tableName, Known: true, At: pos(7)})
-	c.Take(tableName, pos(7), page)
+	c.Apply(tableName, pos(7), page)
 	if diff := cmp.Diff([]table.Key{"a"}, *keys); diff != "" {
 		t.Error(diff)
 	}
@@ -152,7 +152,7 @@
 	now := time.Now()
 	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
 	b.Follow(tableName, Rules{LostFor: LapseGrace}, func(Change) {})
-	b.Take(tableName, pos(0), fullPage(5, row("a", 3)))
+	b.Apply(tableName, pos(0), fullPage(5, row("a", 3)))
 	now = asleep.For(now, 4)
 	age, _ := b.Age(tableName)
 	page, _ := b.Since(State{Table: tableName, Known: true, At: pos(5)})
@@ -173,13 +173,13 @@
 	for i := range rows {
 		all = append(all, row(table.Key(strconv.Itoa(i)), table.Version(i+1)))
 	}
-	b.Take(tableName, pos(0), fullPage(rows, all...))
+	b.Apply(tableName, pos(0), fullPage(rows, all...))
 	if len(got.Rows) != rows {
 		t.Errorf("first change has %d rows, want %d", len(got.Rows), rows)
 	}
 	changed := row("7", rows+1)
 	changed.Value = []byte("other")
-	b.Take(tableName, pos(rows), deltaPage(rows+2, changed, deletedRow("8", rows+2)))
+	b.Apply(tableName, pos(rows), deltaPage(rows+2, changed, deletedRow("8", rows+2)))
 	want := Change{Rows: []table.Row{changed}, Removed: []table.Key{"8"}, At: pos(rows + 2)}
 	if diff := cmp.Diff(want, got, cmpopts.IgnoreUnexported(Change{})); diff != "" {
 		t.Error(diff)
--- a/internal/share/feed/changelog_test.go
+++ b/internal/share/feed/changelog_test.go
@@ -19,8 +19,8 @@
 		b, _, _ := testBoard()
 		follower, _, _ := testBoard()
 		version := table.Version(1)
-		b.Take(tableName, pos(0), fullPage(version, row("0", 1)))
-		follower.Take(tableName, pos(0), fullPage(version, row("0", 1)))
+		b.Apply(tableName, pos(0), fullPage(version, row("0", 1)))
+		follower.Apply(tableName, pos(0), fullPage(version, row("0", 1)))
 		versions := []table.Version{version}
 		for range 300 {
 			before := version
@@ -34,7 +34,7 @@
 					rows = append(rows, row(key, version))
 				}
 			}
-			b.Take(tableName, pos(before), deltaPage(version, rows...))
+			b.Apply(tableName, pos(before), deltaPage(version, rows...))
 			versions = append(versions, version)
 			from := versions[rng.IntN(len(versions))]
 			page, _ := b.Since(State{Table: tableName, Known: true, At: pos(from)})
@@ -47,7 +47,7 @@
 			if rng.IntN(5) == 0 {
 				have := follower.State(tableName)
 				page, _ := b.Since(have)
-				follower.Take(tableName, have.At, page)
+				follower.Apply(tableName, have.At, page)
 				if diff := cmp.Diff(b.replicas[tableName].effectiveRows(), follower.replicas[tableName].effectiveRows()); diff != "" {
 					t.Fatalf("seed %d, at %d: %s", seed, version, diff)
 				}
@@ -65,8 +65,8 @@
 			for i := range rows {
 				all = append(all, row(table.Key(strconv.Itoa(i)), table.Version(i+1)))
 			}
-			testBoard.Take(tableName, pos(0), fullPage(table.Version(rows), all...))
-			testBoard.Take(tableName, pos(table.Version(rows)), deltaPage(table.Version(rows+1), row("7", table.Version(rows+1))))
+			testBoard.Apply(tableName, pos(0), fullPage(table.Version(rows), all...))
+			testBoard.Apply(tableName, pos(table.Version(rows)), deltaPage(table.Version(rows+1), row("7", table.Version(rows+1))))
 			for b.Loop() {
 				testBoard.Since(State{Table: tableName, Known: true, At: pos(table.Version(rows))})
 			}
--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -85,8 +85,8 @@
 // in use for 2 s and more. A full snapshot of a later era must be applied whatever its version is.
 func TestStoreRestoredFromOlderSnapshot(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 30, "first"), rowIn(1, "b", 36, "lost")))
-	if !c.Take(tableName, posIn(0, 0), fullPageIn(2, 33, rowIn(2, "a", 33, "second"), rowIn(2, "c", 32, "new"))) {
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 30, "first"), rowIn(1, "b", 36, "lost")))
+	if !c.Apply(tableName, posIn(0, 0), fullPageIn(2, 33, rowIn(2, "a", 33, "second"), rowIn(2, "c", 32, "new"))) {
 		t.Fatal("a full snapshot of a later era is rejected")
 	}
 	c.advance(LapseGrace + time.Millisecond)
@@ -104,15 +104,15 @@
 // that had the same version before the rollback.
 func TestVersionReusedInLaterEra(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "revision 19"), rowIn(1, "b", 30, "same")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 36, rowIn(2, "a", 36, "revision 26"), rowIn(2, "b", 30, "same")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "revision 19"), rowIn(1, "b", 30, "same")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 36, rowIn(2, "a", 36, "revision 26"), rowIn(2, "b", 30, "same")))
 	c.expectRows(t, "same version, another value", map[table.Key]string{"a": "revision 26", "b": "same"})
 	notifications := c.notifications
-	c.Take(tableName, posIn(0, 0), fullPageIn(3, 36, rowIn(3, "a", 36, "revision 26"), rowIn(3, "b", 34, "same")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(3, 36, rowIn(3, "a", 36, "revision 26"), rowIn(3, "b", 34, "same")))
 	if c.notifications != notifications {
 		t.Error("unchanged rows are reported as changed")
 	}
-	c.Take(tableName, posIn(3, 36), deltaPageIn(3, 37, rowIn(3, "b", 37, "later")))
+	c.Apply(tableName, posIn(3, 36), deltaPageIn(3, 37, rowIn(3, "b", 37, "later")))
 	c.expectRows(t, "changes in the new era", map[table.Key]string{"a": "revision 26", "b": "later"})
 }
 
@@ -138,7 +138,7 @@
 	if diff := cmp.Diff([]table.Key{"a", "c", "d"}, *keys); diff != "" {
 		t.Error(diff)
 	}
-	if b.Take(tableName, posIn(2, 38), deltaPageIn(4, 40, rowIn(4, "e", 40, ""))) {
+	if b.Apply(tableName, posIn(2, 38), deltaPageIn(4, 40, rowIn(4, "e", 40, ""))) {
 		t.Error("a delta of a later era is applied")
 	}
 }
@@ -147,10 +147,10 @@
 // connection or from a peer. It must be rejected.
 func TestLateResponseOfEarlierEra(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "old")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 32, "new")))
-	if c.Take(tableName, posIn(1, 36), deltaPageIn(1, 40, rowIn(1, "a", 40, "late"))) ||
-		c.Take(tableName, posIn(0, 0), fullPageIn(1, 41, rowIn(1, "a", 41, "late"))) {
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "old")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 32, "new")))
+	if c.Apply(tableName, posIn(1, 36), deltaPageIn(1, 40, rowIn(1, "a", 40, "late"))) ||
+		c.Apply(tableName, posIn(0, 0), fullPageIn(1, 41, rowIn(1, "a", 41, "late"))) {
 		t.Error("a response of an earlier era is applied")
 	}
 	c.expectRows(t, "after the late response", map[table.Key]string{"a": "new"})
@@ -160,10 +160,10 @@
 // ahead receives none of the earlier, whatever their versions are.
 func TestRoutersInDifferentEras(t *testing.T) {
 	behind, ahead := newFixture(t), newFixture(t)
-	behind.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "old")))
-	ahead.Take(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 31, "new")))
+	behind.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "old")))
+	ahead.Apply(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 31, "new")))
 	page, _ := behind.Since(State{Table: tableName, Known: true, At: posIn(2, 32)})
-	if ahead.Take(tableName, posIn(2, 32), page) || len(page.Rows) > 0 {
+	if ahead.Apply(tableName, posIn(2, 32), page) || len(page.Rows) > 0 {
 		t.Errorf("a router in an earlier era sends %d rows", len(page.Rows))
 	}
 	if _, hasUpdates := behind.hasUpdates(map[table.Name]table.Position{tableName: posIn(2, 32)}); hasUpdates {
@@ -173,7 +173,7 @@
 		t.Error("a router in a later era has no updates for one in an earlier era")
 	}
 	page, _ = ahead.Since(State{Table: tableName, Known: true, At: posIn(1, 36)})
-	if !behind.Take(tableName, posIn(1, 36), page) {
+	if !behind.Apply(tableName, posIn(1, 36), page) {
 		t.Error("the page of a router in a later era is rejected")
 	}
 	behind.expectRows(t, "after the exchange", map[table.Key]string{"a": "new"})
@@ -185,18 +185,18 @@
 // the rows are written again.
 func TestSupersededRowsAfterStoreRollback(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 30, rowIn(1, "leaves", 10, "ready"), rowIn(1, "gone", 11, "ready"), rowIn(1, "stays", 12, "ready")))
-	c.Take(tableName, posIn(1, 30), deltaPageIn(1, 32, rowIn(1, "leaves", 31, "leaving"), table.Row{Key: "gone", Era: 1, Version: 32, Deleted: true}))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 30, rowIn(1, "leaves", 10, "ready"), rowIn(1, "gone", 11, "ready"), rowIn(1, "stays", 12, "ready")))
+	c.Apply(tableName, posIn(1, 30), deltaPageIn(1, 32, rowIn(1, "leaves", 31, "leaving"), table.Row{Key: "gone", Era: 1, Version: 32, Deleted: true}))
 	c.advance(time.Second)
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "leaves", 10, "ready"), rowIn(2, "gone", 11, "ready"), rowIn(2, "stays", 12, "ready")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "leaves", 10, "ready"), rowIn(2, "gone", 11, "ready"), rowIn(2, "stays", 12, "ready")))
 	known := map[table.Key]string{"leaves": "leaving", "stays": "ready"}
 	c.expectRows(t, "after the store rollback", known)
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "leaves", 10, "ready"), rowIn(2, "gone", 11, "ready"), rowIn(2, "stays", 12, "ready")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "leaves", 10, "ready"), rowIn(2, "gone", 11, "ready"), rowIn(2, "stays", 12, "ready")))
 	c.expectRows(t, "after another full read", known)
-	c.Take(tableName, posIn(2, 30), deltaPageIn(2, 31, rowIn(2, "leaves", 31, "leaving")))
+	c.Apply(tableName, posIn(2, 30), deltaPageIn(2, 31, rowIn(2, "leaves", 31, "leaving")))
 	c.advance(LapseGrace + time.Millisecond)
 	c.expectRows(t, "after the leaving target has written its row again", known)
-	c.Take(tableName, posIn(2, 31), deltaPageIn(2, 32, rowIn(2, "gone", 32, "ready")))
+	c.Apply(tableName, posIn(2, 31), deltaPageIn(2, 32, rowIn(2, "gone", 32, "ready")))
 	c.expectRows(t, "after the removed target has written its row again", map[table.Key]string{"leaves": "leaving", "gone": "ready", "stays": "ready"})
 }
 
@@ -204,9 +204,9 @@
 // targets take to rewrite their rows, a removed row with its tombstone.
 func TestSupersededRowsExpire(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 30, rowIn(1, "a", 10, "first"), rowIn(1, "b", 11, "first")))
-	c.Take(tableName, posIn(1, 30), deltaPageIn(1, 32, rowIn(1, "a", 31, "second"), table.Row{Key: "b", Era: 1, Version: 32, Deleted: true}))
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "a", 10, "first"), rowIn(2, "b", 11, "first")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 30, rowIn(1, "a", 10, "first"), rowIn(1, "b", 11, "first")))
+	c.Apply(tableName, posIn(1, 30), deltaPageIn(1, 32, rowIn(1, "a", 31, "second"), table.Row{Key: "b", Era: 1, Version: 32, Deleted: true}))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "a", 10, "first"), rowIn(2, "b", 11, "first")))
 	c.expectRows(t, "after the store rollback", map[table.Key]string{"a": "second"})
 	c.advance(LapseGrace + time.Millisecond)
 	c.expectRows(t, "after the grace period", map[table.Key]string{"a": "first"})
@@ -218,11 +218,11 @@
 // them, however short the outage was. The row of a target that has crashed meanwhile then expires.
 func TestRowsMissingAfterStoreRollback(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "lives", 35, "ready"), rowIn(1, "dies", 36, "ready")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "lives", 35, "ready"), rowIn(1, "dies", 36, "ready")))
 	c.advance(100 * time.Millisecond)
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 32))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32))
 	c.expectRows(t, "after the store rollback", map[table.Key]string{"lives": "ready", "dies": "ready"})
-	c.Take(tableName, posIn(2, 32), deltaPageIn(2, 33, rowIn(2, "lives", 33, "ready")))
+	c.Apply(tableName, posIn(2, 32), deltaPageIn(2, 33, rowIn(2, "lives", 33, "ready")))
 	c.advance(LapseGrace + time.Millisecond)
 	c.expectRows(t, "after the grace period", map[table.Key]string{"lives": "ready"})
 }
@@ -232,20 +232,20 @@
 func TestDeletionOfMissingRow(t *testing.T) {
 	c := newFixture(t)
 	c.Follow(tableName, Rules{LostFor: time.Hour}, c.replicas[tableName].changed)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 35, "closed")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 32))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 35, "closed")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32))
 	c.advance(LapseGrace + time.Millisecond)
 	c.expectRows(t, "before the deletion", map[table.Key]string{"a": "closed"})
-	c.Take(tableName, posIn(2, 32), deltaPageIn(2, 34, table.Row{Key: "a", Era: 2, Version: 34, Deleted: true}))
+	c.Apply(tableName, posIn(2, 32), deltaPageIn(2, 34, table.Row{Key: "a", Era: 2, Version: 34, Deleted: true}))
 	c.expectRows(t, "after the deletion", map[table.Key]string{})
 }
 
 // Two store rollbacks follow each other closely, the second one skipping an era.
 func TestConsecutiveStoreRollbacks(t *testing.T) {
 	c := newFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 36, rowIn(2, "a", 36, "one")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(3, 33, rowIn(3, "a", 33, "two")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(5, 31, rowIn(5, "a", 31, "three")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 36, rowIn(2, "a", 36, "one")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(3, 33, rowIn(3, "a", 33, "two")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(5, 31, rowIn(5, "a", 31, "three")))
 	if diff := cmp.Diff([]any{posIn(5, 31), true}, pair(c.Position(tableName))); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -89,7 +89,7 @@
 		return nil
 	}
 	// The page is rejected without harm if a peer has updated the replica meanwhile.
-	f.board.Take(f.name, at, page)
+	f.board.Apply(f.name, at, page)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 		return err
 	}
 	page.Full = true
-	if !f.board.Take(f.name, table.Position{}, page) {
+	if !f.board.Apply(f.name, table.Position{}, page) {
 		f.logStoreBehind(page.At)
 		pause.Sleep(ctx, f.timing.MaxBackoff)
 		return nil
--- a/internal/share/feed/override_test.go
+++ b/internal/share/feed/override_test.go
@@ -26,17 +26,17 @@
 // replaces it whatever its version is.
 func TestRankedRowsNeverGoBack(t *testing.T) {
 	c := newRankedFixture(t)
-	c.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "46")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 30, "40")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "46")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 30, "40")))
 	c.advance(2 * tombstoneTTL)
 	c.expectRows(t, "while the store has a lower rank", map[table.Key]string{"a": "46"})
-	c.Take(tableName, posIn(2, 32), deltaPageIn(2, 33, rowIn(2, "a", 33, "43")))
-	c.Take(tableName, posIn(0, 0), fullPageIn(3, 20))
+	c.Apply(tableName, posIn(2, 32), deltaPageIn(2, 33, rowIn(2, "a", 33, "43")))
+	c.Apply(tableName, posIn(0, 0), fullPageIn(3, 20))
 	c.advance(2 * tombstoneTTL)
 	c.expectRows(t, "while the store has no row", map[table.Key]string{"a": "46"})
-	c.Take(tableName, posIn(3, 20), deltaPageIn(3, 21, rowIn(3, "a", 21, "50")))
+	c.Apply(tableName, posIn(3, 20), deltaPageIn(3, 21, rowIn(3, "a", 21, "50")))
 	c.expectRows(t, "after the store returned a higher rank", map[table.Key]string{"a": "50"})
-	c.Take(tableName, posIn(3, 21), deltaPageIn(3, 22, rowIn(3, "a", 22, "invalid")))
+	c.Apply(tableName, posIn(3, 21), deltaPageIn(3, 22, rowIn(3, "a", 22, "invalid")))
 	c.expectRows(t, "within one era the store's row is effective", map[table.Key]string{"a": "invalid"})
 }
 
@@ -44,18 +44,18 @@
 // only to those.
 func TestRankedRowsAreSentToPeers(t *testing.T) {
 	overriding := newRankedFixture(t)
-	overriding.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "46")))
-	overriding.Take(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 30, "40")))
+	overriding.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "46")))
+	overriding.Apply(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 30, "40")))
 	behind := newRankedFixture(t)
-	behind.Take(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "46")))
+	behind.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 36, "46")))
 	sync := func(from, to *fixture) int {
 		page, _ := from.Since(to.State(tableName))
-		to.Take(tableName, to.State(tableName).At, page)
+		to.Apply(tableName, to.State(tableName).At, page)
 		return len(page.Kept)
 	}
 	for what, from := range map[string]*fixture{"in the same era": overriding, "in an earlier era": behind} {
 		starting := newRankedFixture(t)
-		starting.Take(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 30, "40")))
+		starting.Apply(tableName, posIn(0, 0), fullPageIn(2, 32, rowIn(2, "a", 30, "40")))
 		first := sync(from, starting)
 		if diff := cmp.Diff([]int{1, 0}, []int{first, sync(from, starting)}); diff != "" {
 			t.Errorf("rows sent by a router %s, in the first and second page: %s", what, diff)
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -209,7 +209,7 @@
 				continue
 			}
 		}
-		p.board.Take(reply.Table, after[reply.Table], reply.Page)
+		p.board.Apply(reply.Table, after[reply.Table], reply.Page)
 	}
 	if len(replies) < len(p.names) {
 		return fault.Newf(op, Empty, "peer %s has loaded %d of %d tables", from, len(replies), len(p.names))
