--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -21,7 +21,7 @@
 // newPeerService returns a service with a table of the given number of rows.
 func newPeerService(rows int) *peerService {
 	board := feed.NewBoard(log.NewNopLogger(), time.Now)
-	board.Follow(packedTable, feed.Rules{}, nil)
+	board.AddTable(packedTable, feed.Rules{}, nil)
 	page := table.Page{At: table.Position{Version: table.Version(rows)}, Full: true}
 	for i := range rows {
 		page.Rows = append(page.Rows, table.Row{
--- a/internal/share/feed/board.go
+++ b/internal/share/feed/board.go
@@ -49,9 +49,9 @@
 // callback.
 func (c Change) All() []table.Row { return c.source.effectiveRows() }
 
-// Follow adds a table. The changed callback is called in order after each change of effective rows,
+// AddTable adds a table. The changed callback is called in order after each change of effective rows,
 // and must not call the board.
-func (b *Board) Follow(name table.Name, rules Rules, changed func(Change)) {
+func (b *Board) AddTable(name table.Name, rules Rules, changed func(Change)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.replicas[name] = newReplica(rules, changed)
