--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -18,7 +18,7 @@
 func (n *Node) followTables() {
 	n.followRouters()
 	revision := func(row table.Row) uint64 { return uint64(n.Rows.Revision(row)) }
-	n.board.AddTable(n.Rows.ConfigTable(), feed.Rules{Rank: revision, LostFor: lostConfigTTL, Anew: true}, func(change feed.Change) {
+	n.board.AddTable(n.Rows.ConfigTable(), feed.Rules{Rank: revision, LostFor: lostConfigTTL, NotifyRewrites: true}, func(change feed.Change) {
 		rows := change.All()
 		n.state.setConfig(rows)
 		n.state.setClosed(rows)
--- a/internal/share/feed/replica.go
+++ b/internal/share/feed/replica.go
@@ -16,8 +16,8 @@
 	// other rows, and is nil for tables without ranked rows. A ranked row stays effective while a
 	// restored store has a row of lower rank or none.
 	Rank func(table.Row) uint64
-	// Anew is set if a row that is rewritten with the same value counts as a change.
-	Anew bool
+	// NotifyRewrites is set if a row that is rewritten with the same value counts as a change.
+	NotifyRewrites bool
 	// LostFor is how long a row stays effective that is missing from the older snapshot that the
 	// store was restored from.
 	LostFor time.Duration
@@ -260,7 +260,7 @@
 	r.changeLog.add(row.Key)
 	r.lastChange = later(r.lastChange, row.Position())
 	after, effective := r.effective(row.Key)
-	rewritten := r.rules.Anew && before.Position() != after.Position()
+	rewritten := r.rules.NotifyRewrites && before.Position() != after.Position()
 	return r.markChanged(row.Key, wasEffective != effective || rewritten || !bytes.Equal(before.Value, after.Value))
 }
 
