--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -43,7 +43,7 @@
 	c := &fixture{now: time.Unix(1000, 0)}
 	c.Board, _, _ = testBoard()
 	c.clock = func() time.Time { return c.now }
-	c.AddTable(tableName, Rules{LostFor: LapseGrace}, func(change Change) {
+	c.AddTable(tableName, Rules{MissingRowTTL: LapseGrace}, func(change Change) {
 		c.notifications++
 		if c.rows == nil {
 			c.rows = map[table.Key]string{}
@@ -231,7 +231,7 @@
 // reports its deletion.
 func TestDeletionOfMissingRow(t *testing.T) {
 	c := newFixture(t)
-	c.AddTable(tableName, Rules{LostFor: time.Hour}, c.replicas[tableName].changed)
+	c.AddTable(tableName, Rules{MissingRowTTL: time.Hour}, c.replicas[tableName].changed)
 	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 35, "closed")))
 	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32))
 	c.advance(LapseGrace + time.Millisecond)
--- a/internal/share/feed/replica.go
+++ b/internal/share/feed/replica.go
@@ -18,9 +18,9 @@
 	Rank func(table.Row) uint64
 	// NotifyRewrites is set if a row that is rewritten with the same value counts as a change.
 	NotifyRewrites bool
-	// LostFor is how long a row stays effective that is missing from the older snapshot that the
+	// MissingRowTTL is how long a row stays effective that is missing from the older snapshot that the
 	// store was restored from.
-	LostFor time.Duration
+	MissingRowTTL time.Duration
 }
 
 // replica is the replica of one table.
@@ -197,7 +197,7 @@
 	}
 	expires := r.graceEnd()
 	if restored {
-		expires = now.Add(r.rules.LostFor)
+		expires = now.Add(r.rules.MissingRowTTL)
 	}
 	for key := range r.rows {
 		if !fresh[key] {
