--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -28,7 +28,7 @@
 		n.peers.UpdateView(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
 		n.mesh.MarkDirty()
 	})
-	n.board.AddTable(n.Rows.TargetTable(), feed.Rules{MissingRowTTL: feed.LapseGrace}, func(change feed.Change) {
+	n.board.AddTable(n.Rows.TargetTable(), feed.Rules{MissingRowTTL: feed.RemovalGracePeriod}, func(change feed.Change) {
 		update, restarted := n.state.updateTargets(change)
 		for _, addr := range restarted {
 			n.conns.CloseIdle(addr)
--- a/internal/share/feed/board_test.go
+++ b/internal/share/feed/board_test.go
@@ -21,7 +21,7 @@
 	now := time.Unix(1000, 0)
 	keys := &[]table.Key{}
 	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
-	b.AddTable(tableName, Rules{MissingRowTTL: LapseGrace}, func(change Change) {
+	b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) {
 		*keys = nil
 		for _, r := range change.All() {
 			*keys = append(*keys, r.Key)
@@ -80,7 +80,7 @@
 	*now = now.Add(10 * time.Second)
 	b.Apply(tableName, pos(6), deltaPage(8, deletedRow("b", 7), deletedRow("c", 8)))
 	b.Apply(tableName, pos(8), deltaPage(9, row("c", 9)))
-	*now = now.Add(LapseGrace - time.Millisecond)
+	*now = now.Add(RemovalGracePeriod - time.Millisecond)
 	b.Sweep()
 	if diff := cmp.Diff([]table.Key{"b", "c"}, *keys); diff != "" {
 		t.Errorf("within the grace period: %s", diff)
@@ -151,7 +151,7 @@
 func TestAgeIncludesSuspendedTime(t *testing.T) {
 	now := time.Now()
 	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
-	b.AddTable(tableName, Rules{MissingRowTTL: LapseGrace}, func(Change) {})
+	b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(Change) {})
 	b.Apply(tableName, pos(0), fullPage(5, row("a", 3)))
 	now = asleep.For(now, 4)
 	age, _ := b.Age(tableName)
@@ -168,7 +168,7 @@
 	const rows = 1000
 	b, _, _ := testBoard()
 	var got Change
-	b.AddTable(tableName, Rules{MissingRowTTL: LapseGrace}, func(change Change) { got = change })
+	b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) { got = change })
 	var all []table.Row
 	for i := range rows {
 		all = append(all, row(table.Key(strconv.Itoa(i)), table.Version(i+1)))
--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -43,7 +43,7 @@
 	c := &fixture{now: time.Unix(1000, 0)}
 	c.Board, _, _ = testBoard()
 	c.clock = func() time.Time { return c.now }
-	c.AddTable(tableName, Rules{MissingRowTTL: LapseGrace}, func(change Change) {
+	c.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) {
 		c.notifications++
 		if c.rows == nil {
 			c.rows = map[table.Key]string{}
@@ -89,7 +89,7 @@
 	if !c.Apply(tableName, posIn(0, 0), fullPageIn(2, 33, rowIn(2, "a", 33, "second"), rowIn(2, "c", 32, "new"))) {
 		t.Fatal("a full snapshot of a later era is rejected")
 	}
-	c.advance(LapseGrace + time.Millisecond)
+	c.advance(RemovalGracePeriod + time.Millisecond)
 	c.expectRows(t, "after the store rollback", map[table.Key]string{"a": "second", "c": "new"})
 	if diff := cmp.Diff([]any{posIn(2, 33), true}, pair(c.Position(tableName))); diff != "" {
 		t.Error(diff)
@@ -194,7 +194,7 @@
 	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "leaves", 10, "ready"), rowIn(2, "gone", 11, "ready"), rowIn(2, "stays", 12, "ready")))
 	c.expectRows(t, "after another full read", known)
 	c.Apply(tableName, posIn(2, 30), deltaPageIn(2, 31, rowIn(2, "leaves", 31, "leaving")))
-	c.advance(LapseGrace + time.Millisecond)
+	c.advance(RemovalGracePeriod + time.Millisecond)
 	c.expectRows(t, "after the leaving target has written its row again", known)
 	c.Apply(tableName, posIn(2, 31), deltaPageIn(2, 32, rowIn(2, "gone", 32, "ready")))
 	c.expectRows(t, "after the removed target has written its row again", map[table.Key]string{"leaves": "leaving", "gone": "ready", "stays": "ready"})
@@ -208,7 +208,7 @@
 	c.Apply(tableName, posIn(1, 30), deltaPageIn(1, 32, rowIn(1, "a", 31, "second"), table.Row{Key: "b", Era: 1, Version: 32, Deleted: true}))
 	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 30, rowIn(2, "a", 10, "first"), rowIn(2, "b", 11, "first")))
 	c.expectRows(t, "after the store rollback", map[table.Key]string{"a": "second"})
-	c.advance(LapseGrace + time.Millisecond)
+	c.advance(RemovalGracePeriod + time.Millisecond)
 	c.expectRows(t, "after the grace period", map[table.Key]string{"a": "first"})
 	c.advance(tombstoneTTL)
 	c.expectRows(t, "after the tombstone expired", map[table.Key]string{"a": "first", "b": "first"})
@@ -223,7 +223,7 @@
 	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32))
 	c.expectRows(t, "after the store rollback", map[table.Key]string{"lives": "ready", "dies": "ready"})
 	c.Apply(tableName, posIn(2, 32), deltaPageIn(2, 33, rowIn(2, "lives", 33, "ready")))
-	c.advance(LapseGrace + time.Millisecond)
+	c.advance(RemovalGracePeriod + time.Millisecond)
 	c.expectRows(t, "after the grace period", map[table.Key]string{"lives": "ready"})
 }
 
@@ -234,7 +234,7 @@
 	c.AddTable(tableName, Rules{MissingRowTTL: time.Hour}, c.replicas[tableName].changed)
 	c.Apply(tableName, posIn(0, 0), fullPageIn(1, 36, rowIn(1, "a", 35, "closed")))
 	c.Apply(tableName, posIn(0, 0), fullPageIn(2, 32))
-	c.advance(LapseGrace + time.Millisecond)
+	c.advance(RemovalGracePeriod + time.Millisecond)
 	c.expectRows(t, "before the deletion", map[table.Key]string{"a": "closed"})
 	c.Apply(tableName, posIn(2, 32), deltaPageIn(2, 34, table.Row{Key: "a", Era: 2, Version: 34, Deleted: true}))
 	c.expectRows(t, "after the deletion", map[table.Key]string{})
@@ -249,7 +249,7 @@
 	if diff := cmp.Diff([]any{posIn(5, 31), true}, pair(c.Position(tableName))); diff != "" {
 		t.Error(diff)
 	}
-	c.advance(LapseGrace + time.Millisecond)
+	c.advance(RemovalGracePeriod + time.Millisecond)
 	c.expectRows(t, "after both rollbacks", map[table.Key]string{"a": "three"})
 }
 
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -114,7 +114,7 @@
 func (z *fakeZone) run(ctx context.Context, wg *sync.WaitGroup) {
 	for i := range routersPerZone {
 		b := NewBoard(log.NewNopLogger(), time.Now)
-		b.AddTable(tableName, Rules{MissingRowTTL: LapseGrace}, nil)
+		b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, nil)
 		z.boards[routerAt(i)] = b
 	}
 	for i := range routersPerZone {
--- a/internal/share/feed/override.go
+++ b/internal/share/feed/override.go
@@ -35,7 +35,7 @@
 	case !restored || present && bytes.Equal(current.Value, row.Value) || !r.history.contains(row):
 		// The store's row is effective.
 	case present:
-		r.override[row.Key] = override{row: current, expires: now.Add(LapseGrace)}
+		r.override[row.Key] = override{row: current, expires: now.Add(RemovalGracePeriod)}
 	case wasDeleted:
 		r.override[row.Key] = override{row: table.Row{Key: row.Key, Deleted: true}, expires: tombstone.removedAt.Add(tombstoneTTL)}
 	case overridden:
--- a/internal/share/feed/override_test.go
+++ b/internal/share/feed/override_test.go
@@ -14,7 +14,7 @@
 	t.Helper()
 	c := newFixture(t)
 	changed := c.replicas[tableName].changed
-	c.AddTable(tableName, Rules{MissingRowTTL: LapseGrace, Rank: func(row table.Row) uint64 {
+	c.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod, Rank: func(row table.Row) uint64 {
 		// A value that is not a number has rank zero.
 		rank, _ := strconv.ParseUint(string(row.Value), 10, 64)
 		return rank
--- a/internal/share/feed/replica.go
+++ b/internal/share/feed/replica.go
@@ -105,9 +105,9 @@
 }
 
 const (
-	// LapseGrace is how long after the store's recovery a row stays effective that was removed in
+	// RemovalGracePeriod is how long after the store's recovery a row stays effective that was removed in
 	// the meantime. The platform makes live targets rewrite their rows within about two seconds.
-	LapseGrace = 2200 * time.Millisecond
+	RemovalGracePeriod = 2200 * time.Millisecond
 	// minOutage is the shortest time without a response of the store that may have caused rows to be
 	// removed: a target's row is removed after three missed heartbeats of about a second.
 	minOutage = 2500 * time.Millisecond
@@ -294,7 +294,7 @@
 	if r.recoveredAt.IsZero() {
 		return time.Time{}
 	}
-	return r.recoveredAt.Add(LapseGrace)
+	return r.recoveredAt.Add(RemovalGracePeriod)
 }
 
 // since returns the changes since the state of a peer's replica. A peer in a later era gets only
