--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -96,7 +96,7 @@
 // readAll reads a full snapshot. A store that was restored without reporting a new era returns an
 // older state, which is ignored until its version has caught up.
 func (f *Follower) readAll(ctx context.Context) error {
-	ctx, cancel := context.WithTimeout(ctx, f.timing.Whole)
+	ctx, cancel := context.WithTimeout(ctx, f.timing.FullReadTimeout)
 	defer cancel()
 	page, err := f.source.All(ctx, f.name)
 	if err != nil {
--- a/internal/share/feed/timing.go
+++ b/internal/share/feed/timing.go
@@ -7,9 +7,9 @@
 	// StoreWait is how long the store may hold a call until something changes. A broken connection
 	// that was not closed is only detected after it.
 	StoreWait time.Duration
-	// Whole is the timeout for reading a full table. The source sets a much shorter timeout for each
+	// FullReadTimeout is the timeout for reading a full table. The source sets a much shorter timeout for each
 	// of its pages.
-	Whole time.Duration
+	FullReadTimeout time.Duration
 	// TimeoutMargin is added to the wait of a call to get its timeout.
 	TimeoutMargin time.Duration
 	// BatchDelay is the delay after a change, so that changes in quick succession are read together.
@@ -45,7 +45,7 @@
 // The rows of 3,100 targets are about 1 MB, which takes a second on a link of 10 Mbit/s and several
 // seconds if it is shared with the router's other traffic. Peers send them compressed to a fifth.
 var DefaultPace = Timing{
-	StoreWait: time.Second, Whole: 10 * time.Second, TimeoutMargin: 300 * time.Millisecond,
+	StoreWait: time.Second, FullReadTimeout: 10 * time.Second, TimeoutMargin: 300 * time.Millisecond,
 	BatchDelay: 150 * time.Millisecond, MinBackoff: 50 * time.Millisecond, MaxBackoff: 500 * time.Millisecond, MaxChildBackoff: 4 * time.Second,
 	PeerWait: 400 * time.Millisecond, PeerFirstWait: 100 * time.Millisecond, PeerWhole: 2 * time.Second, MaxPeerAge: 1400 * time.Millisecond,
 }
