--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -185,7 +185,7 @@
 	if err := p.Step(t.Context(), "parent"); err == nil {
 		t.Fatal("the call to the parent succeeded")
 	}
-	want := []time.Duration{DefaultPace.PeerWhole, DefaultPace.FullReadTimeout, DefaultPace.PeerWait + DefaultPace.TimeoutMargin}
+	want := []time.Duration{DefaultPace.PeerFullTimeout, DefaultPace.FullReadTimeout, DefaultPace.PeerWait + DefaultPace.TimeoutMargin}
 	if diff := cmp.Diff(want, s.timeouts); diff != "" {
 		t.Error(diff)
 	}
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -255,7 +255,7 @@
 // callTimeout returns the timeout of a call, which is longer while a full table is expected.
 func (p *Puller) callTimeout(states []State) time.Duration {
 	if anyMissing(states) {
-		return p.timing.PeerWhole
+		return p.timing.PeerFullTimeout
 	}
 	return p.timing.PeerWait + p.timing.TimeoutMargin
 }
--- a/internal/share/feed/timing.go
+++ b/internal/share/feed/timing.go
@@ -26,8 +26,8 @@
 	// PeerFirstWait is how long a peer may hold a call while this router lacks a first copy of a
 	// table.
 	PeerFirstWait time.Duration
-	// PeerWhole is the timeout of a call to a peer while a table has not been loaded.
-	PeerWhole time.Duration
+	// PeerFullTimeout is the timeout of a call to a peer while a table has not been loaded.
+	PeerFullTimeout time.Duration
 	// MaxPeerAge is the maximum age of a page from a peer.
 	MaxPeerAge time.Duration
 }
@@ -47,5 +47,5 @@
 var DefaultPace = Timing{
 	StoreWait: time.Second, FullReadTimeout: 10 * time.Second, TimeoutMargin: 300 * time.Millisecond,
 	BatchDelay: 150 * time.Millisecond, MinBackoff: 50 * time.Millisecond, MaxBackoff: 500 * time.Millisecond, MaxChildBackoff: 4 * time.Second,
-	PeerWait: 400 * time.Millisecond, PeerFirstWait: 100 * time.Millisecond, PeerWhole: 2 * time.Second, MaxPeerAge: 1400 * time.Millisecond,
+	PeerWait: 400 * time.Millisecond, PeerFirstWait: 100 * time.Millisecond, PeerFullTimeout: 2 * time.Second, MaxPeerAge: 1400 * time.Millisecond,
 }
