--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -56,7 +56,7 @@
 	n.buildMesh(s)
 	n.followTables()
 	n.buildEntry(s)
-	n.puller = feed.NewPuller(n.board, peerRows{n}, n.followedTables(), feed.DefaultPace, n.roles, n.Logger, n.Clock)
+	n.puller = feed.NewPuller(n.board, peerRows{n}, n.followedTables(), feed.DefaultTiming, n.roles, n.Logger, n.Clock)
 	// Routers that are listed in the store can be contacted at once.
 	n.updateRouters()
 }
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -88,5 +88,5 @@
 // follower returns the follower of one table.
 func (n *Node) follower(name table.Name) *feed.Follower {
 	seed := uint64(n.self.ID.Hash())
-	return feed.NewFollower(n.board, n.Store, name, feed.DefaultPace, n.roles, n.Logger, seed)
+	return feed.NewFollower(n.board, n.Store, name, feed.DefaultTiming, n.roles, n.Logger, seed)
 }
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -40,7 +40,7 @@
 func (s *fakeSource) AdvanceTo(table.Era) {}
 
 func follower(b *Board, s *fakeSource) *Follower {
-	return NewFollower(b, s, tableName, DefaultPace, NewRoles(), log.NewNopLogger(), 1)
+	return NewFollower(b, s, tableName, DefaultTiming, NewRoles(), log.NewNopLogger(), 1)
 }
 
 func TestCompactedChangeLogTriggersFullRead(t *testing.T) {
@@ -94,7 +94,7 @@
 		}
 		return []Reply{{Table: tableName, Page: fullPage(5, row("a", 5))}}, nil
 	}
-	p := NewPuller(b, r, []table.Name{tableName}, DefaultPace, roles, log.NewNopLogger(), func() time.Time { return *now })
+	p := NewPuller(b, r, []table.Name{tableName}, DefaultTiming, roles, log.NewNopLogger(), func() time.Time { return *now })
 	step := func() {
 		peer, ok := p.peer()
 		if !ok {
@@ -122,9 +122,9 @@
 func TestStalePageIsRejected(t *testing.T) {
 	b, now, keys := testBoard()
 	stale := fullPage(5, row("a", 5))
-	stale.Age = DefaultPace.MaxPeerAge + time.Millisecond
+	stale.Age = DefaultTiming.MaxPeerAge + time.Millisecond
 	r := &fakePeers{reply: func(ident.Router) ([]Reply, error) { return []Reply{{Table: tableName, Page: stale}}, nil }}
-	p := NewPuller(b, r, []table.Name{tableName}, DefaultPace, NewRoles(), log.NewNopLogger(), func() time.Time { return *now })
+	p := NewPuller(b, r, []table.Name{tableName}, DefaultTiming, NewRoles(), log.NewNopLogger(), func() time.Time { return *now })
 	err := p.Step(t.Context(), "x")
 	if diff := cmp.Diff(Stale, fault.KindOf[Kind](err)); diff != "" {
 		t.Error(diff)
@@ -173,9 +173,9 @@
 func TestFullReadTimeouts(t *testing.T) {
 	b, now, _ := testBoard()
 	s := &timeoutRecorder{fakeSource: fakeSource{results: []result{{page: table.Page{At: table.Position{Version: 5}, Rows: []table.Row{row("a", 5)}}}}}}
-	f := NewFollower(b, s, tableName, DefaultPace, NewRoles(), log.NewNopLogger(), 1)
+	f := NewFollower(b, s, tableName, DefaultTiming, NewRoles(), log.NewNopLogger(), 1)
 	s.reply = func(ident.Router) ([]Reply, error) { return nil, fault.New("test", Unreachable, nil) }
-	p := NewPuller(b, s, []table.Name{tableName}, DefaultPace, NewRoles(), log.NewNopLogger(), func() time.Time { return *now })
+	p := NewPuller(b, s, []table.Name{tableName}, DefaultTiming, NewRoles(), log.NewNopLogger(), func() time.Time { return *now })
 	if err := p.Step(t.Context(), "parent"); err == nil {
 		t.Fatal("the call to the parent succeeded")
 	}
@@ -185,7 +185,7 @@
 	if err := p.Step(t.Context(), "parent"); err == nil {
 		t.Fatal("the call to the parent succeeded")
 	}
-	want := []time.Duration{DefaultPace.PeerFullTimeout, DefaultPace.FullReadTimeout, DefaultPace.PeerWait + DefaultPace.TimeoutMargin}
+	want := []time.Duration{DefaultTiming.PeerFullTimeout, DefaultTiming.FullReadTimeout, DefaultTiming.PeerWait + DefaultTiming.TimeoutMargin}
 	if diff := cmp.Diff(want, s.timeouts); diff != "" {
 		t.Error(diff)
 	}
@@ -198,7 +198,7 @@
 	roles := NewRoles()
 	roles.Assign(false, "parent")
 	r := &fakePeers{reply: func(ident.Router) ([]Reply, error) { return nil, nil }}
-	p := NewPuller(b, r, []table.Name{tableName}, DefaultPace, roles, log.NewNopLogger(), func() time.Time { return *now })
+	p := NewPuller(b, r, []table.Name{tableName}, DefaultTiming, roles, log.NewNopLogger(), func() time.Time { return *now })
 	step := func() ident.Router {
 		peer, _ := p.peer()
 		p.handleResult(t.Context(), peer, p.Step(t.Context(), peer))
@@ -212,7 +212,7 @@
 		t.Error("a router without a first copy reads from one source only")
 	}
 	roles.SetAlsoStore(false)
-	*now = now.Add(DefaultPace.MaxPeerAge)
+	*now = now.Add(DefaultTiming.MaxPeerAge)
 	step()
 	if !roles.readsStore() {
 		t.Error("the store is not read although the parent has still not loaded its tables")
@@ -237,7 +237,7 @@
 			return []Reply{{Table: tableName, Page: fullPage(5, row("a", 5))}}, nil
 		}
 		waits = nil
-		p := NewPuller(b, r, []table.Name{tableName}, DefaultPace, roles, log.NewNopLogger(), func() time.Time { return *now })
+		p := NewPuller(b, r, []table.Name{tableName}, DefaultTiming, roles, log.NewNopLogger(), func() time.Time { return *now })
 		for !roles.Consulted() {
 			peer, _ := p.peer()
 			p.handleResult(t.Context(), peer, p.Step(t.Context(), peer))
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -124,8 +124,8 @@
 			roles.Assign(false, routerAt((i-1)/childrenPerParent))
 			roles.SetBackupReader(i <= backupReaders)
 		}
-		f := NewFollower(z.boards[id], z, tableName, DefaultPace, roles, log.NewNopLogger(), uint64(i))
-		p := NewPuller(z.boards[id], zonePeers{z, id}, []table.Name{tableName}, DefaultPace, roles, log.NewNopLogger(), time.Now)
+		f := NewFollower(z.boards[id], z, tableName, DefaultTiming, roles, log.NewNopLogger(), uint64(i))
+		p := NewPuller(z.boards[id], zonePeers{z, id}, []table.Name{tableName}, DefaultTiming, roles, log.NewNopLogger(), time.Now)
 		wg.Go(func() { f.Run(ctx) })
 		wg.Go(func() { p.Run(ctx) })
 	}
--- a/internal/share/feed/timing.go
+++ b/internal/share/feed/timing.go
@@ -32,7 +32,7 @@
 	MaxPeerAge time.Duration
 }
 
-// DefaultPace lets a configuration take effect within two seconds whichever component hangs: a
+// DefaultTiming lets a configuration take effect within two seconds whichever component hangs: a
 // router that reads from a peer detects at the next response, at most 0.4 s later, that its data is
 // over 1.4 s old, and reads from the store itself. A recovered store is detected within half a
 // second.
@@ -44,7 +44,7 @@
 //
 // The rows of 3,100 targets are about 1 MB, which takes a second on a link of 10 Mbit/s and several
 // seconds if it is shared with the router's other traffic. Peers send them compressed to a fifth.
-var DefaultPace = Timing{
+var DefaultTiming = Timing{
 	StoreWait: time.Second, FullReadTimeout: 10 * time.Second, TimeoutMargin: 300 * time.Millisecond,
 	BatchDelay: 150 * time.Millisecond, MinBackoff: 50 * time.Millisecond, MaxBackoff: 500 * time.Millisecond, MaxChildBackoff: 4 * time.Second,
 	PeerWait: 400 * time.Millisecond, PeerFirstWait: 100 * time.Millisecond, PeerFullTimeout: 2 * time.Second, MaxPeerAge: 1400 * time.Millisecond,
