--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -25,7 +25,7 @@
 	settings atomic.Pointer[Settings]
 	// board holds replicas of the store's tables, state their decoded contents, and roles the
 	// source that they are read from.
-	board *feed.Board
+	board *feed.Replicas
 	state *state
 	roles *feed.Roles
 	// puller reads the tables from peers.
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -20,7 +20,7 @@
 type peerService struct {
 	*home.Server
 	peers     *peer.Node
-	board     *feed.Board
+	board     *feed.Replicas
 	packCache *packCache
 }
 
--- a/internal/share/feed/board.go
+++ b/internal/share/feed/board.go
@@ -12,8 +12,8 @@
 	"valescale/internal/plat/table"
 )
 
-// Board holds replicas of tables of the store.
-type Board struct {
+// Replicas holds replicas of tables of the store.
+type Replicas struct {
 	mu     sync.Mutex
 	clock  ident.Clock
 	logger log.Logger
@@ -26,13 +26,13 @@
 }
 
 // NewBoard returns a board without tables.
-func NewBoard(logger log.Logger, clock ident.Clock) *Board {
-	return &Board{clock: clock, logger: logger, replicas: map[table.Name]*replica{}, rowsChanged: make(chan struct{})}
+func NewBoard(logger log.Logger, clock ident.Clock) *Replicas {
+	return &Replicas{clock: clock, logger: logger, replicas: map[table.Name]*replica{}, rowsChanged: make(chan struct{})}
 }
 
 // OnRestored sets the function that is called when a replica moves to a later era. The function must
 // not block or call the board. It must be set before the first page is applied.
-func (b *Board) OnRestored(onRestored func(table.Era)) { b.onRestored = onRestored }
+func (b *Replicas) OnRestored(onRestored func(table.Era)) { b.onRestored = onRestored }
 
 // Change contains the differences between two states of a table's effective rows.
 type Change struct {
@@ -51,20 +51,20 @@
 
 // AddTable adds a table. The changed callback is called in order after each change of effective rows,
 // and must not call the board.
-func (b *Board) AddTable(name table.Name, rules Rules, changed func(Change)) {
+func (b *Replicas) AddTable(name table.Name, rules Rules, changed func(Change)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	b.replicas[name] = newReplica(rules, changed)
 }
 
 // Position returns the position of a table's replica, and whether the replica has been loaded.
-func (b *Board) Position(name table.Name) (table.Position, bool) {
+func (b *Replicas) Position(name table.Name) (table.Position, bool) {
 	s := b.State(name)
 	return s.At, s.Known
 }
 
 // State returns the position and the highest rank of a table's replica.
-func (b *Board) State(name table.Name) State {
+func (b *Replicas) State(name table.Name) State {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[name]
@@ -72,7 +72,7 @@
 }
 
 // Age returns the time since the store last confirmed that a table's replica is current.
-func (b *Board) Age(name table.Name) (age time.Duration, loaded bool) {
+func (b *Replicas) Age(name table.Name) (age time.Duration, loaded bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[name]
@@ -82,7 +82,7 @@
 // Apply applies a full snapshot, or a delta that starts at a position of the replica. It rejects
 // pages that are older than the replica or leave a gap, and applies only their ranked rows in that
 // case.
-func (b *Board) Apply(name table.Name, after table.Position, page table.Page) bool {
+func (b *Replicas) Apply(name table.Name, after table.Position, page table.Page) bool {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[name]
@@ -101,7 +101,7 @@
 }
 
 // MergeRanked applies only the ranked rows of a page.
-func (b *Board) MergeRanked(name table.Name, page table.Page) {
+func (b *Replicas) MergeRanked(name table.Name, page table.Page) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if r := b.replicas[name]; r != nil {
@@ -111,7 +111,7 @@
 
 // mergeRanked applies the ranked rows of a page, and reports whether any of them ranks above the
 // effective row. The caller holds the lock.
-func (b *Board) mergeRanked(name table.Name, r *replica, page table.Page) bool {
+func (b *Replicas) mergeRanked(name table.Name, r *replica, page table.Page) bool {
 	changed := false
 	for _, row := range page.Kept {
 		if r.mergeRanked(row) {
@@ -125,7 +125,7 @@
 
 // applyAndLog applies a page to a replica, logs the effect of a full snapshot, and reports whether
 // effective rows changed. The caller holds the lock.
-func (b *Board) applyAndLog(name table.Name, r *replica, page table.Page) bool {
+func (b *Replicas) applyAndLog(name table.Name, r *replica, page table.Page) bool {
 	now, previous, rowsBefore, loaded := b.clock(), r.position, len(r.rows), r.loaded
 	r.confirm(now.Add(-page.Age))
 	changed := r.applyPage(now, page)
@@ -140,7 +140,7 @@
 }
 
 // Sweep removes expired overrides and tombstones.
-func (b *Board) Sweep() {
+func (b *Replicas) Sweep() {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	now := b.clock()
@@ -152,7 +152,7 @@
 // Since returns the changes of a table since the state of a peer's replica, or a full snapshot if
 // the peer has no replica or one older than the retained tombstones. The result loaded is false
 // while the table has not been loaded.
-func (b *Board) Since(have State) (page table.Page, loaded bool) {
+func (b *Replicas) Since(have State) (page table.Page, loaded bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	r := b.replicas[have.Table]
@@ -165,7 +165,7 @@
 }
 
 // Wait blocks until a table has changed after one of the given positions, for at most wait.
-func (b *Board) Wait(ctx context.Context, after map[table.Name]table.Position, wait time.Duration) {
+func (b *Replicas) Wait(ctx context.Context, after map[table.Name]table.Position, wait time.Duration) {
 	timer := time.NewTimer(wait)
 	defer timer.Stop()
 	for {
@@ -185,7 +185,7 @@
 
 // hasUpdates reports whether a table has changed after one of the positions, and returns the channel
 // that is closed at the next change.
-func (b *Board) hasUpdates(after map[table.Name]table.Position) (<-chan struct{}, bool) {
+func (b *Replicas) hasUpdates(after map[table.Name]table.Position) (<-chan struct{}, bool) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	for name, at := range after {
@@ -198,7 +198,7 @@
 
 // notify calls the change callback if effective rows changed, and wakes the callers of Wait if there
 // are changes or newer rows. The caller holds the lock.
-func (b *Board) notify(r *replica, changed, newerRows bool) {
+func (b *Replicas) notify(r *replica, changed, newerRows bool) {
 	if changed || newerRows {
 		close(b.rowsChanged)
 		b.rowsChanged = make(chan struct{})
--- a/internal/share/feed/board_test.go
+++ b/internal/share/feed/board_test.go
@@ -17,7 +17,7 @@
 
 // testBoard returns a board with one table, its adjustable clock, and the effective keys after the
 // latest change.
-func testBoard() (*Board, *time.Time, *[]table.Key) {
+func testBoard() (*Replicas, *time.Time, *[]table.Key) {
 	now := time.Unix(1000, 0)
 	keys := &[]table.Key{}
 	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -31,7 +31,7 @@
 
 // fixture is a board with one table, whose effective rows are recorded as key and value.
 type fixture struct {
-	*Board
+	*Replicas
 	now  time.Time
 	rows map[table.Key]string
 	// notifications counts the calls of the change callback.
@@ -41,7 +41,7 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	c := &fixture{now: time.Unix(1000, 0)}
-	c.Board, _, _ = testBoard()
+	c.Replicas, _, _ = testBoard()
 	c.clock = func() time.Time { return c.now }
 	c.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) {
 		c.notifications++
--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -24,7 +24,7 @@
 
 // Follower updates one table's replica from the store while the router's role requires it.
 type Follower struct {
-	board  *Board
+	board  *Replicas
 	source Source
 	name   table.Name
 	timing Timing
@@ -40,7 +40,7 @@
 }
 
 // NewFollower returns a follower of a table of the board.
-func NewFollower(board *Board, source Source, name table.Name, timing Timing, roles *Roles, logger log.Logger, seed uint64) *Follower {
+func NewFollower(board *Replicas, source Source, name table.Name, timing Timing, roles *Roles, logger log.Logger, seed uint64) *Follower {
 	return &Follower{
 		board: board, source: source, name: name, timing: timing, roles: roles, logger: logger,
 		rng: rand.New(rand.NewPCG(seed, uint64(len(name)))),
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -39,7 +39,7 @@
 
 func (s *fakeSource) AdvanceTo(table.Era) {}
 
-func follower(b *Board, s *fakeSource) *Follower {
+func follower(b *Replicas, s *fakeSource) *Follower {
 	return NewFollower(b, s, tableName, DefaultTiming, NewRoles(), log.NewNopLogger(), 1)
 }
 
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -33,7 +33,7 @@
 	hanging bool
 	version table.Version
 	calls   int
-	boards  map[ident.Router]*Board
+	boards  map[ident.Router]*Replicas
 	// era grows with each store rollback; fullReads counts full reads.
 	era       table.Era
 	fullReads int
@@ -165,7 +165,7 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		z := &fakeZone{version: 1, boards: map[ident.Router]*Board{}}
+		z := &fakeZone{version: 1, boards: map[ident.Router]*Replicas{}}
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer cancel()
@@ -207,7 +207,7 @@
 	)
 	synctest.Test(t, func(t *testing.T) {
 		ctx, cancel := context.WithCancel(t.Context())
-		z := &fakeZone{version: 36, era: 1, boards: map[ident.Router]*Board{}}
+		z := &fakeZone{version: 36, era: 1, boards: map[ident.Router]*Replicas{}}
 		var wg sync.WaitGroup
 		defer wg.Wait()
 		defer cancel()
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -39,7 +39,7 @@
 
 // Puller updates the replicas of all tables from peers while the router's role requires it.
 type Puller struct {
-	board  *Board
+	board  *Replicas
 	peers  Peers
 	names  []table.Name
 	timing Timing
@@ -62,7 +62,7 @@
 }
 
 // NewPuller returns a puller of some tables of a board.
-func NewPuller(board *Board, peers Peers, names []table.Name, timing Timing, roles *Roles, logger log.Logger, clock ident.Clock) *Puller {
+func NewPuller(board *Replicas, peers Peers, names []table.Name, timing Timing, roles *Roles, logger log.Logger, clock ident.Clock) *Puller {
 	return &Puller{
 		board: board, peers: peers, names: names, timing: timing, roles: roles, logger: logger, clock: clock,
 		avoidUntil: map[ident.Router]time.Time{}, started: clock(),
