--- a/internal/oper/daemon/build.go
+++ b/internal/oper/daemon/build.go
@@ -93,7 +93,7 @@
 		Bound: func(s policy.Service) place.Bound { return place.BoundOf(s.Bound) },
 	})
 	d.node.SetHooks(peer.Hooks{
-		Changed: d.mesh.MarkDirty,
+		Changed: d.mesh.RequestUpdate,
 		Head:    d.onLaterRevision,
 		Era:     d.table.AdvanceTo,
 	})
--- a/internal/oper/daemon/daemon.go
+++ b/internal/oper/daemon/daemon.go
@@ -195,7 +195,7 @@
 }
 
 // onConfigInstalled schedules a rebuild of the mesh after a change of the configuration.
-func (d *Daemon) onConfigInstalled(config.InForce) { d.mesh.MarkDirty() }
+func (d *Daemon) onConfigInstalled(config.InForce) { d.mesh.RequestUpdate() }
 
 // onLaterRevision fetches the configuration from a router that reported a later revision.
 func (d *Daemon) onLaterRevision(_ ident.Revision, from ident.Router) {
--- a/internal/oper/daemon/probe.go
+++ b/internal/oper/daemon/probe.go
@@ -42,7 +42,7 @@
 	}
 	wg.Wait()
 	if d.engineReports.resetUnread(read) {
-		d.mesh.MarkDirty()
+		d.mesh.RequestUpdate()
 	}
 }
 
@@ -57,12 +57,12 @@
 	if err != nil {
 		if ctx.Err() == nil && d.engineReports.missed(t.ID) {
 			_ = level.Warn(d.logger).Log("msg", "engine did not answer report requests; it gets no new work", "target", t.ID, "err", err)
-			d.mesh.MarkDirty()
+			d.mesh.RequestUpdate()
 		}
 		return
 	}
 	if d.engineReports.record(t.ID, fresh) {
-		d.mesh.MarkDirty()
+		d.mesh.RequestUpdate()
 	}
 	d.homes.RecordEvictions(id, t.ID.Hash(), fresh.Evicted)
 	if fresh.Leaving {
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -113,8 +113,8 @@
 // Set returns the current pools and homes. They are replaced, never modified.
 func (m *Mesh) Set() *Set { return m.set.Load() }
 
-// MarkDirty requests an update of pools and homes.
-func (m *Mesh) MarkDirty() { trigger(m.updateDue) }
+// RequestUpdate requests an update of pools and homes.
+func (m *Mesh) RequestUpdate() { trigger(m.updateDue) }
 
 // permitSeqBits leaves room for a million permits per millisecond of a process's life, as
 // incarnations are clock times in milliseconds.
--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -23,7 +23,7 @@
 
 // membersChanged is called when routers or targets change. Roles depend only on routers.
 func (n *Node) membersChanged() {
-	n.mesh.MarkDirty()
+	n.mesh.RequestUpdate()
 	var latest uint64
 	n.peers.Read(func(v *peer.View) { latest = v.MemberVersion() })
 	if n.roleMemberVersion.Swap(latest) != latest {
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -69,7 +69,7 @@
 	n.settings.Store(&next)
 	n.retryBudget.setAllowance(n.Clock(), next.Retries)
 	n.state.invalidatePools()
-	n.mesh.MarkDirty()
+	n.mesh.RequestUpdate()
 	_ = level.Info(n.Logger).Log("msg", "reload", "signal", signalled, "retry_ratio", next.Retries.Ratio,
 		"retry_extra", next.Retries.Extra, "load_factor", next.LoadFactor, "grace_ms", next.Grace.Milliseconds())
 	return nil
--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -352,5 +352,5 @@
 	update := n.state.reassign()
 	n.publishTargets(update)
 	n.state.invalidatePools()
-	n.mesh.MarkDirty()
+	n.mesh.RequestUpdate()
 }
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -26,7 +26,7 @@
 			n.reassign()
 		}
 		n.peers.UpdateView(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
-		n.mesh.MarkDirty()
+		n.mesh.RequestUpdate()
 	})
 	n.board.AddTable(n.Rows.TargetTable(), feed.Rules{MissingRowTTL: feed.RemovalGracePeriod}, func(change feed.Change) {
 		update, restarted := n.state.updateTargets(change)
@@ -34,7 +34,7 @@
 			n.conns.CloseIdle(addr)
 		}
 		n.publishTargets(update)
-		n.mesh.MarkDirty()
+		n.mesh.RequestUpdate()
 	})
 	if n.rollouts.enabled() {
 		n.followStatuses()
