--- a/internal/oper/daemon/pools.go
+++ b/internal/oper/daemon/pools.go
@@ -21,7 +21,7 @@
 func (d *Daemon) meshConfig() mesh.Desired {
 	inForce := d.keeper.InForce()
 	return mesh.Desired{
-		Revision: inForce.Revision, Services: slices.Collect(maps.Values(inForce.Set.Services)), Reports: d.engineReports.version(),
+		Revision: inForce.Revision, Services: slices.Collect(maps.Values(inForce.Set.Services)), CapacityVersion: d.engineReports.version(),
 		Install: func() {
 			d.inForce.Store(&inForce)
 			d.acknowledgeRevision(inForce.Revision)
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -21,8 +21,8 @@
 type Desired struct {
 	Revision ident.Revision
 	Services []policy.Service
-	// Reports grows with each change of the results of Capacity or Bound.
-	Reports uint64
+	// CapacityVersion grows with each change of the results of Capacity or Bound.
+	CapacityVersion uint64
 	// Install is called once the pools are in place; it may be nil.
 	Install func()
 }
@@ -152,7 +152,7 @@
 	m.updateMu.Lock()
 	defer m.updateMu.Unlock()
 	wanted := m.Desired()
-	latest := inputVersions{poolVersions: poolVersions{revision: wanted.Revision, reports: wanted.Reports}}
+	latest := inputVersions{poolVersions: poolVersions{revision: wanted.Revision, reports: wanted.CapacityVersion}}
 	m.Node.Read(func(v *peer.View) { latest.routers, latest.targets = v.MemberVersion(), v.TargetVersion() })
 	if latest == m.applied {
 		return
--- a/internal/oper/node/reload_test.go
+++ b/internal/oper/node/reload_test.go
@@ -33,8 +33,8 @@
 	old := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 2, Grace: 8 * time.Second, Retries: retry.Allowance{Extra: 56}}
 	next, failure := old, error(nil)
 	n, lines := newReloadNode(old, &next, &failure)
-	if err := n.reload(false); err != nil || *lines != 0 || n.state.poolConfig().Reports != 0 {
-		t.Errorf("unchanged settings: error %v, %d log lines, generation %d", err, *lines, n.state.poolConfig().Reports)
+	if err := n.reload(false); err != nil || *lines != 0 || n.state.poolConfig().CapacityVersion != 0 {
+		t.Errorf("unchanged settings: error %v, %d log lines, generation %d", err, *lines, n.state.poolConfig().CapacityVersion)
 	}
 	next = Settings{ID: "other", LoadFactor: 3, Grace: 4 * time.Second, Retries: retry.Allowance{Extra: 10}}
 	if err := n.reload(false); err != nil {
@@ -47,7 +47,7 @@
 	if diff := cmp.Diff(next.Retries, n.retryBudget.allowance); diff != "" {
 		t.Error(diff)
 	}
-	if n.state.poolConfig().Reports == 0 {
+	if n.state.poolConfig().CapacityVersion == 0 {
 		t.Error("pools are not rebuilt with the new load factor")
 	}
 	failure = errors.New("line 3: no equals sign")
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -174,7 +174,7 @@
 func (s *state) poolConfig() mesh.Desired {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	wanted := mesh.Desired{Reports: s.generation}
+	wanted := mesh.Desired{CapacityVersion: s.generation}
 	for _, service := range s.services {
 		wanted.Services = append(wanted.Services, s.service(service))
 		if s.hasCanary(service.Name) {
