--- a/internal/oper/mesh/loop.go
+++ b/internal/oper/mesh/loop.go
@@ -31,7 +31,7 @@
 	defer wg.Wait()
 	wg.Go(func() { runOnSignal(ctx, m.updateDue, updateDelay, updateInterval, m.updateAndRest) })
 	wg.Go(func() { runOnSignal(ctx, m.reassignDue, 0, updateInterval, m.reassign) })
-	wg.Go(func() { Every(ctx, reconcileInterval, m.reconcile) })
+	wg.Go(func() { RunEvery(ctx, reconcileInterval, m.reconcile) })
 	wg.Go(func() { runOnSignal(ctx, m.Homes.Urgent(), publishDelay, publishInterval, m.publish) })
 }
 
@@ -68,8 +68,8 @@
 	}
 }
 
-// Every calls work at intervals until the context ends.
-func Every(ctx context.Context, interval time.Duration, work func(context.Context)) {
+// RunEvery calls work at intervals until the context ends.
+func RunEvery(ctx context.Context, interval time.Duration, work func(context.Context)) {
 	// A nil channel never signals.
 	runOnSignal(ctx, nil, 0, interval, work)
 }
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -81,19 +81,19 @@
 	}
 	wg.Go(func() { n.puller.Run(ctx) })
 	wg.Go(func() { n.catchUp(ctx) })
-	wg.Go(func() { mesh.Every(ctx, sweepInterval, func(context.Context) { n.board.Sweep() }) })
-	wg.Go(func() { mesh.Every(ctx, connSweepInterval, func(context.Context) { n.conns.Sweep(n.Clock()) }) })
+	wg.Go(func() { mesh.RunEvery(ctx, sweepInterval, func(context.Context) { n.board.Sweep() }) })
+	wg.Go(func() { mesh.RunEvery(ctx, connSweepInterval, func(context.Context) { n.conns.Sweep(n.Clock()) }) })
 	wg.Go(func() {
 		n.waitForDiscovery(ctx)
 		n.guard.Run(ctx)
 	})
-	wg.Go(func() { mesh.Every(ctx, guardSweepInterval, func(context.Context) { n.guard.Sweep() }) })
+	wg.Go(func() { mesh.RunEvery(ctx, guardSweepInterval, func(context.Context) { n.guard.Sweep() }) })
 	wg.Go(func() { n.announce(ctx) })
 	wg.Go(func() { n.peers.Run(ctx) })
 	wg.Go(func() { n.mesh.Run(ctx) })
 	wg.Go(func() { n.becomeReady(ctx) })
 	if n.rollouts.enabled() {
-		wg.Go(func() { mesh.Every(ctx, judgeInterval, n.writeVerdicts) })
+		wg.Go(func() { mesh.RunEvery(ctx, judgeInterval, n.writeVerdicts) })
 	}
 }
 
