--- a/internal/oper/admin/service.go
+++ b/internal/oper/admin/service.go
@@ -22,8 +22,8 @@
 type Membership interface {
 	// Read calls a function with the membership view.
 	Read(read func(*peer.View))
-	// Tell exchanges gossip digests with several peers at once.
-	Tell(ctx context.Context)
+	// GossipNow exchanges gossip digests with several peers at once.
+	GossipNow(ctx context.Context)
 }
 
 // Status is the state of this router as shown to operators.
@@ -126,7 +126,7 @@
 		if s.Keeper.Install([]config.Change{out.Change}) != nil {
 			_ = s.Follower.Poll(ctx)
 		}
-		s.Membership.Tell(ctx)
+		s.Membership.GossipNow(ctx)
 	}
 	return connect.NewResponse(reply), nil
 }
@@ -160,7 +160,7 @@
 	}
 	s.mu.Unlock()
 	if due {
-		s.Membership.Tell(ctx)
+		s.Membership.GossipNow(ctx)
 	}
 }
 
--- a/internal/oper/daemon/pools.go
+++ b/internal/oper/daemon/pools.go
@@ -46,7 +46,7 @@
 	})
 	if advanced {
 		_ = level.Info(d.logger).Log("msg", "configuration in force", "revision", revision)
-		go d.node.Tell(context.Background())
+		go d.node.GossipNow(context.Background())
 	}
 }
 
--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -81,7 +81,7 @@
 // the gossip before each attempt makes this router known to that one first.
 func (d *Daemon) waitUntilReady(ctx context.Context) {
 	for ctx.Err() == nil {
-		d.node.Tell(ctx)
+		d.node.GossipNow(ctx)
 		if !d.follower.Initialized() {
 			d.copyConfig(ctx)
 		}
@@ -130,7 +130,7 @@
 	defer cancel()
 	d.node.UpdateView(func(v *peer.View) { v.Leave(d.clock()) })
 	for range leaveGossipRounds {
-		d.node.Tell(ctx)
+		d.node.GossipNow(ctx)
 	}
 	d.mesh.Refresh(ctx)
 	pause.Sleep(ctx, d.settings.Limits.DrainDelay)
@@ -140,5 +140,5 @@
 	d.mesh.Refresh(ctx)
 	d.stopClaims(ctx)
 	_ = d.sweepLease.Release(ctx)
-	d.node.Tell(ctx)
+	d.node.GossipNow(ctx)
 }
--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -281,7 +281,7 @@
 		added = v.MarkLeaving(m.Clock(), peer.Mark{Target: id, Incarnation: incarnation})
 	})
 	if added {
-		go m.Node.Tell(context.Background())
+		go m.Node.GossipNow(context.Background())
 	}
 }
 
--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -124,7 +124,7 @@
 	}
 	n.state.setRouters(page.Rows)
 	n.updateRouters()
-	n.peers.Tell(ctx)
+	n.peers.GossipNow(ctx)
 	n.rewriteMissing(ctx, page.Rows)
 	n.removeDead(ctx, page.Rows)
 }
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -115,7 +115,7 @@
 	defer cancel()
 	n.peers.UpdateView(func(v *peer.View) { v.Leave(n.Clock()) })
 	for range leaveGossipRounds {
-		n.peers.Tell(ctx)
+		n.peers.GossipNow(ctx)
 	}
 	n.mesh.Refresh(ctx)
 	n.removeOwnRow(ctx)
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -142,7 +142,7 @@
 		case <-ctx.Done():
 			return
 		case <-n.trigger:
-			wg.Go(func() { n.Tell(ctx) })
+			wg.Go(func() { n.GossipNow(ctx) })
 		}
 		if !pause.Sleep(ctx, triggerInterval) {
 			return
@@ -213,8 +213,8 @@
 	}
 }
 
-// Tell exchanges digests with several peers at once, so that updates spread ahead of the rounds.
-func (n *Node) Tell(ctx context.Context) {
+// GossipNow exchanges digests with several peers at once, so that updates spread ahead of the rounds.
+func (n *Node) GossipNow(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range n.pick(n.pace.Fanout) {
 		wg.Go(func() { _ = n.Exchange(ctx, peer) })
