--- a/internal/oper/mesh/pools_test.go
+++ b/internal/oper/mesh/pools_test.go
@@ -87,15 +87,15 @@
 					id := rng.IntN(20)
 					switch rng.IntN(6) {
 					case 0:
-						v.ObserveTargets(f.now, peer.TargetNews{Removed: []ident.Target{ident.Target("t" + strconv.Itoa(id))}})
+						v.ObserveTargets(f.now, peer.TargetChanges{Removed: []ident.Target{ident.Target("t" + strconv.Itoa(id))}})
 					case 1:
 						v.MarkLeaving(f.now, peer.Mark{Target: ident.Target("t" + strconv.Itoa(id)), Incarnation: ident.Incarnation(step)})
 					case 2:
-						v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(id, "other", ident.Incarnation(step), boxes.Live)}})
+						v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(id, "other", ident.Incarnation(step), boxes.Live)}})
 					case 3:
-						v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(id, "s", ident.Incarnation(step), boxes.Leaving)}})
+						v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(id, "s", ident.Incarnation(step), boxes.Leaving)}})
 					default:
-						v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(id, "s", ident.Incarnation(step), boxes.Live)}})
+						v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(id, "s", ident.Incarnation(step), boxes.Live)}})
 					}
 				}
 			})
@@ -104,7 +104,7 @@
 				// Services get more shards as they get more targets.
 				f.wanted.Services[0].Shards = 1 << rng.IntN(4)
 				f.node.UpdateView(func(v *peer.View) {
-					v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(20, "s", ident.Incarnation(step), boxes.Live)}})
+					v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(20, "s", ident.Incarnation(step), boxes.Live)}})
 				})
 			case 1:
 				f.wanted.Revision++
@@ -132,11 +132,11 @@
 	for i := range 1000 {
 		all = append(all, targetRow(i, "s", 1, boxes.Live))
 	}
-	f.node.UpdateView(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetNews{Boxes: all}) })
+	f.node.UpdateView(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetChanges{Boxes: all}) })
 	f.mesh.Update()
 	f.capacityCalls = 0
 	f.node.UpdateView(func(v *peer.View) {
-		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(7, "s", 2, boxes.Live), targetRow(1000, "s", 1, boxes.Live)}, Removed: []ident.Target{"t9"}})
+		v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(7, "s", 2, boxes.Live), targetRow(1000, "s", 1, boxes.Live)}, Removed: []ident.Target{"t9"}})
 	})
 	f.mesh.Update()
 	if diff := cmp.Diff(2, f.capacityCalls); diff != "" {
@@ -157,11 +157,11 @@
 			for i := range targets {
 				all = append(all, targetRow(i, "s", 1, boxes.Live))
 			}
-			f.node.UpdateView(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetNews{Boxes: all}) })
+			f.node.UpdateView(func(v *peer.View) { v.ObserveTargets(f.now, peer.TargetChanges{Boxes: all}) })
 			f.mesh.Update()
 			for i := 0; b.Loop(); i++ {
 				f.node.UpdateView(func(v *peer.View) {
-					v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(i%targets, "s", ident.Incarnation(i+2), boxes.Live)}})
+					v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(i%targets, "s", ident.Incarnation(i+2), boxes.Live)}})
 				})
 				f.mesh.Update()
 			}
@@ -175,12 +175,12 @@
 func TestNewTargetsDoNotReassignHomes(t *testing.T) {
 	f := newFixture()
 	f.node.UpdateView(func(v *peer.View) {
-		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(1, "s", 1, boxes.Live), targetRow(2, "other", 1, boxes.Live)}})
+		v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(1, "s", 1, boxes.Live), targetRow(2, "other", 1, boxes.Live)}})
 	})
 	f.mesh.Update()
 	before := f.mesh.Set()
 	f.node.UpdateView(func(v *peer.View) {
-		v.ObserveTargets(f.now, peer.TargetNews{Boxes: []boxes.Box{targetRow(3, "s", 1, boxes.Live)}})
+		v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(3, "s", 1, boxes.Live)}})
 	})
 	f.mesh.Update()
 	if got := f.mesh.Set(); got.Live != before.Live || got.Known != before.Known || got.Pools[0].Roster == before.Pools[0].Roster {
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -57,7 +57,7 @@
 }
 
 // publishTargets applies changes of targets to the membership view.
-func (n *Node) publishTargets(update peer.TargetNews) {
+func (n *Node) publishTargets(update peer.TargetChanges) {
 	n.peers.UpdateView(func(v *peer.View) { v.ObserveTargets(n.Clock(), update) })
 }
 
--- a/internal/oper/node/targets.go
+++ b/internal/oper/node/targets.go
@@ -52,7 +52,7 @@
 // addresses of those that have restarted under the same names. Its cost depends only on the number
 // of changes: with 10,000 targets, some of which change at any moment, a pass over all of them for
 // each change was most of a router's work.
-func (s *state) updateTargets(change feed.Change) (update peer.TargetNews, restarted []string) {
+func (s *state) updateTargets(change feed.Change) (update peer.TargetChanges, restarted []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	now := s.clock()
@@ -155,7 +155,7 @@
 
 // reassign moves targets to the services to which rollouts now assign them, and returns the targets
 // that changed.
-func (s *state) reassign() (update peer.TargetNews) {
+func (s *state) reassign() (update peer.TargetChanges) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for key, before := range s.targetRows {
--- a/internal/share/peer/target.go
+++ b/internal/share/peer/target.go
@@ -98,8 +98,8 @@
 	v.targetChanges.add(id)
 }
 
-// TargetNews contains the changes of targets since the last update.
-type TargetNews struct {
+// TargetChanges contains the changes of targets since the last update.
+type TargetChanges struct {
 	// Boxes are the boxes of targets that are new or whose data has changed.
 	Boxes []boxes.Box
 	// Removed are the targets that have been removed.
@@ -108,7 +108,7 @@
 
 // ObserveTargets updates the targets from the changes since the last call, in place of lists of all
 // boxes. Every box counts as a change, since data that the view does not keep may have changed too.
-func (v *View) ObserveTargets(now time.Time, update TargetNews) {
+func (v *View) ObserveTargets(now time.Time, update TargetChanges) {
 	for _, b := range update.Boxes {
 		v.observeTarget(now, b)
 		v.targetChanged(ident.Target(b.ID))
