--- a/internal/oper/mesh/mesh.go
+++ b/internal/oper/mesh/mesh.go
@@ -278,7 +278,7 @@
 func (m *Mesh) MarkLeaving(id ident.Target, incarnation ident.Incarnation) {
 	added := false
 	m.Node.UpdateView(func(v *peer.View) {
-		added = v.MarkLeaving(m.Clock(), peer.Mark{Target: id, Incarnation: incarnation})
+		added = v.MarkLeaving(m.Clock(), peer.LeavingTarget{Target: id, Incarnation: incarnation})
 	})
 	if added {
 		go m.Node.GossipNow(context.Background())
--- a/internal/oper/mesh/mesh_test.go
+++ b/internal/oper/mesh/mesh_test.go
@@ -99,7 +99,7 @@
 	if got := len(m.Set().Live.Routers()); got != routers+1 {
 		t.Errorf("homes are assigned among %d routers, want %d", got, routers+1)
 	}
-	node.UpdateView(func(v *peer.View) { v.MarkLeaving(now, peer.Mark{Target: "t0", Incarnation: 1}) })
+	node.UpdateView(func(v *peer.View) { v.MarkLeaving(now, peer.LeavingTarget{Target: "t0", Incarnation: 1}) })
 	m.Update()
 	leaving := 0
 	for _, e := range m.Set().Pools[0].Roster.Engines() {
--- a/internal/oper/mesh/pools_test.go
+++ b/internal/oper/mesh/pools_test.go
@@ -89,7 +89,7 @@
 					case 0:
 						v.ObserveTargets(f.now, peer.TargetChanges{Removed: []ident.Target{ident.Target("t" + strconv.Itoa(id))}})
 					case 1:
-						v.MarkLeaving(f.now, peer.Mark{Target: ident.Target("t" + strconv.Itoa(id)), Incarnation: ident.Incarnation(step)})
+						v.MarkLeaving(f.now, peer.LeavingTarget{Target: ident.Target("t" + strconv.Itoa(id)), Incarnation: ident.Incarnation(step)})
 					case 2:
 						v.ObserveTargets(f.now, peer.TargetChanges{Boxes: []boxes.Box{targetRow(id, "other", ident.Incarnation(step), boxes.Live)}})
 					case 3:
--- a/internal/share/peer/codec.go
+++ b/internal/share/peer/codec.go
@@ -93,7 +93,7 @@
 		d.Members = append(d.Members, decodeMember(m))
 	}
 	for _, m := range in.GetMarks() {
-		d.Marks = append(d.Marks, Mark{Target: ident.Target(m.GetTarget()), Incarnation: ident.Incarnation(m.GetIncarnation())})
+		d.Marks = append(d.Marks, LeavingTarget{Target: ident.Target(m.GetTarget()), Incarnation: ident.Incarnation(m.GetIncarnation())})
 	}
 	for _, a := range in.GetAcks() {
 		d.Acks = append(d.Acks, Ack{Member: a.GetMember(), Revision: ident.Revision(a.GetRevision())})
--- a/internal/share/peer/digest.go
+++ b/internal/share/peer/digest.go
@@ -23,7 +23,7 @@
 	From    ident.Router
 	Head    ident.Revision
 	Members []Member
-	Marks   []Mark
+	Marks   []LeavingTarget
 	Acks    []Ack
 	// MembersHash is equal at routers whose views contain the same members in the same states.
 	MembersHash uint64
@@ -104,15 +104,15 @@
 	return out
 }
 
-func (v *View) outgoingLeaving() []Mark {
+func (v *View) outgoingLeaving() []LeavingTarget {
 	limit := v.sendLimit()
-	var out []Mark
+	var out []LeavingTarget
 	for id, m := range v.leaving {
 		if m.sent < limit {
-			out = append(out, Mark{Target: id, Incarnation: m.incarnation})
+			out = append(out, LeavingTarget{Target: id, Incarnation: m.incarnation})
 		}
 	}
-	slices.SortFunc(out, func(a, b Mark) int {
+	slices.SortFunc(out, func(a, b LeavingTarget) int {
 		return cmp.Or(cmp.Compare(v.leaving[a.Target].sent, v.leaving[b.Target].sent), cmp.Compare(a.Target, b.Target))
 	})
 	if len(out) > v.limits.Leaving {
--- a/internal/share/peer/target.go
+++ b/internal/share/peer/target.go
@@ -24,8 +24,8 @@
 	Joined time.Time
 }
 
-// Mark records that one incarnation of a target is leaving.
-type Mark struct {
+// LeavingTarget records that one incarnation of a target is leaving.
+type LeavingTarget struct {
 	Target      ident.Target
 	Incarnation ident.Incarnation
 }
@@ -167,7 +167,7 @@
 	t.Incarnation = b.Incarnation
 	t.removed = false
 	if b.State == boxes.Leaving {
-		v.MarkLeaving(now, Mark{Target: id, Incarnation: b.Incarnation})
+		v.MarkLeaving(now, LeavingTarget{Target: id, Incarnation: b.Incarnation})
 	}
 }
 
@@ -196,7 +196,7 @@
 
 // MarkLeaving records that an incarnation of a target is leaving and reports whether that is new.
 // The state is final for the incarnation; a later incarnation starts without it.
-func (v *View) MarkLeaving(now time.Time, m Mark) bool {
+func (v *View) MarkLeaving(now time.Time, m LeavingTarget) bool {
 	known, ok := v.leaving[m.Target]
 	if ok && known.incarnation >= m.Incarnation {
 		return false
--- a/internal/share/peer/view_test.go
+++ b/internal/share/peer/view_test.go
@@ -204,7 +204,7 @@
 func TestLeavingIsFinalForIncarnation(t *testing.T) {
 	v := peer.NewView(start, peer.Member{ID: "a"}, peer.DefaultLimits)
 	v.ObserveList(start, engineList("x", 1, boxes.Live))
-	v.MarkLeaving(start, peer.Mark{Target: "engine-1", Incarnation: 1})
+	v.MarkLeaving(start, peer.LeavingTarget{Target: "engine-1", Incarnation: 1})
 	// The list lags and still contains the target as live.
 	v.ObserveList(start, engineList("x", 1, boxes.Live))
 	if got := v.Targets("judge", "r"); len(got) != 1 || !got[0].Leaving {
@@ -212,7 +212,7 @@
 	}
 	v.ObserveList(start, engineList("x", 2, boxes.Live))
 	// The leaving record of an earlier incarnation arrives late.
-	v.MarkLeaving(start, peer.Mark{Target: "engine-1", Incarnation: 1})
+	v.MarkLeaving(start, peer.LeavingTarget{Target: "engine-1", Incarnation: 1})
 	if got := v.Targets("judge", "r"); got[0].Leaving {
 		t.Error("later incarnation is still leaving")
 	}
