--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -153,7 +153,7 @@
 	var out []peer.Member
 	n.peers.Read(func(v *peer.View) {
 		for _, m := range v.Members() {
-			if m.Zone == n.self.Zone && m.State == peer.Live && !v.Doubtful(n.Clock(), m.ID) {
+			if m.Zone == n.self.Zone && m.State == peer.Live && !v.RecentlyListed(n.Clock(), m.ID) {
 				out = append(out, m)
 			}
 		}
--- a/internal/share/peer/view.go
+++ b/internal/share/peer/view.go
@@ -123,9 +123,9 @@
 // it was listed: its gossip peers detect that within seconds and report it.
 const recentListing = 10 * time.Second
 
-// Doubtful reports whether a router is known only from a list that was received within
+// RecentlyListed reports whether a router is known only from a list that was received within
 // recentListing.
-func (v *View) Doubtful(now time.Time, id ident.Router) bool {
+func (v *View) RecentlyListed(now time.Time, id ident.Router) bool {
 	e, known := v.members[id]
 	return known && e.listed && now.Sub(e.changed) < recentListing
 }
--- a/internal/share/peer/view_test.go
+++ b/internal/share/peer/view_test.go
@@ -507,7 +507,7 @@
 	if m, _ := a.Member("b"); m.State != peer.Dead {
 		t.Errorf("dead router became %s by its row", m.State)
 	}
-	if a.Doubtful(start, "b") || !b.Doubtful(start, "a") || b.Doubtful(start.Add(time.Minute), "a") {
+	if a.RecentlyListed(start, "b") || !b.RecentlyListed(start, "a") || b.RecentlyListed(start.Add(time.Minute), "a") {
 		t.Error("Doubtful: want false for a router reported by a peer or listed a minute ago, true for one listed just now")
 	}
 }
