--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -286,9 +286,9 @@
 	return own
 }
 
-// Heard implements peer.Trials. Evidence only grows, so the report with more answers is the later
+// MergeReports implements peer.Trials. Evidence only grows, so the report with more answers is the later
 // one.
-func (r *rollouts) Heard(reports []canary.Report) {
+func (r *rollouts) MergeReports(reports []canary.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, report := range reports {
--- a/internal/oper/node/rollouts_test.go
+++ b/internal/oper/node/rollouts_test.go
@@ -70,8 +70,8 @@
 			}
 			if f.rng.IntN(4) == 0 {
 				other := f.rollouts[f.rng.IntN(len(f.rollouts))]
-				other.Heard(r.Reports())
-				r.Heard(other.Reports())
+				other.MergeReports(r.Reports())
+				r.MergeReports(other.Reports())
 			}
 			if f.rng.IntN(1000) == 0 {
 				f.rollouts[i] = f.router()
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -53,8 +53,8 @@
 type Trials interface {
 	// Reports returns the reports to send to a router.
 	Reports() []canary.Report
-	// Heard merges the reports from another router.
-	Heard(reports []canary.Report)
+	// MergeReports merges the reports from another router.
+	MergeReports(reports []canary.Report)
 }
 
 // Pace contains the intervals and limits of gossip and of reading the list of boxes.
@@ -283,7 +283,7 @@
 		n.crashes.Incoming(d.Suspects)
 	}
 	if n.trials != nil && len(d.Trials) > 0 {
-		n.trials.Heard(d.Trials)
+		n.trials.MergeReports(d.Trials)
 	}
 	return update.SendMembers
 }
