--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -49,8 +49,8 @@
 	Incoming(list []crash.Suspect)
 }
 
-// Trials exchanges the evidence on versions under canary rollout.
-type Trials interface {
+// CanaryReports exchanges the evidence on versions under canary rollout.
+type CanaryReports interface {
 	// Reports returns the reports to send to a router.
 	Reports() []canary.Report
 	// MergeReports merges the reports from another router.
@@ -84,7 +84,7 @@
 	seeds   []Member
 	clock   ident.Clock
 	crashes Crashes
-	trials  Trials
+	trials  CanaryReports
 	// trigger requests an exchange ahead of the next round.
 	trigger chan struct{}
 }
@@ -117,7 +117,7 @@
 func (n *Node) SetCrashes(c Crashes) { n.crashes = c }
 
 // SetTrials sets the source and receiver of the canary reports. It must be called before Run.
-func (n *Node) SetTrials(t Trials) { n.trials = t }
+func (n *Node) SetTrials(t CanaryReports) { n.trials = t }
 
 // TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from router to
 // router without waiting for rounds.
