--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -83,7 +83,7 @@
 func (n *Node) buildRollouts(s *Settings) {
 	n.rollouts = newRollouts(s.TrialShare, n.self.Seed(), n.Logger, n.Clock)
 	n.state.serviceName, n.state.hasCanary = n.rollouts.serviceName, n.rollouts.hasCanary
-	n.peers.SetTrials(n.rollouts)
+	n.peers.SetCanaryReports(n.rollouts)
 }
 
 // buildGuard creates the part that quarantines requests under which targets crash.
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -116,8 +116,8 @@
 // It must be called before Run.
 func (n *Node) SetCrashes(c Crashes) { n.crashes = c }
 
-// SetTrials sets the source and receiver of the canary reports. It must be called before Run.
-func (n *Node) SetTrials(t CanaryReports) { n.trials = t }
+// SetCanaryReports sets the source and receiver of the canary reports. It must be called before Run.
+func (n *Node) SetCanaryReports(t CanaryReports) { n.trials = t }
 
 // TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from router to
 // router without waiting for rounds.
