--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -81,7 +81,7 @@
 
 // buildRollouts creates the part that follows rollouts of service versions.
 func (n *Node) buildRollouts(s *Settings) {
-	n.rollouts = newRollouts(s.TrialShare, n.self.Seed(), n.Logger, n.Clock)
+	n.rollouts = newRollouts(s.MaxCanaryRatio, n.self.Seed(), n.Logger, n.Clock)
 	n.state.serviceName, n.state.hasCanary = n.rollouts.serviceName, n.rollouts.hasCanary
 	n.peers.SetCanaryReports(n.rollouts)
 }
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -55,9 +55,9 @@
 	Grace time.Duration
 	// LoadFactor is the maximum load of a target as a multiple of the mean.
 	LoadFactor float64
-	// TrialShare is the maximum ratio of a service's requests that a canary version may receive. If
+	// MaxCanaryRatio is the maximum ratio of a service's requests that a canary version may receive. If
 	// it is zero, rollouts are not followed.
-	TrialShare float64
+	MaxCanaryRatio float64
 }
 
 // Target is a target as it announces itself.
