--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -94,9 +94,9 @@
 	// ClosedZones returns the availability zones whose targets receive no new work, from the rows
 	// of the configuration's table.
 	ClosedZones(rows []table.Row) []ident.Zone
-	// Orders returns the operators' rollouts of services to other versions, from the rows of the
+	// Rollouts returns the operators' rollouts of services to other versions, from the rows of the
 	// configuration's table.
-	Orders(rows []table.Row) []canary.Order
+	Rollouts(rows []table.Row) []canary.Order
 	// StatusTable returns the table in which the fleet records the status of rollouts.
 	StatusTable() table.Name
 	// Status decodes the status of a rollout. The result found is false for a row that contains
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -22,7 +22,7 @@
 		rows := change.All()
 		n.state.setConfig(rows)
 		n.state.setClosed(rows)
-		if n.rollouts.setRollouts(n.Rows.Orders(rows)) {
+		if n.rollouts.setRollouts(n.Rows.Rollouts(rows)) {
 			n.reassign()
 		}
 		n.peers.UpdateView(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
