--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -49,8 +49,8 @@
 	Retries retry.Allowance
 	// Cores is the processor time that this box may use.
 	Cores ident.Cores
-	// First is set if the whole fleet starts for the first time.
-	First bool
+	// FirstStart is set if the whole fleet starts for the first time.
+	FirstStart bool
 	// Grace is the time from the stop signal until the process is killed.
 	Grace time.Duration
 	// LoadFactor is the maximum load of a target as a multiple of the mean.
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -49,7 +49,7 @@
 // tables. Otherwise every router would read them in full.
 func (n *Node) discoverPeers(ctx context.Context) {
 	defer close(n.discovered)
-	if !n.settings.Load().First || !n.hasNoPeers() {
+	if !n.settings.Load().FirstStart || !n.hasNoPeers() {
 		return
 	}
 	pause.Sleep(ctx, firstStartDelay)
@@ -59,7 +59,7 @@
 // waitForDiscovery waits until a router of a new fleet has discovered its peers, for at most
 // discoveryTimeout.
 func (n *Node) waitForDiscovery(ctx context.Context) {
-	if !n.settings.Load().First {
+	if !n.settings.Load().FirstStart {
 		return
 	}
 	timer := time.NewTimer(discoveryTimeout)
