--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -23,7 +23,7 @@
 }
 
 func (s Settings) reloadable() reloadable {
-	return reloadable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.Grace}
+	return reloadable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.GracePeriod}
 }
 
 // watchSettings reloads the settings on a signal and periodically.
@@ -65,12 +65,12 @@
 		return nil
 	}
 	next := *old
-	next.Retries, next.LoadFactor, next.Grace = fresh.Retries, fresh.LoadFactor, fresh.Grace
+	next.Retries, next.LoadFactor, next.GracePeriod = fresh.Retries, fresh.LoadFactor, fresh.GracePeriod
 	n.settings.Store(&next)
 	n.retryBudget.setAllowance(n.Clock(), next.Retries)
 	n.state.invalidatePools()
 	n.mesh.RequestUpdate()
 	_ = level.Info(n.Logger).Log("msg", "reload", "signal", signalled, "retry_ratio", next.Retries.Ratio,
-		"retry_extra", next.Retries.Extra, "load_factor", next.LoadFactor, "grace_ms", next.Grace.Milliseconds())
+		"retry_extra", next.Retries.Extra, "load_factor", next.LoadFactor, "grace_ms", next.GracePeriod.Milliseconds())
 	return nil
 }
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -111,7 +111,7 @@
 	start := n.Clock()
 	n.draining.Store(true)
 	_ = level.Info(n.Logger).Log("msg", "draining")
-	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Load().Grace-graceMargin)
+	ctx, cancel := context.WithTimeout(context.Background(), n.settings.Load().GracePeriod-graceMargin)
 	defer cancel()
 	n.peers.UpdateView(func(v *peer.View) { v.Leave(n.Clock()) })
 	for range leaveGossipRounds {
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -51,8 +51,8 @@
 	Cores ident.Cores
 	// FirstStart is set if the whole fleet starts for the first time.
 	FirstStart bool
-	// Grace is the time from the stop signal until the process is killed.
-	Grace time.Duration
+	// GracePeriod is the time from the stop signal until the process is killed.
+	GracePeriod time.Duration
 	// LoadFactor is the maximum load of a target as a multiple of the mean.
 	LoadFactor float64
 	// MaxCanaryRatio is the maximum ratio of a service's requests that a canary version may receive. If
