--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -130,7 +130,7 @@
 
 // buildEntry creates the part that serves callers.
 func (n *Node) buildEntry(s *Settings) {
-	n.retryBudget = newRetryBudget(n.Clock(), s.Retries, n.fleetSize)
+	n.retryBudget = newRetryBudget(n.Clock(), s.RetryAllowance, n.fleetSize)
 	n.metrics = telem.NewRouted(n.metricReadings())
 	n.gate = entry.NewGate(n.listeners.callers, n.Logger, n.Clock)
 	n.handler = entry.New(entry.Parts{
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -23,7 +23,7 @@
 }
 
 func (s Settings) reloadable() reloadable {
-	return reloadable{retries: s.Retries, loadFactor: s.LoadFactor, grace: s.GracePeriod}
+	return reloadable{retries: s.RetryAllowance, loadFactor: s.LoadFactor, grace: s.GracePeriod}
 }
 
 // watchSettings reloads the settings on a signal and periodically.
@@ -65,12 +65,12 @@
 		return nil
 	}
 	next := *old
-	next.Retries, next.LoadFactor, next.GracePeriod = fresh.Retries, fresh.LoadFactor, fresh.GracePeriod
+	next.RetryAllowance, next.LoadFactor, next.GracePeriod = fresh.RetryAllowance, fresh.LoadFactor, fresh.GracePeriod
 	n.settings.Store(&next)
-	n.retryBudget.setAllowance(n.Clock(), next.Retries)
+	n.retryBudget.setAllowance(n.Clock(), next.RetryAllowance)
 	n.state.invalidatePools()
 	n.mesh.RequestUpdate()
-	_ = level.Info(n.Logger).Log("msg", "reload", "signal", signalled, "retry_ratio", next.Retries.Ratio,
-		"retry_extra", next.Retries.Extra, "load_factor", next.LoadFactor, "grace_ms", next.GracePeriod.Milliseconds())
+	_ = level.Info(n.Logger).Log("msg", "reload", "signal", signalled, "retry_ratio", next.RetryAllowance.Ratio,
+		"retry_extra", next.RetryAllowance.Extra, "load_factor", next.LoadFactor, "grace_ms", next.GracePeriod.Milliseconds())
 	return nil
 }
--- a/internal/oper/node/reload_test.go
+++ b/internal/oper/node/reload_test.go
@@ -22,7 +22,7 @@
 	}}
 	n.settings.Store(&old)
 	n.state = newState(nil, n.Logger, time.Now)
-	n.retryBudget = newRetryBudget(time.Now(), old.Retries, func() int { return 1 })
+	n.retryBudget = newRetryBudget(time.Now(), old.RetryAllowance, func() int { return 1 })
 	n.mesh = mesh.New(mesh.Parts{})
 	return n, &lines
 }
@@ -30,21 +30,21 @@
 // Settings that change without a signal are applied, and only those that may change while a router
 // runs.
 func TestReloadWithoutSignal(t *testing.T) {
-	old := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 2, GracePeriod: 8 * time.Second, Retries: retry.Allowance{Extra: 56}}
+	old := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 2, GracePeriod: 8 * time.Second, RetryAllowance: retry.Allowance{Extra: 56}}
 	next, failure := old, error(nil)
 	n, lines := newReloadNode(old, &next, &failure)
 	if err := n.reload(false); err != nil || *lines != 0 || n.state.poolConfig().CapacityVersion != 0 {
 		t.Errorf("unchanged settings: error %v, %d log lines, generation %d", err, *lines, n.state.poolConfig().CapacityVersion)
 	}
-	next = Settings{ID: "other", LoadFactor: 3, GracePeriod: 4 * time.Second, Retries: retry.Allowance{Extra: 10}}
+	next = Settings{ID: "other", LoadFactor: 3, GracePeriod: 4 * time.Second, RetryAllowance: retry.Allowance{Extra: 10}}
 	if err := n.reload(false); err != nil {
 		t.Fatal(err)
 	}
-	want := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 3, GracePeriod: 4 * time.Second, Retries: retry.Allowance{Extra: 10}}
+	want := Settings{ID: "r", ReadyPath: "/ready", LoadFactor: 3, GracePeriod: 4 * time.Second, RetryAllowance: retry.Allowance{Extra: 10}}
 	if diff := cmp.Diff(want, *n.settings.Load()); diff != "" {
 		t.Error(diff)
 	}
-	if diff := cmp.Diff(next.Retries, n.retryBudget.allowance); diff != "" {
+	if diff := cmp.Diff(next.RetryAllowance, n.retryBudget.allowance); diff != "" {
 		t.Error(diff)
 	}
 	if n.state.poolConfig().CapacityVersion == 0 {
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -45,8 +45,8 @@
 	ReadyPath string
 	// Seeds contains addresses of other routers to contact while no peer is known.
 	Seeds []string
-	// Retries is the retry allowance of the whole fleet for each service.
-	Retries retry.Allowance
+	// RetryAllowance is the retry allowance of the whole fleet for each service.
+	RetryAllowance retry.Allowance
 	// Cores is the processor time that this box may use.
 	Cores ident.Cores
 	// FirstStart is set if the whole fleet starts for the first time.
