--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -107,7 +107,7 @@
 		addr string
 		into *net.Listener
 	}{
-		{s.Callers, &n.listeners.callers},
+		{s.CallerAddr, &n.listeners.callers},
 		{s.Ready, &n.listeners.ready},
 		{s.Peers, &n.listeners.peers},
 	} {
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -36,11 +36,11 @@
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
-	// Callers, Ready and Peers are the listen addresses for callers, for the readiness check, and
+	// CallerAddr, Ready and Peers are the listen addresses for callers, for the readiness check, and
 	// for peers and metrics.
-	Callers string
-	Ready   string
-	Peers   string
+	CallerAddr string
+	Ready      string
+	Peers      string
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
 	// Seeds contains addresses of other routers to contact while no peer is known.
