--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -108,7 +108,7 @@
 		into *net.Listener
 	}{
 		{s.CallerAddr, &n.listeners.callers},
-		{s.Ready, &n.listeners.ready},
+		{s.ReadyAddr, &n.listeners.ready},
 		{s.Peers, &n.listeners.peers},
 	} {
 		l, err := listenConfig.Listen(context.Background(), "tcp", at.addr)
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -39,7 +39,7 @@
 	// CallerAddr, Ready and Peers are the listen addresses for callers, for the readiness check, and
 	// for peers and metrics.
 	CallerAddr string
-	Ready      string
+	ReadyAddr  string
 	Peers      string
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
