--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -109,7 +109,7 @@
 	}{
 		{s.CallerAddr, &n.listeners.callers},
 		{s.ReadyAddr, &n.listeners.ready},
-		{s.Peers, &n.listeners.peers},
+		{s.PeerAddr, &n.listeners.peers},
 	} {
 		l, err := listenConfig.Listen(context.Background(), "tcp", at.addr)
 		if err != nil {
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -40,7 +40,7 @@
 	// for peers and metrics.
 	CallerAddr string
 	ReadyAddr  string
-	Peers      string
+	PeerAddr   string
 	// ReadyPath is the path of the readiness check.
 	ReadyPath string
 	// Seeds contains addresses of other routers to contact while no peer is known.
