--- a/internal/oper/node/cold.go
+++ b/internal/oper/node/cold.go
@@ -18,15 +18,15 @@
 // updateCold updates the time until which a target is cold. A row keeps its first reported value,
 // so the time counts from when the value is new. The caller holds the lock.
 func (s *state) updateCold(id ident.Target, r targetRow) {
-	if !r.valid() || r.target.ColdLeft <= 0 {
+	if !r.valid() || r.target.RemainingColdTime <= 0 {
 		delete(s.cold, id)
 		return
 	}
 	cold, known := s.cold[id]
-	if known && cold.reported == r.target.ColdLeft && cold.incarnation == r.target.Incarnation {
+	if known && cold.reported == r.target.RemainingColdTime && cold.incarnation == r.target.Incarnation {
 		return
 	}
-	s.cold[id] = coldTarget{incarnation: r.target.Incarnation, reported: r.target.ColdLeft, until: s.clock().Add(r.target.ColdLeft)}
+	s.cold[id] = coldTarget{incarnation: r.target.Incarnation, reported: r.target.RemainingColdTime, until: s.clock().Add(r.target.RemainingColdTime)}
 }
 
 // coldOf returns the limits of a target while it is cold, either as reported by the target or
--- a/internal/oper/node/cold_test.go
+++ b/internal/oper/node/cold_test.go
@@ -25,7 +25,7 @@
 }
 
 func (r *coldRows) Target(table.Row) (Target, error) {
-	return Target{Box: boxes.Box{ID: "t", Service: "s", Zone: "a", Incarnation: r.incarnation}, Slots: 12, ColdLeft: r.left}, nil
+	return Target{Box: boxes.Box{ID: "t", Service: "s", Zone: "a", Incarnation: r.incarnation}, Slots: 12, RemainingColdTime: r.left}, nil
 }
 
 // A target is cold for the time that its row reported first, however often the row is read. It is
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -65,8 +65,8 @@
 	boxes.Box
 	// Slots is the number of requests that the target runs concurrently.
 	Slots int
-	// ColdLeft is the remaining cold time when the target first reported it.
-	ColdLeft time.Duration
+	// RemainingColdTime is the remaining cold time when the target first reported it.
+	RemainingColdTime time.Duration
 	// Version is the version of the target's software.
 	Version ident.Version
 }
