--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -49,7 +49,7 @@
 	rollouts          *rollouts
 	handler           *entry.Handler
 	gate              *entry.Gate
-	metrics           *telem.Routed
+	metrics           *telem.RouteMetrics
 	// meter counts the bytes exchanged with peers.
 	meter *peer.Meter
 	// deadReadings counts for each router at how many consecutive reads of the routers' rows it was
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -10,8 +10,8 @@
 	"valescale/internal/edge/entry"
 )
 
-// Routed contains the metrics of a router that serves requests by routes.
-type Routed struct {
+// RouteMetrics contains the metrics of a router that serves requests by routes.
+type RouteMetrics struct {
 	registry  *prometheus.Registry
 	requests  *prometheus.CounterVec
 	sends     *prometheus.CounterVec
@@ -49,13 +49,13 @@
 )
 
 // NewRouted returns the metrics, including those that are read from functions.
-func NewRouted(readings []Reading) *Routed {
+func NewRouted(readings []Reading) *RouteMetrics {
 	histogram := func(name, help string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(minBucketSeconds, bucketFactor, bucketCount),
 		}, []string{"service"})
 	}
-	m := &Routed{
+	m := &RouteMetrics{
 		registry: prometheus.NewRegistry(),
 		requests: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "valescale_routed_requests_total", Help: "Requests by service, reason of their end and status.",
@@ -83,7 +83,7 @@
 }
 
 // Ended updates the metrics with a request that has ended.
-func (m *Routed) Ended(e entry.End) {
+func (m *RouteMetrics) Ended(e entry.End) {
 	service := string(e.Service)
 	m.requests.WithLabelValues(service, string(e.Reason), strconv.Itoa(e.Status)).Inc()
 	m.sends.WithLabelValues(service).Add(float64(e.Sends))
@@ -97,6 +97,6 @@
 }
 
 // Handler returns the HTTP handler of the metrics endpoint.
-func (m *Routed) Handler() http.Handler {
+func (m *RouteMetrics) Handler() http.Handler {
 	return promhttp.HandlerFor(m.registry, promhttp.HandlerOpts{})
 }
