--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -131,7 +131,7 @@
 // buildEntry creates the part that serves callers.
 func (n *Node) buildEntry(s *Settings) {
 	n.retryBudget = newRetryBudget(n.Clock(), s.RetryAllowance, n.fleetSize)
-	n.metrics = telem.NewRouted(n.metricReadings())
+	n.metrics = telem.NewRouteMetrics(n.metricReadings())
 	n.gate = entry.NewGate(n.listeners.callers, n.Logger, n.Clock)
 	n.handler = entry.New(entry.Parts{
 		Dialect: n.Dialect, Rules: n, Finder: n.router, Sender: n.conns, Budget: n.retryBudget, Guard: n.guard,
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -48,8 +48,8 @@
 	bucketCount = 15
 )
 
-// NewRouted returns the metrics, including those that are read from functions.
-func NewRouted(readings []Reading) *RouteMetrics {
+// NewRouteMetrics returns the metrics, including those that are read from functions.
+func NewRouteMetrics(readings []Reading) *RouteMetrics {
 	histogram := func(name, help string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(minBucketSeconds, bucketFactor, bucketCount),
