--- a/internal/oper/node/metrics.go
+++ b/internal/oper/node/metrics.go
@@ -3,14 +3,14 @@
 import "valescale/internal/oper/telem"
 
 // metricReadings returns the values that the metrics read from this router.
-func (n *Node) metricReadings() []telem.Reading {
-	gauge := func(name, help string, read func() float64) telem.Reading {
-		return telem.Reading{Name: name, Help: help, Read: read}
+func (n *Node) metricReadings() []telem.FuncMetric {
+	gauge := func(name, help string, read func() float64) telem.FuncMetric {
+		return telem.FuncMetric{Name: name, Help: help, Read: read}
 	}
-	counter := func(name, help string, read func() float64) telem.Reading {
-		return telem.Reading{Name: name, Help: help, Counts: true, Read: read}
+	counter := func(name, help string, read func() float64) telem.FuncMetric {
+		return telem.FuncMetric{Name: name, Help: help, Counts: true, Read: read}
 	}
-	return []telem.Reading{
+	return []telem.FuncMetric{
 		gauge("valescale_revision", "Configuration revision in force.", n.revision),
 		gauge("valescale_fresh", "Whether the store confirmed the configuration a moment ago.",
 			func() float64 { return telem.Flag(n.Fresh()) }),
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -20,8 +20,8 @@
 	duration  *prometheus.HistogramVec
 }
 
-// Reading is a metric whose value is read from a function when metrics are collected.
-type Reading struct {
+// FuncMetric is a metric whose value is read from a function when metrics are collected.
+type FuncMetric struct {
 	Name string
 	Help string
 	// Counts is true for a counter and false for a gauge.
@@ -49,7 +49,7 @@
 )
 
 // NewRouteMetrics returns the metrics, including those that are read from functions.
-func NewRouteMetrics(readings []Reading) *RouteMetrics {
+func NewRouteMetrics(readings []FuncMetric) *RouteMetrics {
 	histogram := func(name, help string) *prometheus.HistogramVec {
 		return prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: name, Help: help, Buckets: prometheus.ExponentialBuckets(minBucketSeconds, bucketFactor, bucketCount),
@@ -75,7 +75,7 @@
 }
 
 // collector returns the Prometheus collector of the reading.
-func (r Reading) collector() prometheus.Collector {
+func (r FuncMetric) collector() prometheus.Collector {
 	if r.Counts {
 		return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: r.Name, Help: r.Help}, r.Read)
 	}
