--- a/internal/oper/node/metrics.go
+++ b/internal/oper/node/metrics.go
@@ -8,7 +8,7 @@
 		return telem.FuncMetric{Name: name, Help: help, Read: read}
 	}
 	counter := func(name, help string, read func() float64) telem.FuncMetric {
-		return telem.FuncMetric{Name: name, Help: help, Counts: true, Read: read}
+		return telem.FuncMetric{Name: name, Help: help, IsCounter: true, Read: read}
 	}
 	return []telem.FuncMetric{
 		gauge("valescale_revision", "Configuration revision in force.", n.revision),
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -24,8 +24,8 @@
 type FuncMetric struct {
 	Name string
 	Help string
-	// Counts is true for a counter and false for a gauge.
-	Counts bool
+	// IsCounter is true for a counter and false for a gauge.
+	IsCounter bool
 	// Read returns the current value.
 	Read func() float64
 }
@@ -76,7 +76,7 @@
 
 // collector returns the Prometheus collector of the reading.
 func (r FuncMetric) collector() prometheus.Collector {
-	if r.Counts {
+	if r.IsCounter {
 		return prometheus.NewCounterFunc(prometheus.CounterOpts{Name: r.Name, Help: r.Help}, r.Read)
 	}
 	return prometheus.NewGaugeFunc(prometheus.GaugeOpts{Name: r.Name, Help: r.Help}, r.Read)
