--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -14,8 +14,8 @@
 func (d *Daemon) gauges() telem.Gauges {
 	return telem.Gauges{
 		Revision: func() float64 { return float64(d.Revision()) },
-		StoreUp:  func() float64 { return telem.Flag(d.table.Up()) },
-		Ready:    func() float64 { return telem.Flag(d.Ready()) },
+		StoreUp:  func() float64 { return telem.BoolValue(d.table.Up()) },
+		Ready:    func() float64 { return telem.BoolValue(d.Ready()) },
 		Routers: func() float64 {
 			n := 0
 			d.node.Read(func(v *peer.View) { n = len(v.Routers("")) })
--- a/internal/oper/node/metrics.go
+++ b/internal/oper/node/metrics.go
@@ -13,9 +13,9 @@
 	return []telem.FuncMetric{
 		gauge("valescale_revision", "Configuration revision in force.", n.revision),
 		gauge("valescale_fresh", "Whether the store confirmed the configuration a moment ago.",
-			func() float64 { return telem.Flag(n.Fresh()) }),
+			func() float64 { return telem.BoolValue(n.Fresh()) }),
 		gauge("valescale_ready", "Whether this router wants requests.",
-			func() float64 { return telem.Flag(n.ready.Load() && !n.draining.Load()) }),
+			func() float64 { return telem.BoolValue(n.ready.Load() && !n.draining.Load()) }),
 		gauge("valescale_routers", "Live routers known.",
 			func() float64 { return float64(len(n.mesh.Set().Live.Routers())) }),
 		gauge("valescale_permits", "Permits held by this router's homes.",
--- a/internal/oper/telem/routed.go
+++ b/internal/oper/telem/routed.go
@@ -30,8 +30,8 @@
 	Read func() float64
 }
 
-// Flag returns 1 for true and 0 for false.
-func Flag(value bool) float64 {
+// BoolValue returns 1 for true and 0 for false.
+func BoolValue(value bool) float64 {
 	if value {
 		return 1
 	}
