--- a/internal/oper/telem/writer.go
+++ b/internal/oper/telem/writer.go
@@ -19,9 +19,9 @@
 	BurstLines     int
 }
 
-// DefaultVolume allows a few times the rate at which a busy router logs, which is two lines for
+// DefaultWriterLimits allows a few times the rate at which a busy router logs, which is two lines for
 // each of some hundred requests per second.
-var DefaultVolume = WriterLimits{MaxQueuedLines: 4096, LinesPerSecond: 2000, BurstLines: 4000}
+var DefaultWriterLimits = WriterLimits{MaxQueuedLines: 4096, LinesPerSecond: 2000, BurstLines: 4000}
 
 // Writer writes log lines in the background and never blocks the caller. It drops lines beyond
 // its limits, counts them and logs the count.
