--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -21,12 +21,12 @@
 			d.node.Read(func(v *peer.View) { n = len(v.Routers("")) })
 			return float64(n)
 		},
-		Permits:   func() float64 { permits, _ := d.homes.InFlight(); return float64(permits) },
-		Waiting:   func() float64 { _, waiting := d.homes.InFlight(); return float64(waiting) },
-		SentBytes: func() float64 { return float64(d.peerBytes.Traffic().Sent + d.platformBytes.Traffic().Sent) },
-		ReadBytes: func() float64 { return float64(d.peerBytes.Traffic().Received + d.platformBytes.Traffic().Received) },
-		LoadRatio: d.homes.LoadRatio,
-		Held:      func() float64 { return float64(d.guard.Quarantined()) },
+		Permits:             func() float64 { permits, _ := d.homes.InFlight(); return float64(permits) },
+		Waiting:             func() float64 { _, waiting := d.homes.InFlight(); return float64(waiting) },
+		SentBytes:           func() float64 { return float64(d.peerBytes.Traffic().Sent + d.platformBytes.Traffic().Sent) },
+		ReadBytes:           func() float64 { return float64(d.peerBytes.Traffic().Received + d.platformBytes.Traffic().Received) },
+		LoadRatio:           d.homes.LoadRatio,
+		QuarantinedRequests: func() float64 { return float64(d.guard.Quarantined()) },
 		StoreCalls: func() float64 {
 			c := d.table.Counts()
 			return float64(c.Reads + c.Writes)
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -18,19 +18,19 @@
 // Gauges contains the functions that are called when metrics are collected. A metric whose
 // function is nil is not registered.
 type Gauges struct {
-	Revision       func() float64
-	StoreUp        func() float64
-	Ready          func() float64
-	Routers        func() float64
-	Permits        func() float64
-	Waiting        func() float64
-	SentBytes      func() float64
-	ReadBytes      func() float64
-	LoadRatio      func() float64
-	Held           func() float64
-	StoreCalls     func() float64
-	Fallbacks      func() float64
-	PermitRequests func() float64
+	Revision            func() float64
+	StoreUp             func() float64
+	Ready               func() float64
+	Routers             func() float64
+	Permits             func() float64
+	Waiting             func() float64
+	SentBytes           func() float64
+	ReadBytes           func() float64
+	LoadRatio           func() float64
+	QuarantinedRequests func() float64
+	StoreCalls          func() float64
+	Fallbacks           func() float64
+	PermitRequests      func() float64
 }
 
 // Metrics contains the metrics of a router.
@@ -74,7 +74,7 @@
 	m.gauge("valescale_routers", "Live routers known.", g.Routers)
 	m.gauge("valescale_permits", "Permits held by this router's homes.", g.Permits)
 	m.gauge("valescale_waiting", "Requests waiting at this router's homes.", g.Waiting)
-	m.gauge("valescale_held_requests", "Requests held back because targets end under them.", g.Held)
+	m.gauge("valescale_held_requests", "Requests held back because targets end under them.", g.QuarantinedRequests)
 	m.gauge("valescale_load_ratio", "Highest load over mean of the engines that this router is home of.", g.LoadRatio)
 	m.counter("valescale_control_sent_bytes_total", "Bytes sent on control connections.", g.SentBytes)
 	m.counter("valescale_control_received_bytes_total", "Bytes received on control connections.", g.ReadBytes)
