--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -31,8 +31,8 @@
 			c := d.table.Counts()
 			return float64(c.Reads + c.Writes)
 		},
-		Fallbacks:      func() float64 { return float64(d.router.Stats().LocalPlacements) },
-		PermitRequests: func() float64 { return float64(d.router.Stats().PermitRequests) },
+		FallbackPlacements: func() float64 { return float64(d.router.Stats().LocalPlacements) },
+		PermitRequests:     func() float64 { return float64(d.router.Stats().PermitRequests) },
 	}
 }
 
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -29,7 +29,7 @@
 	LoadRatio           func() float64
 	QuarantinedRequests func() float64
 	StoreCalls          func() float64
-	Fallbacks           func() float64
+	FallbackPlacements  func() float64
 	PermitRequests      func() float64
 }
 
@@ -79,7 +79,7 @@
 	m.counter("valescale_control_sent_bytes_total", "Bytes sent on control connections.", g.SentBytes)
 	m.counter("valescale_control_received_bytes_total", "Bytes received on control connections.", g.ReadBytes)
 	m.counter("valescale_store_calls_total", "Calls to the table service.", g.StoreCalls)
-	m.counter("valescale_fallback_placements_total", "Placements made without the home.", g.Fallbacks)
+	m.counter("valescale_fallback_placements_total", "Placements made without the home.", g.FallbackPlacements)
 	m.counter("valescale_permit_asks_total", "Requests for permits.", g.PermitRequests)
 	return m
 }
