--- a/internal/oper/daemon/status.go
+++ b/internal/oper/daemon/status.go
@@ -24,7 +24,7 @@
 		Permits:             func() float64 { permits, _ := d.homes.InFlight(); return float64(permits) },
 		Waiting:             func() float64 { _, waiting := d.homes.InFlight(); return float64(waiting) },
 		SentBytes:           func() float64 { return float64(d.peerBytes.Traffic().Sent + d.platformBytes.Traffic().Sent) },
-		ReadBytes:           func() float64 { return float64(d.peerBytes.Traffic().Received + d.platformBytes.Traffic().Received) },
+		ReceivedBytes:       func() float64 { return float64(d.peerBytes.Traffic().Received + d.platformBytes.Traffic().Received) },
 		LoadRatio:           d.homes.LoadRatio,
 		QuarantinedRequests: func() float64 { return float64(d.guard.Quarantined()) },
 		StoreCalls: func() float64 {
--- a/internal/oper/telem/metrics.go
+++ b/internal/oper/telem/metrics.go
@@ -25,7 +25,7 @@
 	Permits             func() float64
 	Waiting             func() float64
 	SentBytes           func() float64
-	ReadBytes           func() float64
+	ReceivedBytes       func() float64
 	LoadRatio           func() float64
 	QuarantinedRequests func() float64
 	StoreCalls          func() float64
@@ -77,7 +77,7 @@
 	m.gauge("valescale_held_requests", "Requests held back because targets end under them.", g.QuarantinedRequests)
 	m.gauge("valescale_load_ratio", "Highest load over mean of the engines that this router is home of.", g.LoadRatio)
 	m.counter("valescale_control_sent_bytes_total", "Bytes sent on control connections.", g.SentBytes)
-	m.counter("valescale_control_received_bytes_total", "Bytes received on control connections.", g.ReadBytes)
+	m.counter("valescale_control_received_bytes_total", "Bytes received on control connections.", g.ReceivedBytes)
 	m.counter("valescale_store_calls_total", "Calls to the table service.", g.StoreCalls)
 	m.counter("valescale_fallback_placements_total", "Placements made without the home.", g.FallbackPlacements)
 	m.counter("valescale_permit_asks_total", "Requests for permits.", g.PermitRequests)
