--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -51,7 +51,7 @@
 	for range 1 + w.rng.IntN(2) {
 		w.store.Fail(http.StatusServiceUnavailable)
 		time.Sleep(time.Duration(w.rng.Int64N(int64(maxOutage))))
-		w.store.SetBack(w.snapshots[w.rng.IntN(len(w.snapshots))], 1+w.rng.Int64N(2))
+		w.store.RollBack(w.snapshots[w.rng.IntN(len(w.snapshots))], 1+w.rng.Int64N(2))
 		w.store.Fail(0)
 		w.checkNoRollback(served)
 	}
