--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -64,11 +64,11 @@
 // rewriteLost writes the lost rows of the operator and the targets again, and nothing else: with
 // fewer new versions, versions that are assigned again stay below the lost ones for longer.
 func (w *harness) rewriteLost(latest fake.Snapshot) {
-	if !w.store.Has(latest, "op", "config") {
+	if !w.store.RowEquals(latest, "op", "config") {
 		w.writeConfig()
 	}
 	for _, t := range w.targets {
-		if t.state != "" && !w.store.Has(latest, "servers", t.id) {
+		if t.state != "" && !w.store.RowEquals(latest, "servers", t.id) {
 			w.announce(t, t.state)
 		}
 	}
