--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -91,7 +91,7 @@
 		w.storeFaults.Set(mode)
 	case 9:
 		w.store.Fail([]int{0, 0, http.StatusServiceUnavailable, http.StatusTooManyRequests}[w.rng.IntN(4)])
-		w.store.ForgetHistory()
+		w.store.CompactChangeLog()
 	case 10:
 		w.writeNextConfig()
 	case 11:
