--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -115,7 +115,7 @@
 		t.state = ""
 		fake.Withdraw(w.store, t.id)
 	case 2:
-		fake.Spoil(w.store, t.id, w.rng.Int())
+		fake.CorruptTarget(w.store, t.id, w.rng.Int())
 	case 3:
 		// The clock of the target may have been set back between the two starts.
 		t.startedMs += int64(w.rng.IntN(4000)) - 1000
