--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -40,7 +40,7 @@
 	for _, r := range w.routers {
 		printOrder("wake", r)
 	}
-	w.storeFaults.Set(fake.Sound)
+	w.storeFaults.Set(fake.Healthy)
 	w.store.Fail(0)
 	for range 1 + w.rng.IntN(maxLostVersions) {
 		w.writeNextConfig()
--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -142,9 +142,9 @@
 // clearFaults removes all faults and starts what is not running.
 func (w *harness) clearFaults() {
 	w.store.Fail(0)
-	w.storeFaults.Set(fake.Sound)
+	w.storeFaults.Set(fake.Healthy)
 	for _, t := range w.targets {
-		t.faults.Set(fake.Sound)
+		t.faults.Set(fake.Healthy)
 		t.handler.reset()
 		// Routers send to a target that reported leaving only after it has started again.
 		t.startedMs++
