--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -151,7 +151,7 @@
 		}
 		server := &http.Server{Handler: t.server.Handler, ReadHeaderTimeout: time.Minute}
 		t.server = server
-		go func() { _ = server.Serve(t.faults.Again(l)) }()
+		go func() { _ = server.Serve(t.faults.Share(l)) }()
 	})
 }
 
