--- a/cmd/soak/target.go
+++ b/cmd/soak/target.go
@@ -171,7 +171,7 @@
 func (k *handler) serveStream(w http.ResponseWriter, r *http.Request, id string) {
 	w.Header().Set("Content-Type", "text/event-stream")
 	from := 1
-	if after, err := strconv.Atoi(r.Header.Get(fake.HeaderAfter)); err == nil {
+	if after, err := strconv.Atoi(r.Header.Get(fake.HeaderLastEventID)); err == nil {
 		from = after + 1
 	}
 	abortAt := eventsPerStream + 1
