--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -157,7 +157,7 @@
 
 func (w *harness) announce(t *target, state string) {
 	t.state = state
-	fake.Announce(w.store, fake.TargetRow{
+	fake.PutTarget(w.store, fake.TargetRow{
 		ID: t.id, Service: t.service, Addr: t.addr, Zone: "a", State: state, Slots: 16, Born: t.startedMs,
 	})
 }
