--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -87,7 +87,7 @@
 		}
 	}
 	t.state = ""
-	fake.Withdraw(w.store, t.id)
+	fake.RemoveTarget(w.store, t.id)
 	time.Sleep(applyTimeout)
 	received := t.handler.receivedCount()
 	time.Sleep(observationTime)
--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -113,7 +113,7 @@
 		w.announce(t, "draining")
 	case 1:
 		t.state = ""
-		fake.Withdraw(w.store, t.id)
+		fake.RemoveTarget(w.store, t.id)
 	case 2:
 		fake.CorruptTarget(w.store, t.id, w.rng.Int())
 	case 3:
