--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -158,7 +158,7 @@
 func (w *harness) announce(t *target, state string) {
 	t.state = state
 	fake.PutTarget(w.store, fake.TargetRow{
-		ID: t.id, Service: t.service, Addr: t.addr, Zone: "a", State: state, Slots: 16, Born: t.startedMs,
+		ID: t.id, Service: t.service, Addr: t.addr, Zone: "a", State: state, Slots: 16, StartedAtMs: t.startedMs,
 	})
 }
 
