--- a/internal/fake/fleet/rollback_test.go
+++ b/internal/fake/fleet/rollback_test.go
@@ -22,7 +22,7 @@
 			t.Fatalf("order %d returned %+v", i, r)
 		}
 	}
-	b.Store.SetBack(snapshot)
+	b.Store.RollBack(snapshot)
 	for i := range orders {
 		// The caller repeats the order at another router until it is answered.
 		b.waitFor(t, fmt.Sprintf("order %d is answered", i), func() bool {
--- a/internal/fake/store/store.go
+++ b/internal/fake/store/store.go
@@ -86,9 +86,9 @@
 	return maps.Clone(s.rows)
 }
 
-// SetBack restores the store from a snapshot: later writes are lost, their versions are assigned
+// RollBack restores the store from a snapshot: later writes are lost, their versions are assigned
 // again, and the era is incremented.
-func (s *Store) SetBack(to Snapshot) {
+func (s *Store) RollBack(to Snapshot) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.rows = maps.Clone(to)
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -49,7 +49,7 @@
 		want := claim.Answer{Status: 200, Body: []byte("booked")}
 		first.Finish(ticket, want)
 		pause.Sleep(t.Context(), time.Second)
-		f.store.SetBack(snapshot)
+		f.store.RollBack(snapshot)
 		if ticket, _, kind := begin(second, time.Second); ticket != nil || kind != claim.Restored {
 			t.Errorf("second router right after the rollback: got ticket %v and kind %q, want kind restored", ticket, kind)
 		}
@@ -74,7 +74,7 @@
 		readStore(t, secondClient)
 		snapshot := f.store.Snapshot()
 		ticket, _, _ := begin(first, time.Second)
-		f.store.SetBack(snapshot)
+		f.store.RollBack(snapshot)
 		readStore(t, firstClient)
 		readStore(t, secondClient)
 		pause.Sleep(t.Context(), claim.RestoreDelay)
@@ -99,7 +99,7 @@
 		ticket, _, _ := begin(first, time.Second)
 		first.Release(ticket)
 		pause.Sleep(t.Context(), time.Second)
-		f.store.SetBack(snapshot)
+		f.store.RollBack(snapshot)
 		readStore(t, client)
 		pause.Sleep(t.Context(), claim.RestoreDelay)
 		again, _, kind := begin(first, time.Second)
@@ -161,7 +161,7 @@
 		case 5:
 			snapshot = f.store.Snapshot()
 		case 6:
-			f.store.SetBack(snapshot)
+			f.store.RollBack(snapshot)
 		}
 		pause.Sleep(t.Context(), time.Duration(rng.IntN(500))*time.Millisecond)
 		for _, client := range clients {
@@ -182,7 +182,7 @@
 		ticket, _, _ := begin(c, time.Second)
 		c.Finish(ticket, claim.Answer{Status: 200, Body: []byte("booked")})
 		pause.Sleep(t.Context(), time.Second)
-		f.store.SetBack(f.store.Snapshot())
+		f.store.RollBack(f.store.Snapshot())
 		readStore(t, client)
 		pause.Sleep(t.Context(), claim.RestoreDelay)
 		if _, got, kind := begin(c, time.Second); got == nil {
--- a/internal/share/config/rollback_test.go
+++ b/internal/share/config/rollback_test.go
@@ -48,7 +48,7 @@
 	if err := b.follower.Poll(ctx); err != nil {
 		t.Fatal(err)
 	}
-	s.SetBack(snapshot)
+	s.RollBack(snapshot)
 	// The first poll detects that the store is behind and rewrites the lost changes.
 	for range 2 {
 		_ = a.follower.Poll(ctx)
@@ -98,9 +98,9 @@
 	snapshot := s.Snapshot()
 	a.record(t, "two", 2)
 	latest := s.Snapshot()
-	s.SetBack(snapshot)
+	s.RollBack(snapshot)
 	s.FreezeReads(true)
-	s.SetBack(latest)
+	s.RollBack(latest)
 	commits, _ := s.Writes()
 	_ = a.follower.Poll(ctx)
 	if after, _ := s.Writes(); after != commits {
@@ -121,7 +121,7 @@
 	snapshot := s.Snapshot()
 	a.record(t, "two", 2)
 	b.peerRevision = 2
-	s.SetBack(snapshot)
+	s.RollBack(snapshot)
 	_, err := b.recorder.Record(ctx, propose("other", 1, documents(t, "judge", 9)))
 	if diff := cmp.Diff(config.Behind, fault.KindOf[config.Kind](err)); diff != "" {
 		t.Error(diff)
@@ -166,7 +166,7 @@
 		case 5:
 			snapshots = append(snapshots, s.Snapshot())
 		case 6:
-			s.SetBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
+			s.RollBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
 		}
 		if got := peer.keeper.InForce().Revision; got < before {
 			r.Fatalf("got revision %d in force, want at least %d", got, before)
--- a/internal/share/lease/rollback_test.go
+++ b/internal/share/lease/rollback_test.go
@@ -30,7 +30,7 @@
 	if !holds {
 		t.Fatal("b did not acquire the expired lease")
 	}
-	s.SetBack(snapshot)
+	s.RollBack(snapshot)
 	_ = a.AcquireOrRenew(ctx)
 	if epoch, holds := a.Epoch(); holds {
 		t.Errorf("a holds the lease under epoch %d while b holds it under epoch %d", epoch, second)
@@ -73,7 +73,7 @@
 		case 5:
 			snapshots = append(snapshots, s.Snapshot())
 		case 6:
-			s.SetBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
+			s.RollBack(snapshots[rapid.IntRange(0, len(snapshots)-1).Draw(r, "copy")])
 		}
 		owners.check(r, leases)
 	}
