--- a/internal/fake/listen/stalling_proxy.go
+++ b/internal/fake/listen/stalling_proxy.go
@@ -17,9 +17,9 @@
 	stalls atomic.Int64
 }
 
-// NewMute returns a StallingProxy to the server at an address. It accepts connections until the
+// NewStallingProxy returns a StallingProxy to the server at an address. It accepts connections until the
 // test ends.
-func NewMute(t *testing.T, to string) *StallingProxy {
+func NewStallingProxy(t *testing.T, to string) *StallingProxy {
 	t.Helper()
 	p := &StallingProxy{}
 	p.Addr = Conns(t, func(from net.Conn) { p.proxy(from, to) })
--- a/internal/share/peer/silent_test.go
+++ b/internal/share/peer/silent_test.go
@@ -17,7 +17,7 @@
 // ping many seconds later.
 func TestSilentConnectionClosed(t *testing.T) {
 	router := newRouter(t, "r")
-	m := listen.NewMute(t, router)
+	m := listen.NewStallingProxy(t, router)
 	clients, closeClients := NewClients(nil, &Meter{})
 	t.Cleanup(closeClients)
 	call := func() error {
