--- a/internal/fake/listen/stalling_proxy.go
+++ b/internal/fake/listen/stalling_proxy.go
@@ -26,8 +26,8 @@
 	return p
 }
 
-// Sever stalls all connections that are open now for good.
-func (p *StallingProxy) Sever() { p.stalls.Add(1) }
+// Stall stalls all connections that are open now for good.
+func (p *StallingProxy) Stall() { p.stalls.Add(1) }
 
 // proxy forwards the bytes of one connection in both directions.
 func (p *StallingProxy) proxy(from net.Conn, to string) {
--- a/internal/share/peer/silent_test.go
+++ b/internal/share/peer/silent_test.go
@@ -29,7 +29,7 @@
 	if err := call(); err != nil {
 		t.Fatal(err)
 	}
-	m.Sever()
+	m.Stall()
 	if err := call(); err == nil {
 		t.Error("call over a silent connection succeeded")
 	}
