--- a/cmd/demo/load.go
+++ b/cmd/demo/load.go
@@ -160,7 +160,7 @@
 	s.ToldNotRun, s.ToldUnknown = len(l.notRun), l.unknown
 	for _, question := range l.notRun {
 		for _, e := range l.fleet.Engines {
-			if e.Asked(question) {
+			if e.HasRun(question) {
 				s.FalseNotRun++
 			}
 		}
--- a/internal/fake/target/engine.go
+++ b/internal/fake/target/engine.go
@@ -142,8 +142,8 @@
 	e.questionRuns[question]++
 }
 
-// Asked reports whether a question has ever run on this engine.
-func (e *Engine) Asked(question string) bool {
+// HasRun reports whether a question has ever run on this engine.
+func (e *Engine) HasRun(question string) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.questionRuns[question] > 0
