--- a/cmd/demo/load.go
+++ b/cmd/demo/load.go
@@ -108,7 +108,7 @@
 	switch {
 	case r.Right(question, words):
 		l.complete++
-	case r.Whole && r.Status == http.StatusOK:
+	case r.Complete && r.Status == http.StatusOK:
 		l.wrong++
 		l.failures[fmt.Sprintf("unexpected answer %q to %q", r.Text, question)]++
 	case r.Outcome == retry.NotRun:
@@ -142,7 +142,7 @@
 	l.sent++
 	l.orders[key] = append(l.orders[key], r.Outcome)
 	switch {
-	case r.Outcome == retry.Done && r.Whole:
+	case r.Outcome == retry.Done && r.Complete:
 		l.complete++
 	case r.Outcome == retry.Unknown:
 		l.unknown++
--- a/internal/fake/fleet/caller.go
+++ b/internal/fake/fleet/caller.go
@@ -37,8 +37,8 @@
 	Outcome retry.Outcome
 	Code    front.Code
 	Text    string
-	// Whole is set if the response was received completely.
-	Whole bool
+	// Complete is set if the response was received completely.
+	Complete bool
 	// IDs contains the ids of a stream's events.
 	IDs []string
 	Err error
@@ -119,7 +119,7 @@
 		return readStream(resp)
 	}
 	data, err := io.ReadAll(resp.Body)
-	r := Result{Status: resp.StatusCode, Outcome: retry.Outcome(resp.Header.Get(front.OutcomeHeader)), Err: err, Whole: err == nil}
+	r := Result{Status: resp.StatusCode, Outcome: retry.Outcome(resp.Header.Get(front.OutcomeHeader)), Err: err, Complete: err == nil}
 	var decoded completion
 	if json.Unmarshal(data, &decoded) == nil {
 		r.Code = decoded.Error.Code
@@ -144,7 +144,7 @@
 		case line == "event: error":
 			failed = true
 		case line == "data: "+relay.EndMark:
-			r.Whole = true
+			r.Complete = true
 		case strings.HasPrefix(line, "data: "):
 			var decoded completion
 			if json.Unmarshal([]byte(line[len("data: "):]), &decoded) != nil {
@@ -160,7 +160,7 @@
 		}
 	}
 	r.Err = scanner.Err()
-	if r.Whole {
+	if r.Complete {
 		r.Outcome = retry.Done
 	}
 	return r
@@ -168,7 +168,7 @@
 
 // Right reports whether a result is the complete and correct answer to a question.
 func (r Result) Right(question string, words int) bool {
-	return r.Whole && r.Status == http.StatusOK && r.Text == target.Answer(question, words)
+	return r.Complete && r.Status == http.StatusOK && r.Text == target.Answer(question, words)
 }
 
 // Operator changes the fleet's configuration through the admin service of a router.
--- a/internal/fake/fleet/crash_test.go
+++ b/internal/fake/fleet/crash_test.go
@@ -34,7 +34,7 @@
 	want := fleet.Result{Status: http.StatusServiceUnavailable, Outcome: retry.NotRun, Code: "ends_targets"}
 	rejected := func(i int) bool {
 		got := sendFatal(i)
-		got.Text, got.Whole, got.Err = "", false, nil
+		got.Text, got.Complete, got.Err = "", false, nil
 		return cmp.Equal(want, got)
 	}
 	// Requests for a stream and for one JSON body differ in their bodies, so these are two requests
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -135,8 +135,8 @@
 	const received = 7
 	rest := b.caller.Resume(b.ctx, b.Routers[1].CallerAddr(), first.IDs[received-1])
 	want := strings.Join(events[received:], " ") + " "
-	if diff := cmp.Diff(want, rest.Text); diff != "" || !rest.Whole {
-		t.Errorf("complete: %v, text differs: %s", rest.Whole, diff)
+	if diff := cmp.Diff(want, rest.Text); diff != "" || !rest.Complete {
+		t.Errorf("complete: %v, text differs: %s", rest.Complete, diff)
 	}
 	other := &fleet.Caller{HTTP: http.DefaultClient, Token: "cali"}
 	if r := other.Resume(b.ctx, b.Routers[1].CallerAddr(), first.IDs[0]); r.Status != http.StatusBadRequest {
@@ -160,7 +160,7 @@
 	b := start(t, fleet.Options{Routers: 1, Engines: 1})
 	b.Engines[0].CutStreams(100, 5)
 	r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true)
-	if r.Whole || r.Outcome != retry.Unknown || r.Code == "" {
+	if r.Complete || r.Outcome != retry.Unknown || r.Code == "" {
 		t.Errorf("got %+v, want an error event with the outcome unknown", r)
 	}
 }
