--- a/cmd/demo/load.go
+++ b/cmd/demo/load.go
@@ -106,7 +106,7 @@
 	defer l.mu.Unlock()
 	l.sent++
 	switch {
-	case r.Right(question, words):
+	case r.Correct(question, words):
 		l.complete++
 	case r.Complete && r.Status == http.StatusOK:
 		l.wrong++
--- a/internal/fake/fleet/backoff_test.go
+++ b/internal/fake/fleet/backoff_test.go
@@ -27,7 +27,7 @@
 	sendChats := func(prefix string, count int) {
 		for i := range count {
 			q := fmt.Sprint(prefix, i)
-			if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), q, q, words, i%2 == 0); !r.Right(q, words) {
+			if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), q, q, words, i%2 == 0); !r.Correct(q, words) {
 				t.Fatalf("chat %s got %+v", q, r)
 			}
 		}
--- a/internal/fake/fleet/caller.go
+++ b/internal/fake/fleet/caller.go
@@ -166,8 +166,8 @@
 	return r
 }
 
-// Right reports whether a result is the complete and correct answer to a question.
-func (r Result) Right(question string, words int) bool {
+// Correct reports whether a result is the complete and correct answer to a question.
+func (r Result) Correct(question string, words int) bool {
 	return r.Complete && r.Status == http.StatusOK && r.Text == target.Answer(question, words)
 }
 
--- a/internal/fake/fleet/crash_test.go
+++ b/internal/fake/fleet/crash_test.go
@@ -24,7 +24,7 @@
 	b := start(t, fleet.Options{Routers: 3, Engines: engines, Fatal: "fatal"})
 	for i := range 60 {
 		question := fmt.Sprint("question ", i)
-		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), fmt.Sprint(i), question, words, false); !r.Right(question, words) {
+		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), fmt.Sprint(i), question, words, false); !r.Correct(question, words) {
 			t.Fatalf("question %d returned %+v", i, r)
 		}
 	}
@@ -68,7 +68,7 @@
 		t.Errorf("%d more engines crashed after all routers rejected the requests", got)
 	}
 	question := "harmless"
-	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "h", question, words, true); !r.Right(question, words) {
+	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "h", question, words, true); !r.Correct(question, words) {
 		t.Errorf("a harmless chat returned %+v", r)
 	}
 }
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -112,7 +112,7 @@
 	for i := range 20 {
 		question := fmt.Sprintf("question %d", i)
 		r := b.caller.Chat(b.ctx, b.Routers[i%2].CallerAddr(), fmt.Sprint(i%4), question, words, i%2 == 0)
-		if !r.Right(question, words) {
+		if !r.Correct(question, words) {
 			t.Fatalf("question %d returned %+v", i, r)
 		}
 	}
@@ -129,7 +129,7 @@
 	b := start(t, fleet.Options{Routers: 2, Engines: 2})
 	first := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true)
 	events := strings.Split(strings.TrimSpace(first.Text), " ")
-	if !first.Right("q", words) || len(first.IDs) != words {
+	if !first.Correct("q", words) || len(first.IDs) != words {
 		t.Fatalf("got %+v", first)
 	}
 	const received = 7
@@ -151,7 +151,7 @@
 		e.CutStreams(1, 5)
 	}
 	r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true)
-	if !r.Right("q", words) {
+	if !r.Correct("q", words) {
 		t.Errorf("got %+v", r)
 	}
 }
@@ -199,7 +199,7 @@
 func TestStoreDown(t *testing.T) {
 	b := start(t, fleet.Options{Routers: 2, Engines: 2, Plain: 1})
 	b.Store.SetDown(true)
-	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, false); !r.Right("q", words) {
+	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, false); !r.Correct("q", words) {
 		t.Errorf("a chat returned %+v", r)
 	}
 	if r := b.caller.Order(b.ctx, b.Routers[0].CallerAddr(), "order-1", "roses"); r.Outcome != retry.NotRun || r.Status != http.StatusServiceUnavailable {
@@ -240,7 +240,7 @@
 	before := b.Engines[0].Counts().Served
 	for i := range 30 {
 		q := fmt.Sprint(i)
-		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, true); !r.Right(q, words) {
+		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, true); !r.Correct(q, words) {
 			t.Fatalf("got %+v", r)
 		}
 	}
@@ -256,7 +256,7 @@
 		before := b.Engines[0].Counts().Served
 		for i := range 30 {
 			q := fmt.Sprint(description, i)
-			if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, true); !r.Right(q, words) {
+			if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, true); !r.Correct(q, words) {
 				t.Fatalf("got %+v", r)
 			}
 		}
@@ -294,12 +294,12 @@
 	stopping.Stop()
 	wg.Wait()
 	for i, r := range results {
-		if !r.Right(fmt.Sprint(i), words) {
+		if !r.Correct(fmt.Sprint(i), words) {
 			t.Errorf("request %d returned %+v", i, r)
 		}
 	}
 	b.Unlist(string(stopping.ID))
-	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "0", "after", words, true); !r.Right("after", words) {
+	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "0", "after", words, true); !r.Correct("after", words) {
 		t.Errorf("a chat after the stop returned %+v", r)
 	}
 }
@@ -310,7 +310,7 @@
 	b.Routers[3].Kill()
 	for i := range 40 {
 		q := fmt.Sprint(i)
-		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, i%2 == 0); !r.Right(q, words) {
+		if r := b.caller.Chat(b.ctx, b.Routers[i%3].CallerAddr(), q, q, words, i%2 == 0); !r.Correct(q, words) {
 			t.Fatalf("request %d returned %+v", i, r)
 		}
 	}
@@ -387,7 +387,7 @@
 		before := b.warmCount()
 		for i := range chats {
 			q := fmt.Sprint(round, i)
-			if r := b.caller.Chat(b.ctx, b.Routers[i%2].CallerAddr(), fmt.Sprint("chat", i), q, words, true); !r.Right(q, words) {
+			if r := b.caller.Chat(b.ctx, b.Routers[i%2].CallerAddr(), fmt.Sprint("chat", i), q, words, true); !r.Correct(q, words) {
 				t.Fatalf("got %+v", r)
 			}
 		}
@@ -427,7 +427,7 @@
 	b.apply(t, "http2", http2Configuration)
 	for i := range 6 {
 		q := fmt.Sprint(i)
-		if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), q, q, words, i%2 == 0); !r.Right(q, words) {
+		if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), q, q, words, i%2 == 0); !r.Correct(q, words) {
 			t.Fatalf("got %+v", r)
 		}
 	}
--- a/internal/fake/fleet/keys_test.go
+++ b/internal/fake/fleet/keys_test.go
@@ -124,7 +124,7 @@
 func TestPeersRequireCertificates(t *testing.T) {
 	a := newAuthority(t)
 	b := start(t, fleet.Options{Routers: 2, Engines: 2, Keys: a.listener})
-	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true); !r.Right("q", words) {
+	if r := b.caller.Chat(b.ctx, b.Routers[0].CallerAddr(), "c", "q", words, true); !r.Correct("q", words) {
 		t.Errorf("a chat over routers with TLS keys returned %+v", r)
 	}
 	addr := b.Routers[0].PeerAddr()
