--- a/internal/fake/target/chat.go
+++ b/internal/fake/target/chat.go
@@ -63,7 +63,7 @@
 	defer e.finish()
 	warm := e.useCache(ident.ChatKey(key))
 	e.setHeaders(w, r)
-	if !warm && !simulateWork(r.Context(), e.options.Cold) {
+	if !warm && !simulateWork(r.Context(), e.options.ColdDelay) {
 		return
 	}
 	question, words, offset := request.words()
--- a/internal/fake/target/engine.go
+++ b/internal/fake/target/engine.go
@@ -14,8 +14,8 @@
 	Name        ident.Target
 	Incarnation ident.Incarnation
 	// PerWord is the time that one word takes. Cold is added if the prompt prefix is not cached.
-	PerWord time.Duration
-	Cold    time.Duration
+	PerWord   time.Duration
+	ColdDelay time.Duration
 	// Cache is the maximum number of chats whose prefixes are cached; zero means no limit.
 	Cache int
 	// Slots is the number of slots that the engine reports. It rejects requests once twice as many
