--- a/cmd/demo/run.go
+++ b/cmd/demo/run.go
@@ -75,7 +75,7 @@
 func run(ctx context.Context) (summary, error) {
 	f, stop, err := fleet.New(fleet.Options{
 		Routers: routers, Engines: engines, Plain: plain, PlainTime: 5 * time.Millisecond,
-		Engine:     target.EngineOptions{PerWord: wordInterval, ColdDelay: coldDelay, Cache: 60, Slots: slots, Fenced: true},
+		Engine:     target.EngineOptions{PerWord: wordInterval, ColdDelay: coldDelay, CacheSize: 60, Slots: slots, Fenced: true},
 		DrainDelay: 300 * time.Millisecond,
 		Pace:       conf.Pace{Head: 2 * time.Second},
 	})
--- a/cmd/standin/main.go
+++ b/cmd/standin/main.go
@@ -52,7 +52,7 @@
 	var targets []boxes.Box
 	var plain []*target.Plain
 	for i := range o.Engines {
-		e := target.NewEngine(target.EngineOptions{PerWord: timePerWord, Cache: 100, Slots: 24})
+		e := target.NewEngine(target.EngineOptions{PerWord: timePerWord, CacheSize: 100, Slots: 24})
 		box, err := serveTarget(fmt.Sprintf("engine-%02d", i), "judge", i, e.Handler())
 		if err != nil {
 			return err
--- a/internal/fake/fleet/fleet_test.go
+++ b/internal/fake/fleet/fleet_test.go
@@ -380,7 +380,7 @@
 
 // The prefixes of an engine's chats are cached at other engines when it leaves.
 func TestLeavingEngineExportsItsChats(t *testing.T) {
-	b := start(t, fleet.Options{Routers: 2, Engines: 3, Engine: target.EngineOptions{Cache: 100}})
+	b := start(t, fleet.Options{Routers: 2, Engines: 3, Engine: target.EngineOptions{CacheSize: 100}})
 	b.apply(t, "export", strings.Replace(configurationText(), "shards = 2", "shards = 1\nexport = true", 1))
 	const chats = 12
 	sendChats := func(round string) (warmCount int) {
--- a/internal/fake/target/chat.go
+++ b/internal/fake/target/chat.go
@@ -189,7 +189,7 @@
 		return true
 	}
 	e.cached[key] = e.lru.PushFront(key)
-	if e.options.Cache > 0 && e.lru.Len() > e.options.Cache {
+	if e.options.CacheSize > 0 && e.lru.Len() > e.options.CacheSize {
 		last := e.lru.Back()
 		oldest := e.lru.Remove(last).(ident.ChatKey)
 		delete(e.cached, oldest)
--- a/internal/fake/target/engine.go
+++ b/internal/fake/target/engine.go
@@ -16,8 +16,8 @@
 	// PerWord is the time that one word takes. Cold is added if the prompt prefix is not cached.
 	PerWord   time.Duration
 	ColdDelay time.Duration
-	// Cache is the maximum number of chats whose prefixes are cached; zero means no limit.
-	Cache int
+	// CacheSize is the maximum number of chats whose prefixes are cached; zero means no limit.
+	CacheSize int
 	// Slots is the number of slots that the engine reports. It rejects requests once twice as many
 	// run; zero means no limit.
 	Slots int
