--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -182,12 +182,12 @@
 		Workspace: j.workspace.Name,
 		LastEvent: j.lastEvent,
 	})
-	fresh := maxIdleUnrepeatable
+	maxIdle := maxIdleUnrepeatable
 	if j.route.Repeat == retry.Safe {
-		fresh = maxIdleRepeatable
+		maxIdle = maxIdleRepeatable
 	}
 	return relay.Exchange{
-		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, MaxIdleTime: fresh,
+		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, MaxIdleTime: maxIdle,
 		MaxIdleConns: h.Rules.IdleConns(j.service),
 		Matches:      func(got http.Header) bool { return h.Dialect.Matches(got, j.call) },
 	}
--- a/internal/edge/entry/handler.go
+++ b/internal/edge/entry/handler.go
@@ -20,15 +20,15 @@
 // Finder places requests at targets.
 type Finder interface {
 	// Acquire waits for a target. The caller must release the placement.
-	Acquire(ctx context.Context, ask route.TargetRequest) (*route.Placement, error)
+	Acquire(ctx context.Context, request route.TargetRequest) (*route.Placement, error)
 	// Report records whether a target answered a request correctly.
 	Report(target ident.TargetHash, ok bool)
 	// ReportCancelled records the end of a request that gives no evidence about its target.
 	ReportCancelled(target ident.TargetHash)
 	// ReportReceived records that a target has sent bytes of an answer.
 	ReportReceived(target ident.TargetHash)
-	// ReportSilent records that a request sent at the given time has received nothing for too long. It
-	// reports whether the target has sent nothing to other requests either.
+	// ReportSilent records that a request sent at the given time has received nothing for too long.
+	// It reports whether the target has sent nothing to other requests either.
 	ReportSilent(target ident.TargetHash, since time.Time) bool
 	// ReportUnreachable records that no connection to a target could be made.
 	ReportUnreachable(target ident.TargetHash)
@@ -72,12 +72,12 @@
 	Finished(service, as ident.Service, route match.RouteName, ok bool, took time.Duration)
 }
 
-// noTrials is used when there are no canary versions.
-type noTrials struct{}
+// noCanaries is used when there are no canary versions.
+type noCanaries struct{}
 
-func (noTrials) Choose(service ident.Service) ident.Service { return service }
-func (noTrials) RecordSent(_, _ ident.Service)              {}
-func (noTrials) Finished(_, _ ident.Service, _ match.RouteName, _ bool, _ time.Duration) {
+func (noCanaries) Choose(service ident.Service) ident.Service { return service }
+func (noCanaries) RecordSent(_, _ ident.Service)              {}
+func (noCanaries) Finished(_, _ ident.Service, _ match.RouteName, _ bool, _ time.Duration) {
 }
 
 // Observer receives the end of each request.
@@ -97,7 +97,7 @@
 	// Sends is the number of attempts that reached a target.
 	Sends int
 	// Found is the time until a target was found, First until the first byte of the answer and
-	// Whole until the end. First and Found are zero if that point was not reached.
+	// Total until the end. First and Found are zero if that point was not reached.
 	Found time.Duration
 	First time.Duration
 	Total time.Duration
@@ -133,7 +133,7 @@
 // New returns a handler.
 func New(parts Parts) *Handler {
 	if parts.Canaries == nil {
-		parts.Canaries = noTrials{}
+		parts.Canaries = noCanaries{}
 	}
 	return &Handler{Parts: parts, startedAt: parts.Clock(), latency: newLatencyEstimates()}
 }
--- a/internal/edge/entry/quarantine_test.go
+++ b/internal/edge/entry/quarantine_test.go
@@ -64,9 +64,9 @@
 // countAcquires counts the calls of the finder's Acquire.
 func countAcquires(s *setup) *int {
 	count := 0
-	s.finder.acquire = func(ctx context.Context, ask route.TargetRequest) (*route.Placement, error) {
+	s.finder.acquire = func(ctx context.Context, request route.TargetRequest) (*route.Placement, error) {
 		count++
-		return (&finder{targets: s.finder.targets}).Acquire(ctx, ask)
+		return (&finder{targets: s.finder.targets}).Acquire(ctx, request)
 	}
 	return &count
 }
--- a/internal/edge/entry/setup_test.go
+++ b/internal/edge/entry/setup_test.go
@@ -72,13 +72,13 @@
 	acquire func(context.Context, route.TargetRequest) (*route.Placement, error)
 }
 
-func (f *finder) Acquire(ctx context.Context, ask route.TargetRequest) (*route.Placement, error) {
+func (f *finder) Acquire(ctx context.Context, request route.TargetRequest) (*route.Placement, error) {
 	if f.acquire != nil {
-		return f.acquire(ctx, ask)
+		return f.acquire(ctx, request)
 	}
 	for _, t := range f.targets {
 		avoided := false
-		for _, a := range ask.Avoid {
+		for _, a := range request.Avoid {
 			avoided = avoided || a == t.ID.Hash()
 		}
 		if !avoided {
--- a/internal/edge/front/chat.go
+++ b/internal/edge/front/chat.go
@@ -113,8 +113,8 @@
 	f.finish(j, retry.Done, CodeNone)
 }
 
-// relayStream copies events until the end of the stream. If the engine fails, the stream is continued on
-// another one from the prompt and the text already sent, if the policy allows that.
+// relayStream copies events until the end of the stream. If the engine fails, the stream is
+// continued on another one from the prompt and the text already sent, if the policy allows that.
 func (f *Front) relayStream(ctx context.Context, j *job, s *response, out *eventWriter, offset uint64) {
 	for {
 		err := f.copyEvents(j, s, out, offset)
@@ -199,9 +199,9 @@
 	return next, nil
 }
 
-// continuationBody returns the body of a request for the rest of an answer: the messages so far, followed
-// by the received text as an assistant message that the engine is to continue instead of starting a new
-// turn. The assistant message of an earlier continuation is replaced.
+// continuationBody returns the body of a request for the rest of an answer: the messages so far,
+// followed by the received text as an assistant message that the engine is to continue instead of
+// starting a new turn. The assistant message of an earlier continuation is replaced.
 func continuationBody(body []byte, text string) ([]byte, bool) {
 	var fields map[string]json.RawMessage
 	var messages []json.RawMessage
--- a/internal/edge/front/events.go
+++ b/internal/edge/front/events.go
@@ -19,8 +19,8 @@
 	writeTimeout = 30 * time.Second
 )
 
-// eventWriter writes a stream to a caller. It keeps the text for a continuation, and a recording of the
-// stream as the stored answer of a claim; each is limited to maxBytes.
+// eventWriter writes a stream to a caller. It keeps the text for a continuation, and a recording of
+// the stream as the stored answer of a claim; each is limited to maxBytes.
 type eventWriter struct {
 	w         http.ResponseWriter
 	control   *http.ResponseController
@@ -99,8 +99,8 @@
 	_ = e.control.SetWriteDeadline(time.Time{})
 }
 
-// writeProblem ends an incomplete stream with an error event. Before the first event it sends an ordinary
-// error response instead.
+// writeProblem ends an incomplete stream with an error event. Before the first event it sends an
+// ordinary error response instead.
 func (e *eventWriter) writeProblem(p *Problem) {
 	if !e.started {
 		p.write(e.w)
--- a/internal/edge/front/front.go
+++ b/internal/edge/front/front.go
@@ -25,14 +25,14 @@
 
 // Finder finds targets for requests and enforces the rate limits of workspaces.
 type Finder interface {
-	Acquire(ctx context.Context, ask route.TargetRequest) (*route.Placement, error)
+	Acquire(ctx context.Context, request route.TargetRequest) (*route.Placement, error)
 	Admit(ctx context.Context, w policy.Workspace) error
 	Report(target ident.TargetHash, ok bool)
 	ReportCancelled(target ident.TargetHash)
 	// ReportNotice processes the state that a target reported in a response.
 	ReportNotice(target route.Target, n route.Notice)
-	// BackoffLeft returns the remaining backoff of a target, during which it accepts no requests of this
-	// router.
+	// BackoffLeft returns the remaining backoff of a target, during which it accepts no requests of
+	// this router.
 	BackoffLeft(target route.Target) time.Duration
 }
 
@@ -50,7 +50,8 @@
 
 // Guard quarantines requests under which targets crash.
 type Guard interface {
-	// QuarantineLeft returns the remaining quarantine time of a request; zero if it is not quarantined.
+	// QuarantineLeft returns the remaining quarantine time of a request; zero if it is not
+	// quarantined.
 	QuarantineLeft(request ident.Fingerprint) time.Duration
 	// ReportInterrupted records an interrupted response.
 	ReportInterrupted(b guard.Interruption)
@@ -79,8 +80,8 @@
 	Code      Code
 	Warm      bool
 	Attempts  int
-	// WaitTime is the time from the arrival of the request until a target was found, FirstByte the time until
-	// the first byte was sent to the caller, and Whole the total time.
+	// WaitTime is the time from the arrival of the request until a target was found, FirstByte the
+	// time until the first byte was sent to the caller, and TotalTime the time until the end.
 	WaitTime  time.Duration
 	FirstByte time.Duration
 	TotalTime time.Duration
@@ -94,8 +95,8 @@
 	BodyTime time.Duration
 	// Tries is the maximum number of attempts per request.
 	Tries int
-	// MaxPartialBytes is the maximum size of the text of a stream that is kept for continuing it on another
-	// engine, in bytes.
+	// MaxPartialBytes is the maximum size of the text of a stream that is kept for continuing it on
+	// another engine, in bytes.
 	MaxPartialBytes int
 	// MinClaimTimeout is the minimum timeout for a claim, which waits for the store.
 	MinClaimTimeout time.Duration
--- a/internal/edge/front/front_test.go
+++ b/internal/edge/front/front_test.go
@@ -58,8 +58,8 @@
 	released int
 	sent     int
 	acquired int
-	// quarantine is the remaining quarantine time of all requests. It starts after quarantineAcquired calls
-	// of Acquire and quarantineSent attempts.
+	// quarantine is the remaining quarantine time of all requests. It starts after
+	// quarantineAcquired calls of Acquire and quarantineSent attempts.
 	quarantine         time.Duration
 	quarantineAcquired int
 	quarantineSent     int
@@ -230,9 +230,10 @@
 	}
 }
 
-// A quarantined request takes no target and releases its claim. If an earlier request with its key was sent,
-// the response states that it may have run, or is the stored answer. A request that is quarantined while it
-// waits for a target is not sent, and one that is quarantined after its own attempt is not retried.
+// A quarantined request takes no target and releases its claim. If an earlier request with its key
+// was sent, the response states that it may have run, or is the stored answer. A request that is
+// quarantined while it waits for a target is not sent, and one that is quarantined after its own
+// attempt is not retried.
 func TestQuarantinedRequests(t *testing.T) {
 	lost := fault.New("relay.Send", relay.Broken, nil)
 	running := fault.New("claim.Begin", claim.Running, nil)
@@ -272,8 +273,8 @@
 	return w
 }
 
-// A stream is not resumed during the backoff of its target: the response is an immediate error with a
-// Retry-After delay.
+// A stream is not resumed during the backoff of its target: the response is an immediate error with
+// a Retry-After delay.
 func TestResumeDuringBackoff(t *testing.T) {
 	p := fakeParts{backoff: 1500 * time.Millisecond}
 	w := resume(newFront(t, &p))
--- a/internal/edge/front/input.go
+++ b/internal/edge/front/input.go
@@ -15,7 +15,8 @@
 	"valescale/internal/share/config"
 )
 
-// The cost estimate of policies assumes these limits on the texts and headers that a policy evaluates.
+// The cost estimate of policies assumes these limits on the texts and headers that a policy
+// evaluates.
 const (
 	maxPolicyTextBytes = 256
 	maxPolicyHeaders   = 64
@@ -55,8 +56,8 @@
 	return data, nil
 }
 
-// chatRequest contains the fields of a chat completion request that the router uses. The body is forwarded
-// with all other fields unchanged.
+// chatRequest contains the fields of a chat completion request that the router uses. The body is
+// forwarded with all other fields unchanged.
 type chatRequest struct {
 	Model     string        `json:"model"`
 	Stream    bool          `json:"stream"`
@@ -95,8 +96,8 @@
 // ChatHeader contains the id that the caller assigned to a chat.
 const ChatHeader = "Valescale-Chat"
 
-// chatKey identifies a chat by the id that the caller assigned, or else by the messages up to the first
-// user message, which stay the same as the chat grows.
+// chatKey identifies a chat by the id that the caller assigned, or else by the messages up to the
+// first user message, which stay the same as the chat grows.
 func chatKey(w policy.Workspace, r *http.Request, c chatRequest) (ident.ChatKey, *Problem) {
 	if id := r.Header.Get(ChatHeader); id != "" {
 		if len(id) > maxChatIDBytes {
--- a/internal/edge/front/job.go
+++ b/internal/edge/front/job.go
@@ -25,7 +25,8 @@
 // job is the state of a request while it is served.
 type job struct {
 	id ident.Attempt
-	// fingerprint identifies the request by its content, so that it is recognized when it is sent again.
+	// fingerprint identifies the request by its content, so that it is recognized when it is sent
+	// again.
 	fingerprint ident.Fingerprint
 	// attemptID is the id of the latest attempt.
 	attemptID   ident.Attempt
@@ -66,8 +67,8 @@
 	workspace policy.Workspace
 }
 
-// authenticate identifies the caller of a request. It does not read the body, so that an unknown caller
-// can cause no load by it.
+// authenticate identifies the caller of a request. It does not read the body, so that an unknown
+// caller can cause no load by it.
 func (f *Front) authenticate(r *http.Request) (caller, *Problem) {
 	inForce := f.Configs.InForce()
 	w, problem := identify(inForce, r)
@@ -123,16 +124,17 @@
 	return answer, nil
 }
 
-// setBody sets the body and the fingerprint of the request. The fingerprint excludes the host: callers can
-// send the same request to any router.
+// setBody sets the body and the fingerprint of the request. The fingerprint excludes the host:
+// callers can send the same request to any router.
 func (j *job) setBody(r *http.Request, body []byte) {
 	j.call.Body = body
 	j.fingerprint = ident.NewFingerprint(j.workspace.Name, "", ident.HashRequest(r.Method, r.URL.RequestURI(), body))
 }
 
-// rejectQuarantined rejects a quarantined request and reports whether it did so. If sent, the request would
-// crash a target with all requests that run there, and still get no answer. It has to be called after the
-// claim has begun: an earlier request with the same key may have run, and its answer may be stored.
+// rejectQuarantined rejects a quarantined request and reports whether it did so. If sent, the
+// request would crash a target with all requests that run there, and still get no answer. It has to
+// be called after the claim has begun: an earlier request with the same key may have run, and its
+// answer may be stored.
 func (f *Front) rejectQuarantined(w http.ResponseWriter, j *job) bool {
 	wait := f.Guard.QuarantineLeft(j.fingerprint)
 	if wait == 0 {
@@ -142,8 +144,9 @@
 	return true
 }
 
-// reportInterrupted reports an interrupted response to the guard. Errors of other kinds are ignored, and so
-// are those after the caller disconnected and those at a step before the target can have run the request.
+// reportInterrupted reports an interrupted response to the guard. Errors of other kinds are
+// ignored, and so are those after the caller disconnected and those at a step before the target can
+// have run the request.
 func (f *Front) reportInterrupted(ctx context.Context, j *job, target route.Target, sentAt time.Time, err error) {
 	switch fault.KindOf[relay.Kind](err) {
 	case relay.Broken, relay.Framing:
@@ -157,8 +160,9 @@
 	f.Guard.ReportInterrupted(guard.Interruption{Request: string(j.id), Fingerprint: j.fingerprint, Target: target, Ran: f.Clock().Sub(sentAt)})
 }
 
-// respondFromClaim begins the claim of a request, if it needs one, and reports whether that completed the
-// response to the caller: with the stored answer, or with an error because the claim failed.
+// respondFromClaim begins the claim of a request, if it needs one, and reports whether that
+// completed the response to the caller: with the stored answer, or with an error because the claim
+// failed.
 func (f *Front) respondFromClaim(w http.ResponseWriter, r *http.Request, j *job) bool {
 	stored, problem := f.claim(r.Context(), j, r.Header.Get(keyHeader))
 	switch {
@@ -173,8 +177,8 @@
 	return true
 }
 
-// sendWithRetries sends the request until a target responds, as often as the policy, the retry budget and
-// the outcome of earlier attempts allow.
+// sendWithRetries sends the request until a target responds, as often as the policy, the retry
+// budget and the outcome of earlier attempts allow.
 func (f *Front) sendWithRetries(ctx context.Context, j *job) (*response, *Problem) {
 	for {
 		placement, err := f.Finder.Acquire(ctx, j.placementRequest())
@@ -214,7 +218,8 @@
 	}
 }
 
-// sendOnce makes one attempt. If it fails, sendOnce returns the step at which it failed and the error.
+// sendOnce makes one attempt. If it fails, sendOnce returns the step at which it failed and the
+// error.
 func (f *Front) sendOnce(ctx context.Context, j *job, placement *route.Placement) (*response, retry.Step, error) {
 	call := j.call
 	call.Addr = placement.Target.Addr
@@ -261,13 +266,14 @@
 	errGateway  = fault.Newf("front.send", relay.Broken, "target responded with status 502, 503 or 504")
 )
 
-// isGatewayError reports whether a status indicates that another target may be able to serve the request.
+// isGatewayError reports whether a status indicates that another target may be able to serve the
+// request.
 func isGatewayError(status int) bool {
 	return status == http.StatusBadGateway || status == http.StatusServiceUnavailable || status == http.StatusGatewayTimeout
 }
 
-// recordResult records the result of an attempt in the target's circuit breaker. A failure after the caller
-// disconnected is not counted against the target.
+// recordResult records the result of an attempt in the target's circuit breaker. A failure after
+// the caller disconnected is not counted against the target.
 func (f *Front) recordResult(ctx context.Context, placement *route.Placement, ok bool) {
 	if !ok && ctx.Err() != nil {
 		f.Finder.ReportCancelled(placement.Hash)
@@ -276,8 +282,8 @@
 	f.Finder.Report(placement.Hash, ok)
 }
 
-// handleFailure decides whether a failed attempt is retried. It returns nil for a retry, or else the problem
-// with which the request ends.
+// handleFailure decides whether a failed attempt is retried. It returns nil for a retry, or else
+// the problem with which the request ends.
 func (f *Front) handleFailure(ctx context.Context, j *job, placement *route.Placement, step retry.Step, err error) *Problem {
 	j.outcome = retry.CombineOutcomes(j.outcome, retry.OutcomeOf(step))
 	j.avoid = append(j.avoid, placement.Hash)
@@ -299,8 +305,8 @@
 	}
 }
 
-// mergeOutcome replaces the problem's outcome by that of earlier attempts if theirs is worse, since they may
-// have run the request.
+// mergeOutcome replaces the problem's outcome by that of earlier attempts if theirs is worse, since
+// they may have run the request.
 func (f *Front) mergeOutcome(j *job, p *Problem) *Problem {
 	if j.outcome != "" {
 		p.Outcome = retry.CombineOutcomes(j.outcome, p.Outcome)
--- a/internal/edge/front/plain.go
+++ b/internal/edge/front/plain.go
@@ -37,8 +37,8 @@
 	f.serveBuffered(w, r, j)
 }
 
-// plainKey returns the chat key by which requests of one chat are routed to the same target. Without a
-// chat id from the caller, each request has a key of its own.
+// plainKey returns the chat key by which requests of one chat are routed to the same target.
+// Without a chat id from the caller, each request has a key of its own.
 func plainKey(w policy.Workspace, id ident.Attempt, r *http.Request) ident.ChatKey {
 	if chat := r.Header.Get(ChatHeader); chat != "" {
 		return ident.NewChatKey(w.Name, "id:"+chat)
--- a/internal/edge/front/problem.go
+++ b/internal/edge/front/problem.go
@@ -95,8 +95,8 @@
 	return &Problem{Status: status, Code: code, Message: message, Outcome: retry.NotRun}
 }
 
-// quarantineProblem returns the problem for a quarantined request with the remaining quarantine time as its
-// Retry-After delay.
+// quarantineProblem returns the problem for a quarantined request with the remaining quarantine
+// time as its Retry-After delay.
 func quarantineProblem(wait time.Duration) *Problem {
 	return &Problem{
 		Status: http.StatusServiceUnavailable, Code: CodeQuarantined, Outcome: retry.NotRun, RetryAfter: wait,
@@ -129,8 +129,8 @@
 	return p
 }
 
-// statusCallerGone is the status for requests whose caller disconnected, as in nginx. It is not received by
-// anyone.
+// statusCallerGone is the status for requests whose caller disconnected, as in nginx. It is not
+// received by anyone.
 const statusCallerGone = 499
 
 // claimProblem converts an error of a claim to a problem.
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -25,9 +25,11 @@
 	Store  Store
 	Logger log.Logger
 	Clock  ident.Clock
-	// IsReader reports whether this router is a reader, which reads the store's tables for the other routers.
+	// IsReader reports whether this router is a reader, which reads the store's tables for the
+	// other routers.
 	IsReader func() bool
-	// TriggerGossip requests that suspect requests are gossiped to the peers soon; it must not block.
+	// TriggerGossip requests that suspect requests are gossiped to the peers soon; it must not
+	// block.
 	TriggerGossip func()
 }
 
@@ -41,8 +43,8 @@
 	probes map[string]*probe
 	// quarantined are the requests that were last logged as quarantined.
 	quarantined map[ident.Fingerprint]bool
-	// unsaved are the requests whose rows have yet to be written to the store; saveRequested wakes the
-	// goroutine that writes them.
+	// unsaved are the requests whose rows have yet to be written to the store; saveRequested wakes
+	// the goroutine that writes them.
 	unsaved       map[ident.Fingerprint]bool
 	saveRequested chan struct{}
 }
@@ -56,7 +58,8 @@
 	}, cancel
 }
 
-// Interruption is a response of a target that was interrupted, or missing because the connection failed.
+// Interruption is a response of a target that was interrupted, or missing because the connection
+// failed.
 type Interruption struct {
 	// Request is the request's id, for the log.
 	Request     string
@@ -82,9 +85,9 @@
 	g.spreadUrgent(change)
 }
 
-// ReportInterrupted records an interrupted response and probes whether the target crashed. It waits for the probe only
-// if the request is already suspect and may be quarantined as a result, since that has to be known before
-// the request is sent again.
+// ReportInterrupted records an interrupted response and probes whether the target crashed. It waits
+// for the probe only if the request is already suspect and may be quarantined as a result, since
+// that has to be known before the request is sent again.
 func (g *Guard) ReportInterrupted(b Interruption) {
 	g.mu.Lock()
 	suspect := g.record.NearQuarantine(b.Fingerprint)
@@ -112,8 +115,8 @@
 	g.spreadUrgent(change)
 }
 
-// Outgoing returns the suspect requests for a gossip message to one peer of a fleet of the given number of
-// routers.
+// Outgoing returns the suspect requests for a gossip message to one peer of a fleet of the given
+// number of routers.
 func (g *Guard) Outgoing(routers int) []crash.Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -140,9 +143,9 @@
 	}
 }
 
-// updateQuarantine logs the start and the end of a request's quarantine. If this router observed one of the
-// crashes itself, it also logs changes during the quarantine and has the request's row written. The caller
-// holds the lock.
+// updateQuarantine logs the start and the end of a request's quarantine. If this router observed
+// one of the crashes itself, it also logs changes during the quarantine and has the request's row
+// written. The caller holds the lock.
 func (g *Guard) updateQuarantine(request ident.Fingerprint, change crash.Urgency) {
 	if change == crash.Nothing {
 		return
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -17,10 +17,10 @@
 
 // fakeDeps fakes the targets, which all run or have all crashed, and the store.
 type fakeDeps struct {
-	mu     sync.Mutex
-	gone   bool
-	probes int
-	rows   map[table.Key]table.Row
+	mu      sync.Mutex
+	crashed bool
+	probes  int
+	rows    map[table.Key]table.Row
 	// reads counts the reads of the store.
 	reads int
 	// failures is the number of next calls to the store that fail.
@@ -31,7 +31,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probes++
-	return p.gone
+	return p.crashed
 }
 
 // nextError returns the error of the next call to the store; the caller holds the lock.
@@ -100,10 +100,12 @@
 	}
 }
 
-func newFakeDeps(gone bool) *fakeDeps { return &fakeDeps{gone: gone, rows: map[table.Key]table.Row{}} }
+func newFakeDeps(crashed bool) *fakeDeps {
+	return &fakeDeps{crashed: crashed, rows: map[table.Key]table.Row{}}
+}
 
-// Interrupted responses of targets that still run do not quarantine a request, however many there are;
-// after crashes a complete response ends the quarantine.
+// Interrupted responses of targets that still run do not quarantine a request, however many there
+// are; after crashes a complete response ends the quarantine.
 func TestNoQuarantineWithoutCrash(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := newFakeDeps(false)
@@ -112,7 +114,7 @@
 	if g.QuarantineLeft(request) != 0 || g.spreads != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
 		t.Errorf("before crashes: quarantined for %v, %d probes", g.QuarantineLeft(request), p.probes)
 	}
-	p.gone = true
+	p.crashed = true
 	g.interrupt("a", "b")
 	if g.QuarantineLeft(request) == 0 || g.spreads != 1 || g.Quarantined() != 1 {
 		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.QuarantineLeft(request), g.spreads)
@@ -123,8 +125,8 @@
 	}
 }
 
-// The quarantine survives a restart of all routers, also if the first calls to the store fail. Rows that
-// cannot be decoded or have expired are removed from the store.
+// The quarantine survives a restart of all routers, also if the first calls to the store fail. Rows
+// that cannot be decoded or have expired are removed from the store.
 func TestQuarantineSurvivesRestart(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := newFakeDeps(true)
@@ -179,8 +181,9 @@
 	return true
 }
 
-// Broke waits for the probe only if the request is already suspect, so that the request is not sent again
-// before the result is known. The first interrupted response of a request delays nothing.
+// ReportInterrupted waits for the probe only if the request is already suspect, so that the request
+// is not sent again before the result is known. The first interrupted response of a request delays
+// nothing.
 func TestSuspectRequestWaitsForProbe(t *testing.T) {
 	prober := blockingProber{proceed: make(chan struct{})}
 	g, closeGuard := New(Parts{Prober: prober, Logger: log.NewNopLogger(), Clock: time.Now, TriggerGossip: func() {}})
@@ -198,12 +201,12 @@
 	time.AfterFunc(10*time.Millisecond, func() { prober.proceed <- struct{}{} })
 	g.ReportInterrupted(breakAt("b"))
 	if g.QuarantineLeft(request) == 0 {
-		t.Error("Broke returned before the probe of the second target")
+		t.Error("ReportInterrupted returned before the probe of the second target")
 	}
 }
 
-// Only readers read the quarantined requests from the store, and only once. Otherwise 300 routers that
-// start together would all read it, and retry while it does not respond.
+// Only readers read the quarantined requests from the store, and only once. Otherwise 300 routers
+// that start together would all read it, and retry while it does not respond.
 func TestOnlyReadersReadStore(t *testing.T) {
 	for _, reads := range []bool{false, true} {
 		now := time.Unix(1000, 0)
@@ -219,8 +222,8 @@
 	}
 }
 
-// Rows lost in a store rollback are written again by the router that observed the crashes and, in case it no
-// longer runs, by the readers.
+// Rows lost in a store rollback are written again by the router that observed the crashes and, in
+// case it no longer runs, by the readers.
 func TestQuarantineRewrittenAfterStoreRollback(t *testing.T) {
 	now := time.Unix(1000, 0)
 	p := newFakeDeps(true)
--- a/internal/edge/guard/probe.go
+++ b/internal/edge/guard/probe.go
@@ -11,12 +11,12 @@
 	targetGone bool
 }
 
-// probeTimeout limits a probe. It covers many round trips and does not exceed the timeout for connecting
-// to a target.
+// probeTimeout limits a probe. It covers many round trips and does not exceed the timeout for
+// connecting to a target.
 const probeTimeout = 250 * time.Millisecond
 
-// targetGone probes whether a target crashed. Concurrent calls for a target share one probe, since the
-// crash of an engine interrupts about a dozen requests of a router at once.
+// targetGone probes whether a target crashed. Concurrent calls for a target share one probe, since
+// the crash of an engine interrupts about a dozen requests of a router at once.
 func (g *Guard) targetGone(addr string) bool {
 	g.mu.Lock()
 	p, running := g.probes[addr]
--- a/internal/edge/guard/store.go
+++ b/internal/edge/guard/store.go
@@ -16,8 +16,8 @@
 	"valescale/internal/rule/crash"
 )
 
-// Table is the name of the table with a row for each quarantined request. The rows keep the quarantine in
-// force when all routers of a fleet restart.
+// Table is the name of the table with a row for each quarantined request. The rows keep the
+// quarantine in force when all routers of a fleet restart.
 const Table table.Name = "held_requests"
 
 // Store is the store that contains the rows.
@@ -37,8 +37,8 @@
 // Error is this package's error type.
 type Error = fault.Error[Kind]
 
-// suspectRow is the value of a row. It contains wall clock times: the clocks of the boxes are close enough
-// to each other for quarantine times of minutes.
+// suspectRow is the value of a row. It contains wall clock times: the clocks of the boxes are close
+// enough to each other for quarantine times of minutes.
 type suspectRow struct {
 	Ends []crashEntry `json:"ends"`
 }
@@ -67,8 +67,8 @@
 	return table.Put{Table: Table, Key: table.Key(s.Request.String()), Value: value}
 }
 
-// decodeRow decodes the row of a suspect request. Crash times in the future, as written by a router whose
-// clock is ahead, are replaced by the current time.
+// decodeRow decodes the row of a suspect request. Crash times in the future, as written by a router
+// whose clock is ahead, are replaced by the current time.
 func decodeRow(now time.Time, row table.Row) (crash.Suspect, error) {
 	const op = "guard.decodeRow"
 	request, err := strconv.ParseUint(string(row.Key), keyBase, 64)
@@ -91,17 +91,17 @@
 }
 
 const (
-	// storeRetryDelay is the delay between two attempts to reach the store, many times its usual response
-	// time. It doubles with each failed read up to maxStoreRetryDelay: quarantined requests are sent
-	// rarely, so that reading them late does little harm.
+	// storeRetryDelay is the delay between two attempts to reach the store, many times its usual
+	// response time. It doubles with each failed read up to maxStoreRetryDelay: quarantined
+	// requests are sent rarely, so that reading them late does little harm.
 	storeRetryDelay    = 500 * time.Millisecond
 	maxStoreRetryDelay = 8 * time.Second
 	// storeTimeout limits one call of the store.
 	storeTimeout = time.Second
 )
 
-// Run reads the quarantined requests from the store, if this router is a reader, and writes new ones to it
-// until ctx is done.
+// Run reads the quarantined requests from the store, if this router is a reader, and writes new
+// ones to it until ctx is done.
 func (g *Guard) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
@@ -110,8 +110,8 @@
 }
 
 // loadOnce loads the rows once, with retries. Only readers do so, and the other routers receive the
-// suspect requests by gossip: if all routers read the store, 300 routers that start together, or retry
-// while the store does not respond, would send it 300 requests at a time.
+// suspect requests by gossip: if all routers read the store, 300 routers that start together, or
+// retry while the store does not respond, would send it 300 requests at a time.
 func (g *Guard) loadOnce(ctx context.Context) {
 	for delay := storeRetryDelay; ctx.Err() == nil; delay = min(2*delay, maxStoreRetryDelay) {
 		if g.IsReader() && g.load(ctx) {
@@ -135,8 +135,8 @@
 	}
 }
 
-// load merges the rows of the store, removes those that have expired or cannot be decoded, and reports
-// whether the store responded.
+// load merges the rows of the store, removes those that have expired or cannot be decoded, and
+// reports whether the store responded.
 func (g *Guard) load(ctx context.Context) bool {
 	ctx, cancel := context.WithTimeout(ctx, storeTimeout)
 	defer cancel()
@@ -158,7 +158,8 @@
 	return true
 }
 
-// remove deletes a row that has expired or cannot be decoded, unless it has been written again since.
+// remove deletes a row that has expired or cannot be decoded, unless it has been written again
+// since.
 func (g *Guard) remove(ctx context.Context, row table.Row, cause error) {
 	err := g.Store.Commit(ctx, table.Txn{
 		Checks: []table.Check{{Table: Table, Key: row.Key, Version: row.Version}},
@@ -177,9 +178,9 @@
 	}
 }
 
-// Rewrite schedules rows to be written again that the store may have lost in a store rollback: those of
-// requests whose crashes this router observed and, if it is a reader, those of all quarantined requests,
-// since the routers that observed the crashes may no longer run.
+// Rewrite schedules rows to be written again that the store may have lost in a store rollback:
+// those of requests whose crashes this router observed and, if it is a reader, those of all
+// quarantined requests, since the routers that observed the crashes may no longer run.
 func (g *Guard) Rewrite() {
 	all := g.IsReader()
 	g.mu.Lock()
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -29,8 +29,8 @@
 	Matches func(http.Header) bool
 	// MaxIdleTime is the maximum idle time of a connection that is reused.
 	MaxIdleTime time.Duration
-	// MaxIdleConns is the maximum number of idle connections to the target; zero means the limit for all
-	// targets.
+	// MaxIdleConns is the maximum number of idle connections to the target; zero means the limit
+	// for all targets.
 	MaxIdleConns int
 }
 
--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -106,8 +106,8 @@
 	}
 }
 
-// CloseIdle closes the idle connections to an address, as after a restart of its target: they lead to
-// the earlier process, or nowhere.
+// CloseIdle closes the idle connections to an address, as after a restart of its target: they lead
+// to the earlier process, or nowhere.
 func (c *Conns) CloseIdle(addr string) {
 	c.mu.Lock()
 	list := c.idle[addr]
@@ -116,10 +116,11 @@
 	closeAll(list)
 }
 
-// takeIdle returns the most recently used idle connection whose idle time is at most fresh, or nil.
-func (c *Conns) takeIdle(addr string, now time.Time, fresh time.Duration) *conn {
+// takeIdle returns the most recently used idle connection whose idle time is at most maxIdle, or
+// nil.
+func (c *Conns) takeIdle(addr string, now time.Time, maxIdle time.Duration) *conn {
 	for {
-		found, expired := c.popIdle(addr, now, fresh)
+		found, expired := c.popIdle(addr, now, maxIdle)
 		closeAll(expired)
 		if found == nil || found.usable() {
 			return found
@@ -130,7 +131,7 @@
 
 // popIdle removes and returns the most recently used idle connection, or nil, and the expired ones
 // that it found.
-func (c *Conns) popIdle(addr string, now time.Time, fresh time.Duration) (found *conn, expired []*conn) {
+func (c *Conns) popIdle(addr string, now time.Time, maxIdle time.Duration) (found *conn, expired []*conn) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	list := c.idle[addr]
@@ -139,7 +140,7 @@
 		idle := ident.Elapsed(last.idleSince, now)
 		if idle > last.keepIdle {
 			expired = append(expired, last)
-		} else if idle <= fresh {
+		} else if idle <= maxIdle {
 			found = last
 		} else {
 			// The remaining connections have been idle for longer.
@@ -214,15 +215,15 @@
 	return newConn(addr, raw, c.limits.Header), nil
 }
 
-// ConnectionRefused reports whether nothing listens at a target's address any more, as after the end of its
-// process. A box that does not respond within the dial timeout gives no result and counts as not
-// gone.
+// ConnectionRefused reports whether nothing listens at a target's address any more, as after the
+// end of its process. A box that does not respond within the dial timeout gives no result and
+// counts as running.
 func (c *Conns) ConnectionRefused(ctx context.Context, addr string) bool {
-	return gone(ctx, c.dialer, addr)
+	return isRefused(ctx, c.dialer, addr)
 }
 
-// gone makes a connection to check whether it is refused.
-func gone(ctx context.Context, dialer net.Dialer, addr string) bool {
+// isRefused makes a connection to check whether it is refused.
+func isRefused(ctx context.Context, dialer net.Dialer, addr string) bool {
 	raw, err := dialer.DialContext(ctx, "tcp", addr)
 	if err == nil {
 		// Only the result of the dial matters; an error of the close is ignored.
--- a/internal/edge/relay/error.go
+++ b/internal/edge/relay/error.go
@@ -49,8 +49,8 @@
 	return &failure{error: fault.New(op, kind, err), step: step}
 }
 
-// LocalDelayThreshold is the delay in detecting the end of a timeout above which this router itself counts
-// as held up: suspended, or short of processor time.
+// LocalDelayThreshold is the delay in detecting the end of a timeout above which this router itself
+// counts as delayed: suspended, or short of processor time.
 const LocalDelayThreshold = 100 * time.Millisecond
 
 // dialErrorKind distinguishes exhausted resources and delays of this box from an unreachable
--- a/internal/edge/relay/idle_test.go
+++ b/internal/edge/relay/idle_test.go
@@ -52,7 +52,7 @@
 }
 
 // Idle connections to a target that has restarted are not reused, even if they appear open.
-func TestForgetClosesIdleConnections(t *testing.T) {
+func TestCloseIdleClosesIdleConnections(t *testing.T) {
 	var opened atomic.Int32
 	var never atomic.Bool
 	addr := listen.Conns(t, func(c net.Conn) {
@@ -61,8 +61,8 @@
 	})
 	conns, closeConns := NewConns(DefaultConnLimits)
 	t.Cleanup(closeConns)
-	for _, forget := range []bool{false, false, true} {
-		if forget {
+	for _, closeIdle := range []bool{false, false, true} {
+		if closeIdle {
 			conns.CloseIdle(addr)
 		}
 		a, err := conns.Send(t.Context(), Exchange{
--- a/internal/edge/relay/relay.go
+++ b/internal/edge/relay/relay.go
@@ -51,8 +51,8 @@
 	Key     ident.ChatKey
 	// HTTP2 means that the target is called by HTTP/2 over clear text.
 	HTTP2 bool
-	// EchoesAttemptID means that the target returns the attempt's id with each answer. Only then can a
-	// connection be reused, since a late answer on it is identified by its id.
+	// EchoesAttemptID means that the target returns the attempt's id with each answer. Only then
+	// can a connection be reused, since a late answer on it is identified by its id.
 	EchoesAttemptID bool
 	// SingleUse means that the request must not be sent twice, even if the connection fails.
 	SingleUse bool
@@ -256,10 +256,10 @@
 	return resp.ProtoMajor != 1 || resp.ContentLength >= 0 || len(resp.TransferEncoding) > 0
 }
 
-// ConnectionRefused reports whether nothing listens at a target's address any more, as after the end of its
-// process.
+// ConnectionRefused reports whether nothing listens at a target's address any more, as after the
+// end of its process.
 func (r *Relay) ConnectionRefused(ctx context.Context, addr string) bool {
-	return gone(ctx, net.Dialer{Timeout: r.limits.Dial}, addr)
+	return isRefused(ctx, net.Dialer{Timeout: r.limits.Dial}, addr)
 }
 
 // Close discards the answer. If bytes are unread, it closes the connection.
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -70,7 +70,7 @@
 }
 
 // ReportSilent records that a request sent at the given time got no answer within the time limit. If
-// nothing at all has arrived from the target since then, its circuit breaker opens and Silent
+// nothing at all has arrived from the target since then, its circuit breaker opens and ReportSilent
 // returns true.
 func (r *Router) ReportSilent(target ident.TargetHash, since time.Time) bool {
 	r.mu.Lock()
@@ -82,8 +82,8 @@
 	return silent
 }
 
-// ReportUnreachable opens the circuit breaker of a target to which no connection could be made, or whose
-// address belongs to another target.
+// ReportUnreachable opens the circuit breaker of a target to which no connection could be made, or
+// whose address belongs to another target.
 func (r *Router) ReportUnreachable(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -256,8 +256,8 @@
 // updateShardLoads records the shard loads of a permit response.
 func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.PermitResponse) {
 	p.state.UpdateShardLoad(now, place.ShardLoad{Shard: shard, Work: resp.Work})
-	for _, sum := range resp.ShardLoads {
-		p.state.UpdateShardLoad(now, sum)
+	for _, load := range resp.ShardLoads {
+		p.state.UpdateShardLoad(now, load)
 	}
 }
 
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -202,7 +202,7 @@
 		r.pools[p.Service.Name] = list
 	}
 	r.assigned = assigned
-	r.removeGone(pools)
+	r.removeUnlisted(pools)
 	moved := r.movedShards()
 	r.mu.Unlock()
 	return moved
@@ -260,17 +260,18 @@
 	})
 }
 
-// removeGone removes the state of targets that are in no pool any more. The caller holds the lock.
-func (r *Router) removeGone(pools []Pool) {
-	gone := func(hash ident.TargetHash) bool {
+// removeUnlisted removes the state of targets that are in no pool any more. The caller holds the
+// lock.
+func (r *Router) removeUnlisted(pools []Pool) {
+	unlisted := func(hash ident.TargetHash) bool {
 		return !slices.ContainsFunc(pools, func(p Pool) bool { return p.has(hash) })
 	}
-	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return gone(hash) })
-	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return gone(hash) })
+	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return unlisted(hash) })
+	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return unlisted(hash) })
 	r.removeExpiredBackoffs()
 	r.removeStaleLeaving()
 	for id, unsentFailures := range r.unsentFailures {
-		if slices.ContainsFunc(unsentFailures, gone) {
+		if slices.ContainsFunc(unsentFailures, unlisted) {
 			// The remaining targets may be in another shard by now, too.
 			delete(r.unsentFailures, id)
 		}
--- a/internal/edge/route/watch.go
+++ b/internal/edge/route/watch.go
@@ -13,8 +13,8 @@
 	TargetReported(target Target, n Notice)
 	// HomeSkipped receives a home that did not respond, and for how long its standby is used.
 	HomeSkipped(home ident.Router, wait time.Duration)
-	// Isolated receives true when this router becomes isolated and places requests locally, and false
-	// when a home responds again.
+	// Isolated receives true when this router becomes isolated and places requests locally, and
+	// false when a home responds again.
 	Isolated(isolated bool)
 }
 
--- a/internal/plat/boxes/boxes.go
+++ b/internal/plat/boxes/boxes.go
@@ -64,8 +64,8 @@
 	http    *http.Client
 	timeout time.Duration
 	mu      sync.Mutex
-	// etag and list belong to the latest response. The ETag is sent with the next request, so that an
-	// unchanged list is not transferred again.
+	// etag and list belong to the latest response. The ETag is sent with the next request, so that
+	// an unchanged list is not transferred again.
 	etag string
 	list []Box
 }
--- a/internal/plat/boxes/doc.go
+++ b/internal/plat/boxes/doc.go
@@ -1,2 +1,3 @@
-// Package boxes reads the platform's list of live and leaving boxes, which lags behind their actual state.
+// Package boxes reads the platform's list of live and leaving boxes, which lags behind their actual
+// state.
 package boxes
--- a/internal/plat/decay/decay_test.go
+++ b/internal/plat/decay/decay_test.go
@@ -7,7 +7,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-func TestKept(t *testing.T) {
+func TestFactor(t *testing.T) {
 	var got []float64
 	for _, elapsed := range []time.Duration{-time.Hour, 0, time.Second, 2 * time.Second} {
 		got = append(got, Factor(elapsed, time.Second))
--- a/internal/plat/ident/ident.go
+++ b/internal/plat/ident/ident.go
@@ -111,9 +111,9 @@
 	return RequestHash(h.Sum(nil))
 }
 
-// Fingerprint identifies a request by its content and its workspace: requests of a workspace that are
-// equal for a target have the same fingerprint, whatever their ids. It is 64 bits of a SHA-256 hash, so
-// that no caller can construct a request with the fingerprint of another caller's request.
+// Fingerprint identifies a request by its content and its workspace: requests of a workspace that
+// are equal for a target have the same fingerprint, whatever their ids. It is 64 bits of a SHA-256
+// hash, so that no caller can construct a request with the fingerprint of another caller's request.
 type Fingerprint uint64
 
 // NewFingerprint returns the fingerprint of a workspace's request to a host.
@@ -146,10 +146,10 @@
 // Clock returns the current time; tests use a fake clock.
 type Clock func() time.Time
 
-// Elapsed returns the time from since to now, by the monotonic clock or the wall clock, whichever gives
-// more. The monotonic clock stops while the box is suspended, so that state from before the suspension
-// would look fresh; the wall clock continues, but can be set. An elapsed time that is too long only
-// causes an unnecessary refresh.
+// Elapsed returns the time from since to now, by the monotonic clock or the wall clock, whichever
+// gives more. The monotonic clock stops while the box is suspended, so that state from before the
+// suspension would look fresh; the wall clock continues, but can be set. An elapsed time that is
+// too long only causes an unnecessary refresh.
 func Elapsed(since, now time.Time) time.Duration {
 	return max(now.Sub(since), now.Round(0).Sub(since.Round(0)))
 }
--- a/internal/plat/object/client.go
+++ b/internal/plat/object/client.go
@@ -17,7 +17,8 @@
 const (
 	// Missing means that no object has the given name.
 	Missing Kind = "missing"
-	// Failed means that the call failed, the response was not valid, or the object exceeds the limit.
+	// Failed means that the call failed, the response was not valid, or the object exceeds the
+	// limit.
 	Failed Kind = "failed"
 )
 
--- a/internal/plat/pause/pause_test.go
+++ b/internal/plat/pause/pause_test.go
@@ -11,13 +11,13 @@
 	"valescale/internal/plat/pause"
 )
 
-// outcome is the result of For and the time it took.
+// outcome is the result of Sleep and the time it took.
 type outcome struct {
 	Completed bool
 	Elapsed   time.Duration
 }
 
-func TestForStopsWithContext(t *testing.T) {
+func TestSleepStopsWithContext(t *testing.T) {
 	for _, c := range []struct {
 		name    string
 		timeout time.Duration
--- a/internal/plat/table/client.go
+++ b/internal/plat/table/client.go
@@ -26,8 +26,8 @@
 	Failed uint64
 }
 
-// HeaderEra is a header of all responses of the service. It contains the era, the number of times the
-// service has been restored from an older snapshot.
+// HeaderEra is a header of all responses of the service. It contains the era, the number of times
+// the service has been restored from an older snapshot.
 const HeaderEra = "Table-Era"
 
 // Client calls the table service over HTTP. It tracks the service's era by the responses.
@@ -91,8 +91,8 @@
 	return rows, err
 }
 
-// call sends one request, decodes the response into dest unless that is nil, and returns the era of the
-// response.
+// call sends one request, decodes the response into dest unless that is nil, and returns the era of
+// the response.
 func (c *Client) call(ctx context.Context, op, method, path string, body []byte, dest any) (Era, error) {
 	startEra := c.CurrentEra()
 	ctx, cancel := context.WithTimeout(ctx, c.timeout)
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -15,7 +15,8 @@
 	latest Era
 	// onChange are called with each new era and the previous one, which is zero for the first era.
 	onChange []func(era, was Era)
-	// lastInvalid is the latest era header that was invalid; reported is set if a valid era was reported after it.
+	// lastInvalid is the latest era header that was invalid; reported is set if a valid era was
+	// reported after it.
 	lastInvalid string
 	reported    bool
 }
@@ -23,9 +24,9 @@
 // NewEras returns a tracker that has seen no era yet.
 func NewEras(logger log.Logger) *Eras { return &Eras{logger: logger, reported: true} }
 
-// OnChange registers a callback for the first era and for each later one. It is called before the response
-// with the new era is used, with the lock held, so that it must not block or call methods of Eras. It must
-// be registered before the first call of the client.
+// OnChange registers a callback for the first era and for each later one. It is called before the
+// response with the new era is used, with the lock held, so that it must not block or call methods
+// of Eras. It must be registered before the first call of the client.
 func (e *Eras) OnChange(onChange func(era, was Era)) { e.onChange = append(e.onChange, onChange) }
 
 // CurrentEra returns the latest era seen, zero before the first.
@@ -44,9 +45,10 @@
 	}
 }
 
-// EraOf returns the era of a response, given the era reported in its header and the era in which the call
-// started. The latest era is used if the header is missing or invalid, or if its era is before that in
-// which the call started: only a response in flight while the era changed can have an earlier era.
+// EraOf returns the era of a response, given the era reported in its header and the era in which
+// the call started. The latest era is used if the header is missing or invalid, or if its era is
+// before that in which the call started: only a response in flight while the era changed can have
+// an earlier era.
 func (e *Eras) EraOf(reported string, startEra Era) Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -77,8 +79,8 @@
 	}
 }
 
-// logInvalid logs an invalid era header, unless the response before had the same one; the caller holds
-// the lock.
+// logInvalid logs an invalid era header, unless the response before had the same one; the caller
+// holds the lock.
 func (e *Eras) logInvalid(reported string) {
 	if !e.reported && e.lastInvalid == reported {
 		return
--- a/internal/plat/table/position.go
+++ b/internal/plat/table/position.go
@@ -16,8 +16,8 @@
 	Version Version
 }
 
-// Compare returns a negative number if p is before other, zero if they are equal, and a positive number
-// otherwise. All positions of an era are before those of the next.
+// Compare returns a negative number if p is before other, zero if they are equal, and a positive
+// number otherwise. All positions of an era are before those of the next.
 func (p Position) Compare(other Position) int {
 	return cmp.Or(cmp.Compare(p.Era, other.Era), cmp.Compare(p.Version, other.Version))
 }
--- a/internal/plat/table/row.go
+++ b/internal/plat/table/row.go
@@ -26,8 +26,8 @@
 	Era Era `json:"-"`
 }
 
-// Position returns the position of the row's latest write. Its era is that of the response, since rows
-// contain none.
+// Position returns the position of the row's latest write. Its era is that of the response, since
+// rows contain none.
 func (r Row) Position() Position { return Position{Era: r.Era, Version: r.Version} }
 
 // Page is a full snapshot of a table or a delta.
@@ -39,8 +39,8 @@
 	Full bool
 	// Age is the time since the store confirmed that there was no later change.
 	Age time.Duration
-	// Kept contains rows that are never rolled back and are newer than those of the requesting router,
-	// whatever the store contains now.
+	// Kept contains rows that are never rolled back and are newer than those of the requesting
+	// router, whatever the store contains now.
 	Kept []Row
 }
 
--- a/internal/rule/canary/canary_test.go
+++ b/internal/rule/canary/canary_test.go
@@ -43,7 +43,7 @@
 	rng *rand.Rand
 	// failureRatios are the shares of requests that the current version fails, by route.
 	failureRatios []float64
-	norms         []Baseline
+	baselines     []Baseline
 }
 
 // answer returns the result and the response time of one request to the current version. Response
@@ -53,19 +53,20 @@
 }
 
 // rollout sends requests to a canary until it is judged bad or has given the number of answers, and
-// returns the evidence. spoil turns answers of the current version into those of the canary.
-func (w *simulation) rollout(answers int, spoil func(route int, ok bool, took time.Duration) (bool, time.Duration)) Evidence {
-	w.norms = make([]Baseline, len(w.failureRatios))
+// returns the evidence. toCanaryAnswer converts answers of the current version into those of the
+// canary.
+func (w *simulation) rollout(answers int, toCanaryAnswer func(route int, ok bool, took time.Duration) (bool, time.Duration)) Evidence {
+	w.baselines = make([]Baseline, len(w.failureRatios))
 	var e Evidence
 	for range answers {
 		for range 15 {
 			route := w.rng.IntN(len(w.failureRatios))
-			w.norms[route].Record(w.answer(route))
+			w.baselines[route].Record(w.answer(route))
 		}
 		route := w.rng.IntN(len(w.failureRatios))
 		ok, took := w.answer(route)
-		ok, took = spoil(route, ok, took)
-		e.Add(&w.norms[route], ok, took)
+		ok, took = toCanaryAnswer(route, ok, took)
+		e.Add(&w.baselines[route], ok, took)
 		if e.Bad() {
 			break
 		}
@@ -80,9 +81,9 @@
 	const rollouts, answers = 300, 250
 	w := &simulation{rng: rand.New(rand.NewPCG(3, 4)), failureRatios: []float64{0.004, 0.14, 0, 0.01}}
 	for _, c := range []struct {
-		name  string
-		spoil func(route int, ok bool, took time.Duration) (bool, time.Duration)
-		bad   bool
+		name           string
+		toCanaryAnswer func(route int, ok bool, took time.Duration) (bool, time.Duration)
+		bad            bool
 	}{
 		{"sound", func(_ int, ok bool, took time.Duration) (bool, time.Duration) { return ok, took }, false},
 		{"fails a third", func(_ int, ok bool, took time.Duration) (bool, time.Duration) { return ok && w.rng.IntN(3) > 0, took }, true},
@@ -96,7 +97,7 @@
 	} {
 		reverted, maxPoor := 0, 0
 		for range rollouts {
-			if e := w.rollout(answers, c.spoil); e.Bad() {
+			if e := w.rollout(answers, c.toCanaryAnswer); e.Bad() {
 				reverted++
 				maxPoor = max(maxPoor, e.Poor)
 			}
--- a/internal/rule/canary/evidence.go
+++ b/internal/rule/canary/evidence.go
@@ -16,9 +16,9 @@
 	priorAnswers = 10
 )
 
-// Baseline is the baseline of one route: the share of poor answers and the mean response time of the
-// current version, as measured by one router. Baselines are kept per route because some routes
-// fail often with any version.
+// Baseline is the reference for canaries on one route: the share of poor answers and the mean
+// response time of the current version, as measured by one router. Baselines are kept per route
+// because some routes fail often with any version.
 type Baseline struct {
 	answers, poor float64
 	// latency is the mean response time of successful answers.
@@ -27,25 +27,25 @@
 
 // Poor reports whether an answer is poor: it failed, or it was slow relative to the mean of the
 // route.
-func (n *Baseline) Poor(ok bool, latency time.Duration) bool {
-	return !ok || n.answers >= minBaselineAnswers && latency > slowFactor*n.latency
+func (b *Baseline) Poor(ok bool, latency time.Duration) bool {
+	return !ok || b.answers >= minBaselineAnswers && latency > slowFactor*b.latency
 }
 
 // Record adds an answer of the current version to the baseline.
-func (n *Baseline) Record(ok bool, latency time.Duration) {
+func (b *Baseline) Record(ok bool, latency time.Duration) {
 	const decay = 1 - 1.0/baselineWindow
-	poor := n.Poor(ok, latency)
-	n.answers, n.poor = n.answers*decay+1, n.poor*decay
+	poor := b.Poor(ok, latency)
+	b.answers, b.poor = b.answers*decay+1, b.poor*decay
 	if poor {
-		n.poor++
+		b.poor++
 	}
 	if ok {
-		n.latency += time.Duration(float64(latency-n.latency) / n.answers)
+		b.latency += time.Duration(float64(latency-b.latency) / b.answers)
 	}
 }
 
 // PoorRatio returns the estimated share of poor answers.
-func (n *Baseline) PoorRatio() float64 { return (n.poor + priorPoor) / (n.answers + priorAnswers) }
+func (b *Baseline) PoorRatio() float64 { return (b.poor + priorPoor) / (b.answers + priorAnswers) }
 
 // Evidence counts the answers of a canary.
 type Evidence struct {
@@ -57,10 +57,10 @@
 }
 
 // Add adds an answer of the canary, given the baseline of the request's route.
-func (e *Evidence) Add(norm *Baseline, ok bool, latency time.Duration) {
+func (e *Evidence) Add(baseline *Baseline, ok bool, latency time.Duration) {
 	e.Answers++
-	e.Expected += norm.PoorRatio()
-	if norm.Poor(ok, latency) {
+	e.Expected += baseline.PoorRatio()
+	if baseline.Poor(ok, latency) {
 		e.Poor++
 	}
 }
@@ -72,9 +72,9 @@
 
 const (
 	// maxExcessPoor is the number of poor answers beyond maxPoorRatio times the expected number
-	// above which a canary is bad. With these limits very few sound versions are reverted, although
-	// each is judged after every answer, and a bad one is reverted long before its fiftieth poor
-	// answer.
+	// above which a canary is bad. With these limits very few correct versions are reverted,
+	// although each is judged after every answer, and a bad one is reverted long before its
+	// fiftieth poor answer.
 	maxExcessPoor = 4
 	maxPoorRatio  = 2
 	// minAnswers is the number of answers after which a canary can be promoted.
@@ -89,7 +89,7 @@
 
 // Report is one router's evidence on one rollout, as exchanged between routers.
 type Report struct {
-	// Number identifies the order.
+	// Number identifies the rollout among those of the service.
 	Number uint64
 	// Source identifies the router's process.
 	Source uint64
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -48,8 +48,8 @@
 	Urgent
 )
 
-// Crashed records that a target has crashed while it ran a request; ran is the time since the request
-// was sent to it.
+// Crashed records that a target has crashed while it ran a request; ran is the time since the
+// request was sent to it.
 func (r *Record) Crashed(now time.Time, request ident.Fingerprint, start Start, ran time.Duration) Urgency {
 	e := r.entry(now, request)
 	e.observed = true
--- a/internal/rule/place/assigner.go
+++ b/internal/rule/place/assigner.go
@@ -77,13 +77,13 @@
 			kept[r] = c
 		}
 	}
-	gone := func(s scoredRouter) bool {
+	removed := func(s scoredRouter) bool {
 		_, isKept := kept[s.router]
 		return s.router != "" && !isKept
 	}
 	a.routers = kept
 	for i := range a.candidates {
-		if slices.ContainsFunc(a.candidates[i].top[:], gone) {
+		if slices.ContainsFunc(a.candidates[i].top[:], removed) {
 			a.recompute(i)
 		}
 	}
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -133,8 +133,8 @@
 	return i, known && h.admits(now, i, req, limit) == Placed
 }
 
-// HasWarmSlot reports whether an engine that served the request's chat has a free slot. That engine does
-// not have to copy or prefill the chat's prompt again.
+// HasWarmSlot reports whether an engine that served the request's chat has a free slot. That engine
+// does not have to copy or prefill the chat's prompt again.
 func (h *Home) HasWarmSlot(req Request) bool {
 	if req.Once {
 		return true
--- a/internal/rule/place/digest.go
+++ b/internal/rule/place/digest.go
@@ -27,8 +27,9 @@
 	Places []ChatPlace
 }
 
-// ShardLoad is the load of one shard as published by its home some time ago. Sums are sent with permit
-// requests and responses, so that homes compute the pool's mean without additional messages.
+// ShardLoad is the load of one shard as published by its home some time ago. Shard loads are sent
+// with permit requests and responses, so that homes compute the pool's mean without additional
+// messages.
 type ShardLoad struct {
 	Shard ident.Shard
 	Age   time.Duration
@@ -42,16 +43,16 @@
 }
 
 // update stores a shard load if it is newer than the stored one, and reports whether it was.
-func (s *shardLoads) update(now time.Time, sum ShardLoad) bool {
-	if sum.Shard >= MaxShards {
+func (s *shardLoads) update(now time.Time, load ShardLoad) bool {
+	if load.Shard >= MaxShards {
 		return false
 	}
-	known := &s[sum.Shard]
-	at := now.Add(-max(sum.Age, 0))
+	known := &s[load.Shard]
+	at := now.Add(-max(load.Age, 0))
 	if !at.After(known.at) {
 		return false
 	}
-	known.at, known.work = at, max(sum.Work, 0)
+	known.at, known.work = at, max(load.Work, 0)
 	return true
 }
 
@@ -136,8 +137,8 @@
 // maxLoadsPerResponse is the number of shard loads in a permit response.
 const maxLoadsPerResponse = 4
 
-// NextShardLoads returns the loads of some other shards, in rotation, so that shard loads spread between
-// edge routers through the homes to which they send permit requests.
+// NextShardLoads returns the loads of some other shards, in rotation, so that shard loads spread
+// between edge routers through the homes to which they send permit requests.
 func (h *Home) NextShardLoads(now time.Time) []ShardLoad {
 	var out []ShardLoad
 	shards := len(h.weights)
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -174,8 +174,8 @@
 	}
 }
 
-// RecordFailures counts the failed requests of an edge router, one for each listed engine, and returns the
-// engines that are blocked from now on.
+// RecordFailures counts the failed requests of an edge router, one for each listed engine, and
+// returns the engines that are blocked from now on.
 func (h *Home) RecordFailures(now time.Time, edge ident.Router, zone ident.Zone, engines []ident.TargetHash) []ident.TargetHash {
 	var blocked []ident.TargetHash
 	for _, engine := range engines {
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -13,9 +13,9 @@
 	Factor float64
 	// Extra is work that is added to that multiple.
 	Extra ident.Work
-	// PreferredFactor is the multiple of the mean load below which a chat without a stored place goes to
-	// the first engine of its own hash order, which also served it before if homes have lost its
-	// place. Zero sends it to the least loaded engine.
+	// PreferredFactor is the multiple of the mean load below which a chat without a stored place
+	// goes to the first engine of its own hash order, which also served it before if homes have
+	// lost its place. Zero sends it to the least loaded engine.
 	PreferredFactor float64
 	// Ramp is how long a joined engine takes to reach its full share.
 	Ramp time.Duration
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -94,8 +94,8 @@
 	h.recount()
 }
 
-// RemovePermits removes an edge router's permits with IDs below a limit, which belong to a process that
-// is gone.
+// RemovePermits removes an edge router's permits with IDs below a limit, which belong to a process
+// that is gone.
 func (h *Home) RemovePermits(edge ident.Router, below uint64) {
 	for key := range h.permits {
 		if key.edge == edge && key.id < below {
@@ -116,9 +116,9 @@
 // Holders lists the edge routers that hold permits.
 func (h *Home) Holders() []ident.Router { return slices.Collect(maps.Keys(h.permitCount)) }
 
-// SetSuspectEdges replaces the list of suspect edge routers, which may be gone. Until their state is known,
-// their permits count on their engines but not in the mean: too high a load and too low a mean are
-// the safe directions of error.
+// SetSuspectEdges replaces the list of suspect edge routers, which may be gone. Until their state
+// is known, their permits count on their engines but not in the mean: too high a load and too low a
+// mean are the safe directions of error.
 func (h *Home) SetSuspectEdges(edges []ident.Router) {
 	clear(h.suspectEdges)
 	for _, e := range edges {
@@ -143,9 +143,9 @@
 // RecordContact records a contact with an edge router about this shard.
 func (h *Home) RecordContact(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
 
-// ExpirePermits expires the permits of edge routers without contact about this shard for the lease time:
-// another home counts them by now, or the edge router is gone. It returns the number of expired
-// permits.
+// ExpirePermits expires the permits of edge routers without contact about this shard for the lease
+// time: another home counts them by now, or the edge router is gone. It returns the number of
+// expired permits.
 func (h *Home) ExpirePermits(now time.Time, lease time.Duration) int {
 	dropped := 0
 	for edge, permitCount := range h.permitCount {
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -138,7 +138,7 @@
 }
 
 // UpdateShardLoad stores a shard's load received from its home.
-func (p *Pool) UpdateShardLoad(now time.Time, sum ShardLoad) { p.shardLoads.update(now, sum) }
+func (p *Pool) UpdateShardLoad(now time.Time, load ShardLoad) { p.shardLoads.update(now, load) }
 
 // ShardLoadsFor appends to out the shard loads that this router has received since its last permit
 // request to a shard's home.
--- a/internal/rule/quota/retry_after_test.go
+++ b/internal/rule/quota/retry_after_test.go
@@ -26,7 +26,7 @@
 	}
 	for range 1000 {
 		if delay := r.Next(now, perSecond, 0); delay > MaxRetryAfter {
-			t.Fatalf("Retry-After delay of %v, want at most MaxReturn", delay)
+			t.Fatalf("Retry-After delay of %v, want at most MaxRetryAfter", delay)
 		}
 	}
 }
--- a/internal/rule/retry/retry_test.go
+++ b/internal/rule/retry/retry_test.go
@@ -45,7 +45,7 @@
 	}
 	for _, c := range cases {
 		if got := retry.CombineOutcomes(c.a, c.b); got != c.want {
-			t.Errorf("Worse(%q, %q) = %q, want %q", c.a, c.b, got, c.want)
+			t.Errorf("CombineOutcomes(%q, %q) = %q, want %q", c.a, c.b, got, c.want)
 		}
 	}
 	if retry.OutcomeOf(retry.Sending) != retry.Unknown || retry.OutcomeOf(retry.Dialing) != retry.NotRun {
