--- a/internal/edge/entry/idle_timeout.go
+++ b/internal/edge/entry/idle_timeout.go
@@ -96,7 +96,7 @@
 
 const (
 	// idleTimeoutRatio is the ratio between the idle timeout of an attempt and the objective. A
-	// first byte that comes later is worth little.
+	// first byte that arrives later has little value.
 	idleTimeoutRatio = 1.5
 	// eventTimeoutRatio is the ratio between the timeout for the next event of a stream and the
 	// gap objective. Callers abandon a stream after eight times the gap objective.
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -82,7 +82,7 @@
 	change := g.record.Served(g.Clock(), request)
 	g.updateQuarantine(request, change)
 	g.mu.Unlock()
-	g.spreadUrgent(change)
+	g.gossipIfUrgent(change)
 }
 
 // ReportInterrupted records an interrupted response and probes whether the target crashed. It waits
@@ -112,7 +112,7 @@
 	change := g.record.Crashed(g.Clock(), b.Fingerprint, start, b.Ran)
 	g.updateQuarantine(b.Fingerprint, change)
 	g.mu.Unlock()
-	g.spreadUrgent(change)
+	g.gossipIfUrgent(change)
 }
 
 // Outgoing returns the suspect requests for a gossip message to one peer of a fleet of the given
@@ -125,19 +125,19 @@
 
 // Incoming merges suspect requests received from a peer or read from the store.
 func (g *Guard) Incoming(list []crash.Suspect) {
-	strongest := crash.Nothing
+	highest := crash.Nothing
 	g.mu.Lock()
 	for _, s := range list {
 		change := g.record.Merge(g.Clock(), s)
 		g.updateQuarantine(s.Request, change)
-		strongest = max(strongest, change)
+		highest = max(highest, change)
 	}
 	g.mu.Unlock()
-	g.spreadUrgent(strongest)
+	g.gossipIfUrgent(highest)
 }
 
-// spreadUrgent requests early gossip for an urgent change.
-func (g *Guard) spreadUrgent(change crash.Urgency) {
+// gossipIfUrgent triggers gossip for an urgent change.
+func (g *Guard) gossipIfUrgent(change crash.Urgency) {
 	if change == crash.Urgent {
 		g.TriggerGossip()
 	}
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -75,15 +75,15 @@
 // testGuard is a guard that counts its gossip requests and can be made a reader.
 type testGuard struct {
 	*Guard
-	spreads int
-	reads   bool
+	gossipTriggers int
+	reads          bool
 }
 
 func newGuard(t *testing.T, p *fakeDeps, now *time.Time) *testGuard {
 	t.Helper()
 	out := &testGuard{}
 	g, closeGuard := New(Parts{
-		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, TriggerGossip: func() { out.spreads++ },
+		Prober: p, Store: p, Logger: log.NewNopLogger(), Clock: func() time.Time { return *now }, TriggerGossip: func() { out.gossipTriggers++ },
 		IsReader: func() bool { return out.reads },
 	})
 	t.Cleanup(closeGuard)
@@ -111,13 +111,13 @@
 	p := newFakeDeps(false)
 	g := newGuard(t, p, &now)
 	g.interrupt("a", "b", "c", "d")
-	if g.QuarantineLeft(request) != 0 || g.spreads != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
+	if g.QuarantineLeft(request) != 0 || g.gossipTriggers != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
 		t.Errorf("before crashes: quarantined for %v, %d probes", g.QuarantineLeft(request), p.probes)
 	}
 	p.crashed = true
 	g.interrupt("a", "b")
-	if g.QuarantineLeft(request) == 0 || g.spreads != 1 || g.Quarantined() != 1 {
-		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.QuarantineLeft(request), g.spreads)
+	if g.QuarantineLeft(request) == 0 || g.gossipTriggers != 1 || g.Quarantined() != 1 {
+		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.QuarantineLeft(request), g.gossipTriggers)
 	}
 	g.Served(request)
 	if g.QuarantineLeft(request) != 0 {
--- a/internal/edge/relay/conns.go
+++ b/internal/edge/relay/conns.go
@@ -107,7 +107,7 @@
 }
 
 // CloseIdle closes the idle connections to an address, as after a restart of its target: they lead
-// to the earlier process, or nowhere.
+// to the earlier process, or are broken.
 func (c *Conns) CloseIdle(addr string) {
 	c.mu.Lock()
 	list := c.idle[addr]
@@ -233,5 +233,5 @@
 }
 
 // usable reports whether an idle connection is still open and has no unread bytes: bytes that
-// arrive without a request belong to none.
+// arrive without a request answer none.
 func (c *conn) usable() bool { return c.reader.Buffered() == 0 && Peek(c.Conn) == Empty }
--- a/internal/edge/route/backoff_test.go
+++ b/internal/edge/route/backoff_test.go
@@ -44,13 +44,13 @@
 	return nil
 }
 
-func (m simHomes) Sync(_ context.Context, _ ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
-	m.homes.Sync(id, m.id, held, upto, from)
+func (m simHomes) Sync(_ context.Context, _ ident.Router, id place.ShardID, held []place.Permit, maxID uint64, from ident.Router) error {
+	m.homes.Sync(id, m.id, held, maxID, from)
 	return nil
 }
 
-func (m simHomes) Withdraw(_ context.Context, _ ident.Router, id place.ShardID, upto uint64) error {
-	m.homes.Withdraw(id, m.id, upto)
+func (m simHomes) Withdraw(_ context.Context, _ ident.Router, id place.ShardID, maxID uint64) error {
+	m.homes.Withdraw(id, m.id, maxID)
 	return nil
 }
 
--- a/internal/edge/route/home.go
+++ b/internal/edge/route/home.go
@@ -136,9 +136,9 @@
 	}
 	r.mu.Lock()
 	r.queueWithdrawal(m.id, m.old)
-	upto := r.permit
+	maxID := r.permit
 	r.mu.Unlock()
-	err := r.homes.Withdraw(ctx, m.old, m.id, upto)
+	err := r.homes.Withdraw(ctx, m.old, m.id, maxID)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	// A router that was removed from membership counts no permits.
--- a/internal/edge/route/leaving_test.go
+++ b/internal/edge/route/leaving_test.go
@@ -13,17 +13,16 @@
 // homes do not have this state.
 func (f *fleet) markLeaving(target ident.Target) {
 	p := f.pools[0]
-	leaver, _ := p.Roster.Engine(target.Hash())
-	leaver.Leaving = true
-	p.Roster = p.Roster.With([]place.Engine{leaver}, nil)
+	leaving, _ := p.Roster.Engine(target.Hash())
+	leaving.Leaving = true
+	p.Roster = p.Roster.With([]place.Engine{leaving}, nil)
 	f.pools[0] = p
 }
 
 // Guards against requests that are sent to a leaving target by a router that has received the
-// target's leaving header. The home of the
-// target's shard, on another router, may not have this state for as long as a network partition
-// lasts, and still grants permits on the target. The router must check granted permits against its
-// own state. Here the homes never receive the state.
+// target's leaving header. The home of the target's shard, on another router, may not have this
+// state for as long as a network partition lasts, and still grants permits on the target. The
+// router must check granted permits against its own state. Here the homes never receive the state.
 func TestLeavingTargetUnknownToHome(t *testing.T) {
 	f, r, assigned := newFleet()
 	f.markLeaving("engine-1")
@@ -47,15 +46,15 @@
 // target is removed and returns. A new incarnation is not affected.
 func TestLeavingAppliesBeforePoolUpdate(t *testing.T) {
 	f, r, assigned := newFleet()
-	leaver, _ := f.pools[0].Target(ident.Target("engine-1").Hash())
-	r.ReportNotice(leaver, route.Notice{Leaving: true})
+	leaving, _ := f.pools[0].Target(ident.Target("engine-1").Hash())
+	r.ReportNotice(leaving, route.Notice{Leaving: true})
 	chats := ident.ChatKey(0)
 	sent := func() int {
 		count := 0
 		for range 10 {
 			chats++
 			p := acquire(t, r, chats)
-			if p.Target.ID == leaver.ID {
+			if p.Target.ID == leaving.ID {
 				count++
 			}
 			p.Release()
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -25,7 +25,7 @@
 	if skipHomes {
 		return r.placeWithoutHome(ctx, p, request, nil)
 	}
-	failedOver, sawUnknown := false, false
+	failedOver, hadUnknown := false, false
 	var holder ident.TargetHash
 	for {
 		step, ok := r.nextShard(p, &search)
@@ -38,7 +38,7 @@
 			failedOver = true
 			resp, placement, unknown, err = r.requestKnownTarget(ctx, p, step, request)
 		}
-		sawUnknown = sawUnknown || unknown
+		hadUnknown = hadUnknown || unknown
 		switch {
 		case err != nil:
 			return r.placeWithoutHome(ctx, p, request, err)
@@ -47,7 +47,7 @@
 			return placement, false, nil
 		case resp.Result == home.Moved:
 			return nil, true, nil
-		case step.MustPlace && sawUnknown && resp.Result != home.Shed:
+		case step.MustPlace && hadUnknown && resp.Result != home.Shed:
 			// A home that has other targets than this router cannot report whether this router's
 			// targets are free.
 			return r.placeWithoutHome(ctx, p, request, nil)
--- a/internal/edge/route/placement.go
+++ b/internal/edge/route/placement.go
@@ -164,10 +164,10 @@
 	for _, p := range r.held[id] {
 		held = append(held, p)
 	}
-	upto := r.permit
+	maxID := r.permit
 	r.mu.Unlock()
 	if to == "" {
 		return
 	}
-	_ = r.homes.Sync(ctx, to, id, held, upto, from)
+	_ = r.homes.Sync(ctx, to, id, held, maxID, from)
 }
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -20,8 +20,8 @@
 type Homes interface {
 	Place(ctx context.Context, home ident.Router, request home.PermitRequest, released []uint64) (home.PermitResponse, error)
 	Release(ctx context.Context, home ident.Router, id place.ShardID, released []uint64) error
-	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error
-	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, upto uint64) error
+	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, maxID uint64, from ident.Router) error
+	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, maxID uint64) error
 	Grant(ctx context.Context, home ident.Router, workspace ident.Workspace, want int) (int, time.Duration, error)
 }
 
@@ -185,7 +185,7 @@
 }
 
 // Set replaces the pools and the assignment of homes, and returns the shards whose home has
-// changed, for Move. The pool of the own region comes first among the pools of a service.
+// changed, for Move. The pool of the own region is the first among the pools of a service.
 func (r *Router) Set(pools []Pool, assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	old := r.pools
@@ -233,7 +233,7 @@
 	return known
 }
 
-// removeRestarted removes the state of targets that have restarted, which belongs to their earlier
+// removeRestarted removes the state of targets that have restarted, which is that of their earlier
 // incarnation. Requests of this router in flight there are counted until they end, since some of
 // them may have reached the new incarnation already. The caller holds the lock.
 func (r *Router) removeRestarted(pools []Pool) {
--- a/internal/edge/route/router_test.go
+++ b/internal/edge/route/router_test.go
@@ -28,8 +28,9 @@
 	requested []ident.Router
 	// dropResponses makes homes grant permits whose responses are lost.
 	dropResponses bool
-	// heldUp makes the router process responses too late to determine whether the home was in time.
-	heldUp bool
+	// localDelay makes the router process responses too late to determine whether the home was in
+	// time.
+	localDelay bool
 	// dropWithdrawals loses withdrawals.
 	dropWithdrawals bool
 	// dropReleases loses released permits.
@@ -62,7 +63,7 @@
 	if f.onPlace != nil {
 		f.onPlace()
 	}
-	if f.heldUp {
+	if f.localDelay {
 		return home.PermitResponse{}, fault.New("test", home.LocalDelay, nil)
 	}
 	if f.dropResponses {
@@ -79,21 +80,21 @@
 	return err
 }
 
-func (f *fleet) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error {
+func (f *fleet) Sync(_ context.Context, to ident.Router, id place.ShardID, held []place.Permit, maxID uint64, from ident.Router) error {
 	h, err := f.homeAt(to)
 	if err == nil {
-		h.Sync(id, edge, held, upto, from)
+		h.Sync(id, edge, held, maxID, from)
 	}
 	return err
 }
 
-func (f *fleet) Withdraw(_ context.Context, to ident.Router, id place.ShardID, upto uint64) error {
+func (f *fleet) Withdraw(_ context.Context, to ident.Router, id place.ShardID, maxID uint64) error {
 	h, err := f.homeAt(to)
 	if f.dropWithdrawals {
 		return fault.New("test", home.Unreachable, nil)
 	}
 	if err == nil {
-		h.Withdraw(id, edge, upto)
+		h.Withdraw(id, edge, maxID)
 	}
 	return err
 }
@@ -238,11 +239,11 @@
 // each such router used the standby instead, several routers would count the same shard.
 func TestDelayedRouterKeepsItsHome(t *testing.T) {
 	f, r, assigned := newFleet()
-	f.heldUp = true
+	f.localDelay = true
 	for key := range ident.ChatKey(5) {
 		acquire(t, r, key).Release()
 	}
-	f.heldUp, f.requested = false, nil
+	f.localDelay, f.requested = false, nil
 	f.runDeferred()
 	acquire(t, r, 9).Release()
 	if diff := cmp.Diff([]ident.Router{assigned.Home(id)}, f.requested); diff != "" {
--- a/internal/plat/engine/engine.go
+++ b/internal/plat/engine/engine.go
@@ -20,7 +20,7 @@
 const (
 	// Failed means that the call failed or the response was not valid.
 	Failed Kind = "failed"
-	// Stale means that the engine rejected an order because it has seen a later epoch.
+	// Stale means that the engine rejected an order because it has received a later epoch.
 	Stale Kind = "stale"
 )
 
--- a/internal/plat/table/eras.go
+++ b/internal/plat/table/eras.go
@@ -21,7 +21,7 @@
 	reported    bool
 }
 
-// NewEras returns a tracker that has seen no era yet.
+// NewEras returns a tracker that has received no era yet.
 func NewEras(logger log.Logger) *Eras { return &Eras{logger: logger, reported: true} }
 
 // OnChange registers a callback for the first era and for each later one. It is called before the
@@ -29,7 +29,7 @@
 // of Eras. It must be registered before the first call of the client.
 func (e *Eras) OnChange(onChange func(era, was Era)) { e.onChange = append(e.onChange, onChange) }
 
-// CurrentEra returns the latest era seen, zero before the first.
+// CurrentEra returns the latest era received, zero before the first.
 func (e *Eras) CurrentEra() Era {
 	e.mu.Lock()
 	defer e.mu.Unlock()
--- a/internal/plat/table/eras_test.go
+++ b/internal/plat/table/eras_test.go
@@ -9,7 +9,7 @@
 	"github.com/google/go-cmp/cmp"
 )
 
-// A response belongs to the era in its header, also if it was in flight while the era changed. A
+// A response is assigned to the era in its header, also if it was in flight while the era changed. A
 // response with no valid era, or with an era that ended before the call started, belongs to the
 // latest era.
 func TestEraOfResponses(t *testing.T) {
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -138,7 +138,7 @@
 	}
 }
 
-// exchange lets two routers exchange their suspects.
+// exchange merges the suspects of two routers into each other.
 func (m *model) exchange(a, b int) {
 	for _, s := range m.routers[a].Outgoing(m.now, modelRouters) {
 		m.noteUrgency(b, m.routers[b].Merge(m.now, s))
--- a/internal/rule/crash/record.go
+++ b/internal/rule/crash/record.go
@@ -113,10 +113,10 @@
 	if len(r.entries) < maxEntries {
 		return
 	}
-	least := slices.MinFunc(r.all(), func(a, b *entry) int {
+	leastBlamed := slices.MinFunc(r.all(), func(a, b *entry) int {
 		return cmp.Or(cmp.Compare(a.crashes, b.crashes), a.latest().Compare(b.latest()), cmp.Compare(a.Request, b.Request))
 	})
-	delete(r.entries, least.Request)
+	delete(r.entries, leastBlamed.Request)
 }
 
 // latest returns the time of the latest crash, or of the last complete answer if there is no crash.
@@ -151,11 +151,11 @@
 	if !found {
 		return 0
 	}
-	return r.heldFor(now, e)
+	return r.remainingQuarantine(now, e)
 }
 
-// heldFor returns the remaining quarantine of an entry's request.
-func (r *Record) heldFor(now time.Time, e *entry) time.Duration {
+// remainingQuarantine returns the remaining quarantine of an entry's request.
+func (r *Record) remainingQuarantine(now time.Time, e *entry) time.Duration {
 	if e.crashes < quarantineThreshold {
 		return 0
 	}
@@ -217,7 +217,7 @@
 func (r *Record) Quarantined(now time.Time) int {
 	quarantined := 0
 	for _, e := range r.entries {
-		if r.heldFor(now, e) > 0 {
+		if r.remainingQuarantine(now, e) > 0 {
 			quarantined++
 		}
 	}
@@ -244,7 +244,7 @@
 		switch {
 		case e.sent < disseminationFactor*bits.Len(uint(routers)):
 			changed = append(changed, e)
-		case r.heldFor(now, e) > 0:
+		case r.remainingQuarantine(now, e) > 0:
 			unchanged = append(unchanged, e)
 		}
 	}
--- a/internal/rule/place/assign.go
+++ b/internal/rule/place/assign.go
@@ -11,8 +11,8 @@
 
 // Assignment maps each shard of a region to its home router. Plain rendezvous hashing would give a
 // few routers several shards and so most of the control traffic. Therefore a shard whose
-// highest-scoring router is already home of two shards goes to one of its next candidates that is
-// home of none. Routers with the same membership view and configuration compute the same
+// highest-scoring router is already home of two shards is assigned to one of its next candidates
+// that is home of none. Routers with the same membership view and configuration compute the same
 // assignment. Routers with different views disagree about few shards, which is safe.
 type Assignment struct {
 	routers    []ident.Router
@@ -165,9 +165,9 @@
 	for _, home := range a.homes {
 		counts[home]++
 	}
-	most := 0
+	maxShards := 0
 	for n := range maps.Values(counts) {
-		most = max(most, n)
+		maxShards = max(maxShards, n)
 	}
-	return most
+	return maxShards
 }
--- a/internal/rule/place/avoid_test.go
+++ b/internal/rule/place/avoid_test.go
@@ -10,7 +10,7 @@
 // Guards against requests that must be placed and exceed the bound. A router that considered
 // nearly all of 18 engines unreachable sent its requests to the remaining two, which then held 42
 // requests at a mean of 12: the shard was full for that router, so each of its requests had to be
-// placed, and went to the least loaded remaining engine regardless of its load.
+// placed, and was sent to the least loaded remaining engine regardless of its load.
 func TestRequestsThatMustBePlacedKeepTheBound(t *testing.T) {
 	const (
 		listed = 6
--- a/internal/rule/place/backoff.go
+++ b/internal/rule/place/backoff.go
@@ -43,9 +43,9 @@
 	if zone == allZones {
 		return b.recordIn(now, recordKey{reported.Engine, allZones}, string(edge), until)
 	}
-	here := b.recordIn(now, recordKey{reported.Engine, zone}, string(edge), until)
-	everywhere := b.recordIn(now, recordKey{reported.Engine, allZones}, string(zone), until)
-	return here || everywhere
+	inZone := b.recordIn(now, recordKey{reported.Engine, zone}, string(edge), until)
+	inAllZones := b.recordIn(now, recordKey{reported.Engine, allZones}, string(zone), until)
+	return inZone || inAllZones
 }
 
 // recordIn adds a backoff received by one member of a group, and reports whether it blocks the
--- a/internal/rule/place/chat_places.go
+++ b/internal/rule/place/chat_places.go
@@ -10,7 +10,7 @@
 // requests are cached on four or five engines after a day with failures.
 const maxEnginesPerChat = 4
 
-// chatPlace lists the engines that ran a chat, the last one first. If that is full or gone, the
+// chatPlace lists the engines that ran a chat, the last one first. If that is full or removed, the
 // earlier ones may still have the chat's prefix cached.
 type chatPlace struct {
 	seen int64
--- a/internal/rule/place/choose.go
+++ b/internal/rule/place/choose.go
@@ -92,7 +92,7 @@
 		return i, Placed, true
 	}
 	var best, first ranked
-	steady := h.steadyLimit(total)
+	maxPreferredLoad := h.preferredLimit(total)
 	outcome := Empty
 	for i := range h.engines {
 		result := h.admits(now, i, req, limit)
@@ -105,7 +105,7 @@
 		}
 		r := h.rank(i, req)
 		best = best.better(r)
-		if float64(r.load) < steady && r.preferred(first) {
+		if float64(r.load) < maxPreferredLoad && r.preferred(first) {
 			first = r
 		}
 	}
@@ -154,8 +154,8 @@
 	return e.usable() && !slices.Contains(req.Avoid, e.Hash) && (e.Slots <= 0 || e.load()+req.Work <= e.Slots || e.load() <= 0)
 }
 
-// steadyLimit returns the load below which an engine accepts new chats that prefer it.
-func (h *Home) steadyLimit(total ident.Work) float64 {
+// preferredLimit returns the load below which an engine accepts new chats that prefer it.
+func (h *Home) preferredLimit(total ident.Work) float64 {
 	if h.bound.PreferredFactor <= 0 {
 		return 0
 	}
@@ -281,8 +281,8 @@
 // shardLimit returns the limit based on the mean of this shard's engines, for requests that must
 // be placed here: the pool's mean may be lower, or unknown. Engines that the request avoids count
 // while they have work, because other edge routers use them. Otherwise the few engines that one
-// router considers healthy would receive all of its requests. Avoided engines without work may be
-// gone, and would only lower the limit of the others.
+// router considers healthy would receive all of its requests. Avoided engines without work may have
+// stopped, and would only lower the limit of the others.
 func (h *Home) shardLimit(req Request) float64 {
 	engines := 0
 	for i := range h.engines {
--- a/internal/rule/place/cold_test.go
+++ b/internal/rule/place/cold_test.go
@@ -124,7 +124,7 @@
 		ID: "cold", Hash: ident.Target("cold").Hash(), Slots: 12 * ident.OneRequest, Incarnation: 1,
 		Cold: place.Cold{Until: now.Add(time.Minute), Rate: 1},
 	}
-	h := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 0)
+	h := place.NewHome(place.ShardID{Pool: "p"}, "router", preferredBound, 0)
 	h.SetEngines([]place.Engine{e}, []int{1})
 	request := func(permit uint64) place.Result {
 		return h.Place(now, place.Request{Edge: "edge", Permit: permit, Key: 7, Work: ident.OneRequest, MustPlace: true}).Result
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -32,7 +32,7 @@
 	// at is the time to which the counts have decayed.
 	at time.Time
 	// edge reported the latest failure. multiple is set once another edge router reported one too:
-	// failures seen by a single edge router may be caused by its own link.
+	// failures observed by a single edge router may be caused by its own link.
 	edge     ident.Router
 	multiple bool
 	// until is when the engine receives new requests again. blockTime is the length of the block.
--- a/internal/rule/place/health_test.go
+++ b/internal/rule/place/health_test.go
@@ -30,7 +30,7 @@
 
 func newFixture(failureRatio func(ident.TargetHash, ident.Zone) float64) *fixture {
 	return &fixture{
-		home: steadyHome(8), now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), failureRatio: failureRatio,
+		home: newPreferredHome(8), now: time.Unix(1000, 0), rng: rand.New(rand.NewPCG(1, 2)), failureRatio: failureRatio,
 		got: map[ident.Zone]map[ident.TargetHash]int{zoneA: {}, zoneB: {}},
 	}
 }
@@ -126,7 +126,7 @@
 
 // Requests are sent to an unhealthy engine while the others have no free slot.
 func TestUnhealthyEngineIsUsedWhenOthersAreBusy(t *testing.T) {
-	home := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 1)
+	home := place.NewHome(place.ShardID{Pool: "p"}, "router", preferredBound, 1)
 	var list []place.Engine
 	for i := range 2 {
 		e := newEngine(i)
@@ -150,7 +150,8 @@
 	}
 }
 
-// No engine is blocked if all engines fail alike, or if only one edge router reports failures.
+// No engine is blocked if all engines fail at the same rate, or if only one edge router reports
+// failures.
 func TestCommonFailuresBlockNoEngine(t *testing.T) {
 	all := newFixture(func(ident.TargetHash, ident.Zone) float64 { return 0.45 })
 	all.alternate(20)
--- a/internal/rule/place/home.go
+++ b/internal/rule/place/home.go
@@ -50,7 +50,7 @@
 	Incarnation ident.Incarnation
 	// Slots is the work that the engine can run at once. Zero means no limit.
 	Slots ident.Work
-	// Joined is when this incarnation was first seen. Zero means no slow start.
+	// Joined is when this incarnation was first listed. Zero means no slow start.
 	Joined time.Time
 	// Leaving engines keep their permits and get no new ones.
 	Leaving bool
@@ -141,7 +141,7 @@
 	peerWork ident.Work
 	// permitCount is the number of permits of each edge router.
 	permitCount map[ident.Router]int
-	// suspectEdges are edge routers that may be gone, whose requests may have ended.
+	// suspectEdges are edge routers that may have crashed, whose requests may have ended.
 	suspectEdges map[ident.Router]bool
 	// lastContact is when each edge router that holds permits was last in contact.
 	lastContact map[ident.Router]time.Time
@@ -241,7 +241,7 @@
 	}
 }
 
-// prune removes engines that are gone and have no permits here.
+// prune removes engines that are no longer present and have no permits here.
 func (h *Home) prune() {
 	kept := h.engines[:0]
 	for _, e := range h.engines {
--- a/internal/rule/place/last_engine_test.go
+++ b/internal/rule/place/last_engine_test.go
@@ -23,7 +23,7 @@
 func TestNewHomeUsesLastEngineOfEdge(t *testing.T) {
 	for i := range 8 {
 		last := newEngine(i).Hash
-		got := placeWithLast(steadyHome(8), 7, last)
+		got := placeWithLast(newPreferredHome(8), 7, last)
 		if got.Engine != last || !got.Warm {
 			t.Errorf("last engine %d: got %+v", i, got)
 		}
@@ -32,7 +32,7 @@
 
 // A place stored by the home takes precedence over the last engine of the edge router.
 func TestHomePlacePrecedesLastEngineOfEdge(t *testing.T) {
-	h := steadyHome(8)
+	h := newPreferredHome(8)
 	first := placeWithLast(h, 7, 0)
 	other := newEngine(0).Hash
 	if other == first.Engine {
@@ -47,7 +47,7 @@
 // returned as the cache holder.
 func TestHolderInAnotherShard(t *testing.T) {
 	elsewhere := newEngine(100).Hash
-	got := placeWithLast(steadyHome(8), 7, elsewhere)
+	got := placeWithLast(newPreferredHome(8), 7, elsewhere)
 	if diff := cmp.Diff(elsewhere, got.Holder); diff != "" || got.Warm {
 		t.Errorf("holder: %s, warm %v", diff, got.Warm)
 	}
@@ -55,7 +55,7 @@
 
 // A key that is used once leaves no place.
 func TestOnceKeysAreNotStored(t *testing.T) {
-	h := steadyHome(8)
+	h := newPreferredHome(8)
 	permits++
 	got := h.Place(time.Unix(1000, 0), place.Request{Edge: "edge", Permit: permits, Key: 7, Work: ident.OneRequest, Once: true})
 	if got.Result != place.Placed || got.Holder != 0 {
@@ -66,9 +66,9 @@
 	}
 }
 
-// steadyPool returns a router's view of a pool of eight engines.
-func steadyPool(shards int) *place.Pool {
-	p := place.NewPool("p", shards, steady)
+// newPreferredPool returns a router's view of a pool of eight engines.
+func newPreferredPool(shards int) *place.Pool {
+	p := place.NewPool("p", shards, preferredBound)
 	var list []place.Engine
 	for i := range 8 {
 		list = append(list, newEngine(i))
@@ -84,9 +84,9 @@
 	kept := 0
 	for i := range routers {
 		edge := ident.Router(fmt.Sprintf("router-%d", i))
-		before, last := steadyPool(1), newEngine(i%8).Hash
+		before, last := newPreferredPool(1), newEngine(i%8).Hash
 		before.SetLast(key, last)
-		p := place.NewPool("p", 2, steady)
+		p := place.NewPool("p", 2, preferredBound)
 		p.Inherit(before)
 		p.SetEngines(before.Engines())
 		request := place.Request{Edge: edge, Key: key, Work: ident.OneRequest, Last: p.Last(key)}
@@ -113,7 +113,7 @@
 }
 
 func TestLastOfRemovedEngine(t *testing.T) {
-	p := steadyPool(1)
+	p := newPreferredPool(1)
 	p.SetLast(7, newEngine(100).Hash)
 	if diff := cmp.Diff(ident.TargetHash(0), p.Last(7)); diff != "" {
 		t.Error(diff)
@@ -123,7 +123,7 @@
 // A restarted engine has no caches: it is no longer the last engine of a chat until the router
 // sends the chat to the new incarnation.
 func TestLastOfRestartedEngine(t *testing.T) {
-	p := steadyPool(1)
+	p := newPreferredPool(1)
 	e := newEngine(3)
 	p.SetLast(7, e.Hash)
 	list := append([]place.Engine(nil), p.Engines()...)
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -57,12 +57,12 @@
 }
 
 // Sync replaces all permits of one edge router by the list that it holds. Permits with IDs above
-// upto were requested after the list was made and are kept. Permits that the home from counted
+// maxID were requested after the list was made and are kept. Permits that the home from counted
 // before are subtracted from its share.
-func (h *Home) Sync(edge ident.Router, held []Permit, upto uint64, from ident.Router) {
+func (h *Home) Sync(edge ident.Router, held []Permit, maxID uint64, from ident.Router) {
 	h.claim(from, held)
 	for key := range h.permits {
-		if key.edge == edge && key.id <= upto {
+		if key.edge == edge && key.id <= maxID {
 			h.drop(key)
 		}
 	}
@@ -94,8 +94,8 @@
 	h.recount()
 }
 
-// RemovePermits removes an edge router's permits with IDs below a limit, which belong to a process
-// that is gone.
+// RemovePermits removes the permits with IDs below a limit that were issued to an edge router process
+// that has ended.
 func (h *Home) RemovePermits(edge ident.Router, below uint64) {
 	for key := range h.permits {
 		if key.edge == edge && key.id < below {
@@ -116,9 +116,9 @@
 // Holders lists the edge routers that hold permits.
 func (h *Home) Holders() []ident.Router { return slices.Collect(maps.Keys(h.permitCount)) }
 
-// SetSuspectEdges replaces the list of suspect edge routers, which may be gone. Until their state
-// is known, their permits count on their engines but not in the mean: too high a load and too low a
-// mean are the safe directions of error.
+// SetSuspectEdges replaces the list of suspect edge routers, which may have crashed. Until their
+// state is known, their permits count on their engines but not in the mean: too high a load and too
+// low a mean are the safe directions of error.
 func (h *Home) SetSuspectEdges(edges []ident.Router) {
 	clear(h.suspectEdges)
 	for _, e := range edges {
@@ -144,7 +144,7 @@
 func (h *Home) RecordContact(now time.Time, edge ident.Router) { h.lastContact[edge] = now }
 
 // ExpirePermits expires the permits of edge routers without contact about this shard for the lease
-// time: another home counts them by now, or the edge router is gone. It returns the number of
+// time: another home counts them by now, or the edge router has crashed. It returns the number of
 // expired permits.
 func (h *Home) ExpirePermits(now time.Time, lease time.Duration) int {
 	dropped := 0
--- a/internal/rule/place/pool.go
+++ b/internal/rule/place/pool.go
@@ -77,18 +77,18 @@
 	return work <= p.roster.slots[shard]-ident.OneRequest
 }
 
-// orderWeights returns the shards' weights in a key's order. With a steady bound, shards have
+// orderWeights returns the shards' weights in a key's order. With a PreferredFactor, shards have
 // equal weight regardless of their number of engines: a chat that moves to another shard loses its
 // cached prefix, and the bound compensates for the uneven load.
 func (p *Pool) orderWeights() []int {
 	if p.bound.PreferredFactor <= 0 {
 		return p.Weights()
 	}
-	alike := make([]int, p.Shards())
+	equalWeights := make([]int, p.Shards())
 	for i, w := range p.Weights() {
-		alike[i] = min(w, 1)
+		equalWeights[i] = min(w, 1)
 	}
-	return alike
+	return equalWeights
 }
 
 // Weights returns the numbers of usable engines of the shards. The caller must not modify them.
--- a/internal/rule/place/steady_test.go
+++ b/internal/rule/place/steady_test.go
@@ -11,7 +11,7 @@
 	"valescale/internal/rule/place"
 )
 
-var steady = place.Bound{
+var preferredBound = place.Bound{
 	Factor: 2, Extra: 2 * ident.OneRequest, PreferredFactor: 1.3, DigestTTL: 4 * time.Second, MaxPlaces: 1000,
 }
 
@@ -20,9 +20,9 @@
 	return place.Engine{ID: id, Hash: id.Hash(), Incarnation: 1}
 }
 
-// steadyHome returns a home with the given number of engines in one shard.
-func steadyHome(engines int) *place.Home {
-	h := place.NewHome(place.ShardID{Pool: "p"}, "router", steady, 1)
+// newPreferredHome returns a home with preferredBound and the given number of engines in one shard.
+func newPreferredHome(engines int) *place.Home {
+	h := place.NewHome(place.ShardID{Pool: "p"}, "router", preferredBound, 1)
 	var list []place.Engine
 	for i := range engines {
 		list = append(list, newEngine(i))
@@ -40,7 +40,7 @@
 
 // A home without stored places chooses the same engine for most keys.
 func TestPlacementRepeatsAfterLossOfPlaces(t *testing.T) {
-	before, after := steadyHome(20), steadyHome(20)
+	before, after := newPreferredHome(20), newPreferredHome(20)
 	same := 0
 	const keys = 200
 	for key := range ident.ChatKey(keys) {
@@ -58,7 +58,7 @@
 
 // A request that is placed on another engine gets the engine from which its prompt can be copied.
 func TestHolders(t *testing.T) {
-	h := steadyHome(4)
+	h := newPreferredHome(4)
 	first := placeKey(h, 7)
 	second := placeKey(h, 7, first.Engine)
 	if diff := cmp.Diff(first.Engine, second.Holder); diff != "" || second.Warm {
@@ -85,7 +85,7 @@
 // Engines that join or leave do not move keys to other shards.
 func TestShardOrderIgnoresEngineCounts(t *testing.T) {
 	order := func(engines int, key ident.ChatKey) ident.Shard {
-		p := place.NewPool("p", 4, steady)
+		p := place.NewPool("p", 4, preferredBound)
 		var list []place.Engine
 		for i := range engines {
 			list = append(list, newEngine(i))
