--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -90,7 +90,7 @@
 // finder.
 func (h *Handler) reportNotice(j *job, placement *route.Placement, answer *relay.Answer, reply Reply) {
 	if reply.AddressReassigned {
-		// The answer comes from another target that has taken over the address.
+		// The answer comes from another target that now uses the address.
 		return
 	}
 	h.Finder.ReportNotice(placement.Target, route.Notice{
--- a/internal/edge/entry/entry_test.go
+++ b/internal/edge/entry/entry_test.go
@@ -204,7 +204,7 @@
 	}
 }
 
-// An answer that belongs to no request, or to an earlier one, must not be forwarded.
+// An answer to no request, or to an earlier one, must not be forwarded.
 func TestMismatchedAnswers(t *testing.T) {
 	var once sync.Once
 	extraAnswer := newFakeTarget(t, func(w *bufio.Writer, r *http.Request) bool {
--- a/internal/edge/entry/notice_test.go
+++ b/internal/edge/entry/notice_test.go
@@ -28,7 +28,7 @@
 
 // Backoff and draining state are taken from any answer of the target itself, whether it is
 // forwarded or not. They must not be taken from an answer to another request, or from another
-// target that has taken over the address.
+// target that now uses the address.
 func TestNoticesFromAnswers(t *testing.T) {
 	const leavingHeader, backoffHeader = "Leaving: 1\r\n", "Not-Run: full\r\nRetry-After: 3\r\n"
 	backoff := "backoff t0 3s"
--- a/internal/edge/entry/retry.go
+++ b/internal/edge/entry/retry.go
@@ -38,7 +38,7 @@
 
 const (
 	// maxRejections is the maximum number of targets that may reject one request. After the crash
-	// of many targets, their addresses can belong to other targets before the rows in the store
+	// of many targets, their addresses can be reused by other targets before the rows in the store
 	// are updated.
 	maxRejections = 3
 	// maxUnreachable is the maximum number of attempts of one request that reach no target. With
--- a/internal/edge/entry/types.go
+++ b/internal/edge/entry/types.go
@@ -49,7 +49,7 @@
 type Reply struct {
 	// NotRun is set when the target did not run the request and will not run it.
 	NotRun bool
-	// AddressReassigned is set when another target has taken over the address.
+	// AddressReassigned is set when another target now uses the address.
 	AddressReassigned bool
 	// Leaving is set when the server that answered is draining and must receive no new work.
 	Leaving bool
@@ -61,7 +61,7 @@
 	Read(h http.Header) Call
 	// Write converts a copy of the caller's headers into the headers sent to a target.
 	Write(h http.Header, call Call, o TargetHeaders)
-	// Matches reports whether an answer with these headers belongs to the call.
+	// Matches reports whether an answer with these headers is to the call.
 	Matches(h http.Header, call Call) bool
 	// Reply returns the values of a target's status and headers.
 	Reply(status int, h http.Header) Reply
--- a/internal/edge/guard/guard_test.go
+++ b/internal/edge/guard/guard_test.go
@@ -17,10 +17,10 @@
 
 // fakeDeps fakes the targets, which all run or have all crashed, and the store.
 type fakeDeps struct {
-	mu      sync.Mutex
-	crashed bool
-	probes  int
-	rows    map[table.Key]table.Row
+	mu     sync.Mutex
+	down   bool
+	probes int
+	rows   map[table.Key]table.Row
 	// reads counts the reads of the store.
 	reads int
 	// failures is the number of next calls to the store that fail.
@@ -31,7 +31,7 @@
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	p.probes++
-	return p.crashed
+	return p.down
 }
 
 // nextError returns the error of the next call to the store; the caller holds the lock.
@@ -100,9 +100,7 @@
 	}
 }
 
-func newFakeDeps(crashed bool) *fakeDeps {
-	return &fakeDeps{crashed: crashed, rows: map[table.Key]table.Row{}}
-}
+func newFakeDeps(down bool) *fakeDeps { return &fakeDeps{down: down, rows: map[table.Key]table.Row{}} }
 
 // Interrupted responses of targets that still run do not quarantine a request, however many there
 // are; after crashes a complete response ends the quarantine.
@@ -114,7 +112,7 @@
 	if g.QuarantineLeft(request) != 0 || g.gossipTriggers != 0 || len(g.Outgoing(8)) != 0 || p.probes != 4 {
 		t.Errorf("before crashes: quarantined for %v, %d probes", g.QuarantineLeft(request), p.probes)
 	}
-	p.crashed = true
+	p.down = true
 	g.interrupt("a", "b")
 	if g.QuarantineLeft(request) == 0 || g.gossipTriggers != 1 || g.Quarantined() != 1 {
 		t.Errorf("after two crashes: quarantined for %v, %d gossip requests", g.QuarantineLeft(request), g.gossipTriggers)
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -228,7 +228,7 @@
 	maxForeignBodyBytes = 1 << 20
 )
 
-// readMatchingHead reads heads until one belongs to the request.
+// readMatchingHead reads heads until one is to the request.
 func (c *conn) readMatchingHead(e Exchange) (*http.Response, error) {
 	request := &http.Request{Method: e.Method}
 	for range maxForeignResponses + 1 {
--- a/internal/edge/route/backoff.go
+++ b/internal/edge/route/backoff.go
@@ -53,7 +53,7 @@
 // recordBackoff records that one incarnation of a target rejected a request and accepts none from
 // this router until the wait is over. The next permit request reports it to the target's home. The
 // backoff applies to this router only, but once several routers have reported the same target, its
-// home also keeps the remaining routers from it before each has sent a request that is rejected.
+// home avoids it for the other routers too, before it has rejected a request of each.
 func (r *Router) recordBackoff(target Target, wait time.Duration) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -158,8 +158,8 @@
 
 // excluded returns nil if the target of a placement accepts new work. Otherwise it returns that
 // target and the leaving ones of the pool, so that none of them is offered again. The home that
-// granted the permit may not have this state yet: it gets it from another router, from the store or
-// from the target, each with its own delay.
+// granted the permit may not have this state yet: it receives it from another router, from the
+// store or from the target, each with its own delay.
 func (r *Router) excluded(p *pool, placement *Placement) []ident.TargetHash {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/route/health.go
+++ b/internal/edge/route/health.go
@@ -83,7 +83,7 @@
 }
 
 // ReportUnreachable opens the circuit breaker of a target to which no connection could be made, or
-// whose address belongs to another target.
+// whose address is now used by another target.
 func (r *Router) ReportUnreachable(target ident.TargetHash) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -201,8 +201,8 @@
 	r.permit++
 	to = r.homeOf(id)
 	if m, moved := r.updateCountingHome(id, to); moved {
-		// Requests go to a home again that was skipped. It needs the permits that the standby has
-		// counted.
+		// A home that was skipped receives requests again. It needs the permits that the standby
+		// has counted.
 		r.self.AfterFunc(0, func() { r.Move(context.Background(), []Move{m}) })
 	}
 	released = r.pendingReleases[id]
--- a/internal/plat/boxes/boxes.go
+++ b/internal/plat/boxes/boxes.go
@@ -64,7 +64,7 @@
 	http    *http.Client
 	timeout time.Duration
 	mu      sync.Mutex
-	// etag and list belong to the latest response. The ETag is sent with the next request, so that
+	// etag and list are from the latest response. The ETag is sent with the next request, so that
 	// an unchanged list is not transferred again.
 	etag string
 	list []Box
--- a/internal/plat/table/eras_test.go
+++ b/internal/plat/table/eras_test.go
@@ -10,8 +10,8 @@
 )
 
 // A response is assigned to the era in its header, also if it was in flight while the era changed. A
-// response with no valid era, or with an era that ended before the call started, belongs to the
-// latest era.
+// response with no valid era, or with an era that ended before the call started, is assigned
+// to the latest era.
 func TestEraOfResponses(t *testing.T) {
 	var logs bytes.Buffer
 	e := NewEras(log.NewJSONLogger(&logs))
--- a/internal/rule/canary/evidence.go
+++ b/internal/rule/canary/evidence.go
@@ -89,7 +89,7 @@
 
 // Report is one router's evidence on one rollout, as exchanged between routers.
 type Report struct {
-	// Number identifies the rollout among those of the service.
+	// Number identifies the order of the rollout.
 	Number uint64
 	// Source identifies the router's process.
 	Source uint64
--- a/internal/rule/canary/order.go
+++ b/internal/rule/canary/order.go
@@ -33,7 +33,7 @@
 	Service ident.Service
 	Version ident.Version
 	State   State
-	// Number is that of the order.
+	// Number identifies the order of the rollout.
 	Number uint64
 }
 
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -35,7 +35,7 @@
 
 type modelEngine struct {
 	incarnation ident.Incarnation
-	back        time.Time
+	runsAgainAt time.Time
 	running     []*modelRun
 }
 
@@ -90,7 +90,7 @@
 	}
 	at := m.rng.IntN(modelEngines)
 	for range modelEngines {
-		if !m.engines[at].back.After(m.now) {
+		if !m.engines[at].runsAgainAt.After(m.now) {
 			break
 		}
 		at = (at + 1) % modelEngines
@@ -109,7 +109,7 @@
 	e := &m.engines[at]
 	interrupted := e.running
 	e.running = nil
-	e.back = m.now.Add(modelRestartTime)
+	e.runsAgainAt = m.now.Add(modelRestartTime)
 	start := NewStart(ident.TargetHash(at), e.incarnation)
 	e.incarnation++
 	for _, run := range interrupted {
--- a/internal/rule/place/home_test.go
+++ b/internal/rule/place/home_test.go
@@ -148,9 +148,9 @@
 	if d := overloaded.Place(start, permitRequest(3, 3)); d.Result != place.Full {
 		t.Errorf("got %v, want full", d.Result)
 	}
-	must := permitRequest(3, 3)
-	must.MustPlace = true
-	if d := overloaded.Place(start, must); d.Result != place.Placed {
+	mustPlace := permitRequest(3, 3)
+	mustPlace.MustPlace = true
+	if d := overloaded.Place(start, mustPlace); d.Result != place.Placed {
 		t.Errorf("got %v for a request that must be placed, want placed", d.Result)
 	}
 }
--- a/internal/rule/place/permit.go
+++ b/internal/rule/place/permit.go
@@ -94,8 +94,8 @@
 	h.recount()
 }
 
-// RemovePermits removes the permits with IDs below a limit that were issued to an edge router process
-// that has ended.
+// RemovePermits removes the permits with IDs below a limit that were issued to an edge router
+// process that has ended.
 func (h *Home) RemovePermits(edge ident.Router, below uint64) {
 	for key := range h.permits {
 		if key.edge == edge && key.id < below {
