--- a/internal/rule/crash/suspect.go
+++ b/internal/rule/crash/suspect.go
@@ -49,9 +49,9 @@
 	// maxCrashes is the maximum number of crashes recorded for one request. The quarantine grows to
 	// 5.3 hours.
 	maxCrashes = 8
-	// grace is the period after a complete answer in which crashes are not blamed on
-	// the request. A request that many callers send runs on every target that crashes, and several
-	// targets may lose power together.
+	// grace is the period after a complete answer in which crashes are not blamed on the request. A
+	// request that many callers send runs on every target that crashes, and several targets may
+	// lose power together.
 	grace = 5 * time.Second
 	// expiryFactor is the time after which a suspect expires, as a multiple of its quarantine and
 	// at least of baseQuarantine.
--- a/internal/rule/retry/breaker.go
+++ b/internal/rule/retry/breaker.go
@@ -42,7 +42,7 @@
 }
 
 // Allow reports whether a request may be sent now. In the half-open state the request is
-// the probe, and the caller must report its outcome with Report, Trip or Cancelled.
+// the probe, and the caller must report its outcome with Report, Trip or ReportCancelled.
 func (b *Breaker) Allow(now time.Time) bool {
 	switch b.state {
 	case Closed:
--- a/internal/rule/retry/window.go
+++ b/internal/rule/retry/window.go
@@ -43,7 +43,7 @@
 }
 
 // NewWindow returns an empty window. Its share of the extra retries grows from zero over the
-// first span, because an earlier process of this router may just have used that share.
+// first window, because an earlier process of this router may just have used that share.
 func NewWindow(now time.Time, allowance Allowance) *Window {
 	w := &Window{allowance: allowance, slotLength: max(allowance.Span/slotsPerWindow, minSlotLength), started: now}
 	w.current = w.slotNumber(now)
@@ -97,7 +97,7 @@
 	return requests, retries
 }
 
-// extra returns this router's share of the extra retries, which grows over the first span.
+// extra returns this router's share of the extra retries, which grows over the first window.
 func (w *Window) extra(now time.Time, routers int) float64 {
 	elapsedRatio := min(float64(now.Sub(w.started))/float64(w.allowance.Span), 1)
 	return extraUsableRatio * elapsedRatio * w.allowance.Extra / float64(max(routers, 1))
