--- a/internal/edge/entry/attempt.go
+++ b/internal/edge/entry/attempt.go
@@ -90,7 +90,7 @@
 // finder.
 func (h *Handler) reportNotice(j *job, placement *route.Placement, answer *relay.Answer, reply Reply) {
 	if reply.AddressReassigned {
-		// The answer comes from another target that has taken over the address.
+		// The answer comes from another target that now uses the address.
 		return
 	}
 	h.Finder.ReportNotice(placement.Target, route.Notice{
@@ -182,12 +182,12 @@
 		Workspace: j.workspace.Name,
 		LastEvent: j.lastEvent,
 	})
-	fresh := maxIdleUnrepeatable
+	maxIdle := maxIdleUnrepeatable
 	if j.route.Repeat == retry.Safe {
-		fresh = maxIdleRepeatable
+		maxIdle = maxIdleRepeatable
 	}
 	return relay.Exchange{
-		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, MaxIdleTime: fresh,
+		Addr: placement.Target.Addr, Method: j.method, Path: j.path, Host: j.host, Header: header, Body: j.body, MaxIdleTime: maxIdle,
 		MaxIdleConns: h.Rules.IdleConns(j.service),
 		Matches:      func(got http.Header) bool { return h.Dialect.Matches(got, j.call) },
 	}
--- a/internal/edge/guard/guard.go
+++ b/internal/edge/guard/guard.go
@@ -25,9 +25,11 @@
 	Store  Store
 	Logger log.Logger
 	Clock  ident.Clock
-	// IsReader reports whether this router is a reader, which reads the store's tables for the other routers.
+	// IsReader reports whether this router is a reader, which reads the store's tables for the
+	// other routers.
 	IsReader func() bool
-	// TriggerGossip requests that suspect requests are gossiped to the peers soon; it must not block.
+	// TriggerGossip requests that suspect requests are gossiped to the peers soon; it must not
+	// block.
 	TriggerGossip func()
 }
 
@@ -41,8 +43,8 @@
 	probes map[string]*probe
 	// quarantined are the requests that were last logged as quarantined.
 	quarantined map[ident.Fingerprint]bool
-	// unsaved are the requests whose rows have yet to be written to the store; saveRequested wakes the
-	// goroutine that writes them.
+	// unsaved are the requests whose rows have yet to be written to the store; saveRequested wakes
+	// the goroutine that writes them.
 	unsaved       map[ident.Fingerprint]bool
 	saveRequested chan struct{}
 }
@@ -56,7 +58,8 @@
 	}, cancel
 }
 
-// Interruption is a response of a target that was interrupted, or missing because the connection failed.
+// Interruption is a response of a target that was interrupted, or missing because the connection
+// failed.
 type Interruption struct {
 	// Request is the request's id, for the log.
 	Request     string
@@ -79,12 +82,12 @@
 	change := g.record.Served(g.Clock(), request)
 	g.updateQuarantine(request, change)
 	g.mu.Unlock()
-	g.spreadUrgent(change)
+	g.gossipIfUrgent(change)
 }
 
-// ReportInterrupted records an interrupted response and probes whether the target crashed. It waits for the probe only
-// if the request is already suspect and may be quarantined as a result, since that has to be known before
-// the request is sent again.
+// ReportInterrupted records an interrupted response and probes whether the target crashed. It waits
+// for the probe only if the request is already suspect and may be quarantined as a result, since
+// that has to be known before the request is sent again.
 func (g *Guard) ReportInterrupted(b Interruption) {
 	g.mu.Lock()
 	suspect := g.record.NearQuarantine(b.Fingerprint)
@@ -109,11 +112,11 @@
 	change := g.record.Crashed(g.Clock(), b.Fingerprint, start, b.Ran)
 	g.updateQuarantine(b.Fingerprint, change)
 	g.mu.Unlock()
-	g.spreadUrgent(change)
+	g.gossipIfUrgent(change)
 }
 
-// Outgoing returns the suspect requests for a gossip message to one peer of a fleet of the given number of
-// routers.
+// Outgoing returns the suspect requests for a gossip message to one peer of a fleet of the given
+// number of routers.
 func (g *Guard) Outgoing(routers int) []crash.Suspect {
 	g.mu.Lock()
 	defer g.mu.Unlock()
@@ -122,27 +125,27 @@
 
 // Incoming merges suspect requests received from a peer or read from the store.
 func (g *Guard) Incoming(list []crash.Suspect) {
-	strongest := crash.Nothing
+	highest := crash.Nothing
 	g.mu.Lock()
 	for _, s := range list {
 		change := g.record.Merge(g.Clock(), s)
 		g.updateQuarantine(s.Request, change)
-		strongest = max(strongest, change)
+		highest = max(highest, change)
 	}
 	g.mu.Unlock()
-	g.spreadUrgent(strongest)
+	g.gossipIfUrgent(highest)
 }
 
-// spreadUrgent requests early gossip for an urgent change.
-func (g *Guard) spreadUrgent(change crash.Urgency) {
+// gossipIfUrgent triggers gossip for an urgent change.
+func (g *Guard) gossipIfUrgent(change crash.Urgency) {
 	if change == crash.Urgent {
 		g.TriggerGossip()
 	}
 }
 
-// updateQuarantine logs the start and the end of a request's quarantine. If this router observed one of the
-// crashes itself, it also logs changes during the quarantine and has the request's row written. The caller
-// holds the lock.
+// updateQuarantine logs the start and the end of a request's quarantine. If this router observed
+// one of the crashes itself, it also logs changes during the quarantine and has the request's row
+// written. The caller holds the lock.
 func (g *Guard) updateQuarantine(request ident.Fingerprint, change crash.Urgency) {
 	if change == crash.Nothing {
 		return
--- a/internal/edge/relay/conn.go
+++ b/internal/edge/relay/conn.go
@@ -29,8 +29,8 @@
 	Matches func(http.Header) bool
 	// MaxIdleTime is the maximum idle time of a connection that is reused.
 	MaxIdleTime time.Duration
-	// MaxIdleConns is the maximum number of idle connections to the target; zero means the limit for all
-	// targets.
+	// MaxIdleConns is the maximum number of idle connections to the target; zero means the limit
+	// for all targets.
 	MaxIdleConns int
 }
 
@@ -228,7 +228,7 @@
 	maxForeignBodyBytes = 1 << 20
 )
 
-// readMatchingHead reads heads until one belongs to the request.
+// readMatchingHead reads heads until one is to the request.
 func (c *conn) readMatchingHead(e Exchange) (*http.Response, error) {
 	request := &http.Request{Method: e.Method}
 	for range maxForeignResponses + 1 {
--- a/internal/edge/route/permit.go
+++ b/internal/edge/route/permit.go
@@ -25,7 +25,7 @@
 	if skipHomes {
 		return r.placeWithoutHome(ctx, p, request, nil)
 	}
-	failedOver, sawUnknown := false, false
+	failedOver, hadUnknown := false, false
 	var holder ident.TargetHash
 	for {
 		step, ok := r.nextShard(p, &search)
@@ -38,7 +38,7 @@
 			failedOver = true
 			resp, placement, unknown, err = r.requestKnownTarget(ctx, p, step, request)
 		}
-		sawUnknown = sawUnknown || unknown
+		hadUnknown = hadUnknown || unknown
 		switch {
 		case err != nil:
 			return r.placeWithoutHome(ctx, p, request, err)
@@ -47,7 +47,7 @@
 			return placement, false, nil
 		case resp.Result == home.Moved:
 			return nil, true, nil
-		case step.MustPlace && sawUnknown && resp.Result != home.Shed:
+		case step.MustPlace && hadUnknown && resp.Result != home.Shed:
 			// A home that has other targets than this router cannot report whether this router's
 			// targets are free.
 			return r.placeWithoutHome(ctx, p, request, nil)
@@ -201,8 +201,8 @@
 	r.permit++
 	to = r.homeOf(id)
 	if m, moved := r.updateCountingHome(id, to); moved {
-		// Requests go to a home again that was skipped. It needs the permits that the standby has
-		// counted.
+		// A home that was skipped receives requests again. It needs the permits that the standby
+		// has counted.
 		r.self.AfterFunc(0, func() { r.Move(context.Background(), []Move{m}) })
 	}
 	released = r.pendingReleases[id]
@@ -256,8 +256,8 @@
 // updateShardLoads records the shard loads of a permit response.
 func (p *pool) updateShardLoads(now time.Time, shard ident.Shard, resp home.PermitResponse) {
 	p.state.UpdateShardLoad(now, place.ShardLoad{Shard: shard, Work: resp.Work})
-	for _, sum := range resp.ShardLoads {
-		p.state.UpdateShardLoad(now, sum)
+	for _, load := range resp.ShardLoads {
+		p.state.UpdateShardLoad(now, load)
 	}
 }
 
--- a/internal/edge/route/router.go
+++ b/internal/edge/route/router.go
@@ -20,8 +20,8 @@
 type Homes interface {
 	Place(ctx context.Context, home ident.Router, request home.PermitRequest, released []uint64) (home.PermitResponse, error)
 	Release(ctx context.Context, home ident.Router, id place.ShardID, released []uint64) error
-	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, upto uint64, from ident.Router) error
-	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, upto uint64) error
+	Sync(ctx context.Context, home ident.Router, id place.ShardID, held []place.Permit, maxID uint64, from ident.Router) error
+	Withdraw(ctx context.Context, home ident.Router, id place.ShardID, maxID uint64) error
 	Grant(ctx context.Context, home ident.Router, workspace ident.Workspace, want int) (int, time.Duration, error)
 }
 
@@ -185,7 +185,7 @@
 }
 
 // Set replaces the pools and the assignment of homes, and returns the shards whose home has
-// changed, for Move. The pool of the own region comes first among the pools of a service.
+// changed, for Move. The pool of the own region is the first among the pools of a service.
 func (r *Router) Set(pools []Pool, assigned *place.Assignment) []Move {
 	r.mu.Lock()
 	old := r.pools
@@ -202,7 +202,7 @@
 		r.pools[p.Service.Name] = list
 	}
 	r.assigned = assigned
-	r.removeGone(pools)
+	r.removeUnlisted(pools)
 	moved := r.movedShards()
 	r.mu.Unlock()
 	return moved
@@ -233,7 +233,7 @@
 	return known
 }
 
-// removeRestarted removes the state of targets that have restarted, which belongs to their earlier
+// removeRestarted removes the state of targets that have restarted, which is that of their earlier
 // incarnation. Requests of this router in flight there are counted until they end, since some of
 // them may have reached the new incarnation already. The caller holds the lock.
 func (r *Router) removeRestarted(pools []Pool) {
@@ -260,17 +260,18 @@
 	})
 }
 
-// removeGone removes the state of targets that are in no pool any more. The caller holds the lock.
-func (r *Router) removeGone(pools []Pool) {
-	gone := func(hash ident.TargetHash) bool {
+// removeUnlisted removes the state of targets that are in no pool any more. The caller holds the
+// lock.
+func (r *Router) removeUnlisted(pools []Pool) {
+	unlisted := func(hash ident.TargetHash) bool {
 		return !slices.ContainsFunc(pools, func(p Pool) bool { return p.has(hash) })
 	}
-	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return gone(hash) })
-	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return gone(hash) })
+	maps.DeleteFunc(r.breakers, func(hash ident.TargetHash, _ *retry.Breaker) bool { return unlisted(hash) })
+	maps.DeleteFunc(r.lastReceived, func(hash ident.TargetHash, _ time.Time) bool { return unlisted(hash) })
 	r.removeExpiredBackoffs()
 	r.removeStaleLeaving()
 	for id, unsentFailures := range r.unsentFailures {
-		if slices.ContainsFunc(unsentFailures, gone) {
+		if slices.ContainsFunc(unsentFailures, unlisted) {
 			// The remaining targets may be in another shard by now, too.
 			delete(r.unsentFailures, id)
 		}
--- a/internal/rule/crash/model_test.go
+++ b/internal/rule/crash/model_test.go
@@ -35,7 +35,7 @@
 
 type modelEngine struct {
 	incarnation ident.Incarnation
-	back        time.Time
+	runsAgainAt time.Time
 	running     []*modelRun
 }
 
@@ -90,7 +90,7 @@
 	}
 	at := m.rng.IntN(modelEngines)
 	for range modelEngines {
-		if !m.engines[at].back.After(m.now) {
+		if !m.engines[at].runsAgainAt.After(m.now) {
 			break
 		}
 		at = (at + 1) % modelEngines
@@ -109,7 +109,7 @@
 	e := &m.engines[at]
 	interrupted := e.running
 	e.running = nil
-	e.back = m.now.Add(modelRestartTime)
+	e.runsAgainAt = m.now.Add(modelRestartTime)
 	start := NewStart(ident.TargetHash(at), e.incarnation)
 	e.incarnation++
 	for _, run := range interrupted {
@@ -138,7 +138,7 @@
 	}
 }
 
-// exchange lets two routers exchange their suspects.
+// exchange merges the suspects of two routers into each other.
 func (m *model) exchange(a, b int) {
 	for _, s := range m.routers[a].Outgoing(m.now, modelRouters) {
 		m.noteUrgency(b, m.routers[b].Merge(m.now, s))
--- a/internal/rule/place/health.go
+++ b/internal/rule/place/health.go
@@ -32,7 +32,7 @@
 	// at is the time to which the counts have decayed.
 	at time.Time
 	// edge reported the latest failure. multiple is set once another edge router reported one too:
-	// failures seen by a single edge router may be caused by its own link.
+	// failures observed by a single edge router may be caused by its own link.
 	edge     ident.Router
 	multiple bool
 	// until is when the engine receives new requests again. blockTime is the length of the block.
@@ -174,8 +174,8 @@
 	}
 }
 
-// RecordFailures counts the failed requests of an edge router, one for each listed engine, and returns the
-// engines that are blocked from now on.
+// RecordFailures counts the failed requests of an edge router, one for each listed engine, and
+// returns the engines that are blocked from now on.
 func (h *Home) RecordFailures(now time.Time, edge ident.Router, zone ident.Zone, engines []ident.TargetHash) []ident.TargetHash {
 	var blocked []ident.TargetHash
 	for _, engine := range engines {
