--- a/spec/claim.pml
+++ b/spec/claim.pml
@@ -14,7 +14,7 @@
 #define TRIES 2
 
 mtype = { none, sent, done, released };
-mtype = { unsaid, not_run, unknown, finished };
+mtype = { undecided, not_run, unknown, finished };
 
 mtype state = none;     /* of the claim's row */
 byte owner = 0;         /* attempt that wrote the row */
@@ -23,7 +23,7 @@
 byte attempts = 0;
 bool ran[8];            /* indexed by attempt */
 
-inline commit(ok, lost, mine, seen, want) {
+inline commit(ok, lost, mine, seen, newState) {
   atomic {
     ok = false; lost = false;
 #ifdef NO_CHECK
@@ -33,7 +33,7 @@
     if
     :: version == seen
 #endif
-       -> state = want; owner = mine; version++; ok = true;
+       -> state = newState; owner = mine; version++; ok = true;
           if :: true :: lost = true fi
     :: else
     fi
@@ -45,7 +45,7 @@
   mtype row;
   byte rowOwner;
   bool ok, lost, held;
-  mtype told;
+  mtype outcome;
 
 again:
   if
@@ -53,7 +53,7 @@
   :: else -> tries++
   fi;
   atomic { attempts++; mine = attempts };
-  held = false; told = unsaid; seen = 0;
+  held = false; outcome = undecided; seen = 0;
 
 begin:
   commit(ok, lost, mine, seen, sent);
@@ -62,7 +62,7 @@
   :: else
   fi;
   if
-  :: told = not_run; goto tell           /* abort: nothing was sent or will be */
+  :: outcome = not_run; goto respond           /* abort: nothing was sent or will be */
   :: skip
   fi;
   /* the response was lost or another attempt holds the claim: read the row */
@@ -71,15 +71,15 @@
   :: rowOwner == mine && row == sent -> held = true
   :: row == none -> seen = 0; goto begin
   :: row == released -> goto begin
-  :: row == done -> told = finished; goto tell
+  :: row == done -> outcome = finished; goto respond
   :: row == sent && rowOwner != mine ->
 #ifdef TAKEOVER
      if
      :: held = true                     /* assumes that the other claim has expired */
-     :: told = unknown; goto tell
+     :: outcome = unknown; goto respond
      fi
 #else
-     told = unknown; goto tell
+     outcome = unknown; goto respond
 #endif
   fi;
 
@@ -87,36 +87,36 @@
   if
   :: goto end                            /* crash: the row stays in state sent */
   :: skip                                /* send */
-  :: told = not_run; goto release        /* the target is unreachable */
+  :: outcome = not_run; goto release        /* the target is unreachable */
   fi;
 
 send:
   atomic { runs++; ran[mine] = true };
   if
   :: skip                                /* the target answered */
-     commit(ok, lost, mine, seen, done); told = finished
-  :: told = unknown                      /* the answer was lost */
+     commit(ok, lost, mine, seen, done); outcome = finished
+  :: outcome = unknown                      /* the answer was lost */
 #ifdef RESEND
   :: goto send
 #endif
 #ifdef RELEASE_SENT
-  :: told = unknown; goto release
+  :: outcome = unknown; goto release
 #endif
   :: goto end                            /* crash */
   fi;
-  goto tell;
+  goto respond;
 
 release:
   commit(ok, lost, mine, seen, released);
 
-tell:
-  assert(told != not_run || !ran[mine]);
+respond:
+  assert(outcome != not_run || !ran[mine]);
   if
   :: goto again                          /* the caller retries */
   :: skip
   fi;
 end:
-  assert(told != not_run || !ran[mine]);
+  assert(outcome != not_run || !ran[mine]);
   assert(runs <= 1)
 }
 
--- a/spec/config.pml
+++ b/spec/config.pml
@@ -76,22 +76,22 @@
 }
 
 proctype Router(byte me) {
-  byte heard, from;
+  byte received, from;
   do
   :: /* poll the store: a read may be stale */
      atomic {
        if
-       :: heard = head
-       :: heard = 0
-       :: head > 0 -> heard = head - 1
+       :: received = head
+       :: received = 0
+       :: head > 0 -> received = head - 1
        fi
      };
      atomic {
 #ifdef LOWER
-       inForce[me] = heard;
+       inForce[me] = received;
 #else
        if
-       :: heard > inForce[me] -> inForce[me] = heard
+       :: received > inForce[me] -> inForce[me] = received
        :: else
        fi;
 #endif
@@ -100,9 +100,9 @@
   :: /* receive from a peer */
      from = (me + 1) % ROUTERS;
      atomic {
-       heard = inForce[from];
+       received = inForce[from];
        if
-       :: heard > inForce[me] -> inForce[me] = heard
+       :: received > inForce[me] -> inForce[me] = received
        :: else
        fi;
        checkAll()
@@ -118,10 +118,10 @@
 #ifndef UNANNOUNCED
         known[me] = true;
 #endif
-        atomic { ready[from] -> heard = inForce[from] };
+        atomic { ready[from] -> received = inForce[from] };
         atomic {
           if
-          :: heard > inForce[me] -> inForce[me] = heard
+          :: received > inForce[me] -> inForce[me] = received
           :: else
           fi
         };
--- a/spec/lease.pml
+++ b/spec/lease.pml
@@ -19,13 +19,13 @@
 byte takenBy[16];              /* holder of each epoch */
 byte seenEpoch = 0;            /* highest epoch that the checking target has accepted */
 byte lastRun = 0;              /* epoch of the last order that it executed */
-byte wanted = 1;               /* the recorded desired state; changes once */
+byte desired = 1;               /* the recorded desired state; changes once */
 byte plain = 0;                /* state of the target that does not check epochs */
 bool settled = false;
 byte finished = 0;
 
 proctype Holder(byte me) {
-  byte epoch = 0, version, holder, old, order, steps = 0;
+  byte epoch = 0, version, holder, old, value, steps = 0;
   bool ok;
   do
   :: steps < STEPS ->
@@ -33,12 +33,12 @@
      /* take or renew the lease; the other's lease may or may not have expired */
      atomic { version = rowVersion; holder = rowHolder; old = rowEpoch };
      if
-     :: holder == me -> order = old
+     :: holder == me -> value = old
      :: holder != me ->
 #ifdef NO_BUMP
-        order = (old == 0 -> 1 : old)
+        value = (old == 0 -> 1 : old)
 #else
-        order = old + 1
+        value = old + 1
 #endif
      fi;
      atomic {
@@ -50,14 +50,14 @@
        if
        :: rowVersion == version
 #endif
-          -> rowVersion++; rowHolder = me; rowEpoch = order; ok = true;
-             assert(takenBy[order] == 0 || takenBy[order] == me);
-             takenBy[order] = me
+          -> rowVersion++; rowHolder = me; rowEpoch = value; ok = true;
+             assert(takenBy[value] == 0 || takenBy[value] == me);
+             takenBy[value] = me
        :: else
        fi
      };
      if
-     :: ok -> epoch = order              /* the response arrived */
+     :: ok -> epoch = value              /* the response arrived */
      :: true                             /* it was lost: the next step reads the row */
      fi;
      /* an order under this holder's epoch, which may be outdated */
@@ -77,8 +77,8 @@
           :: else
           fi
         };
-        atomic { order = wanted };
-        plain = order                    /* late: the desired state may have changed */
+        atomic { value = desired };
+        plain = value                    /* late: the desired state may have changed */
      :: else
      fi
   :: steps == STEPS -> break
@@ -86,22 +86,22 @@
   finished++
 }
 
-proctype Wish() {
-  wanted = 2
+proctype ChangeDesired() {
+  desired = 2
 }
 
 /* Models the final lease holder, which sends orders until the reported state matches. */
-proctype Settler() {
-  finished == HOLDERS && wanted == 2;
+proctype Reconciler() {
+  finished == HOLDERS && desired == 2;
 #ifndef ONCE
   do
-  :: plain != wanted -> plain = wanted
+  :: plain != desired -> plain = desired
   :: else -> break
   od;
 #endif
-  assert(plain == wanted)
+  assert(plain == desired)
 }
 
 init {
-  atomic { run Holder(1); run Holder(2); run Wish(); run Settler() }
+  atomic { run Holder(1); run Holder(2); run ChangeDesired(); run Reconciler() }
 }
