--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -99,20 +99,20 @@
 		total += p.bytes
 		rows = append(rows, row{Case: s.name, Strategy: p.name, Routers: s.routers, Engines: s.engines, ControlBytes: p.bytes})
 	}
-	busiest := s.busiestHome()
+	maxShards := s.maxShardsPerHome()
 	rows = append(rows, row{
 		Case: s.name, Strategy: "permits at the busiest home", Routers: s.routers, Engines: s.engines,
 		// Of the bytes of a permit the home sends the response, about two fifths.
-		ControlBytes: perRouter * asksPerRequest * link.bytes * (3 + 2*float64(busiest)/max(shards, 0.01)) / 5,
-		Note:         fmt.Sprintf("it has %d of %d shards", busiest, s.shards),
+		ControlBytes: perRouter * asksPerRequest * link.bytes * (3 + 2*float64(maxShards)/max(shards, 0.01)) / 5,
+		Note:         fmt.Sprintf("it has %d of %d shards", maxShards, s.shards),
 	})
 	note := fmt.Sprintf("digest %d bytes, exchange %.0f bytes and %.0f us of processor, permit and its return %.0f bytes and %.0f us, both sides",
 		digest, exchange, exchangeCPU, link.bytes, link.micros)
 	return append(rows, row{Case: s.name, Strategy: "all", Routers: s.routers, Engines: s.engines, ControlBytes: total, Note: note})
 }
 
-// busiestHome returns the maximum number of shards that one router is home of.
-func (s fleetShape) busiestHome() int {
+// maxShardsPerHome returns the maximum number of shards that one router is home of.
+func (s fleetShape) maxShardsPerHome() int {
 	var routers []ident.Router
 	for i := range s.regionRouters {
 		routers = append(routers, ident.Router(fmt.Sprintf("router-%03d", i)))
@@ -331,9 +331,9 @@
 	remote, closeRemote := home.NewRemote(home.Edge{ID: "router-edge", Zone: "zone-a", Base: base}, nil, fixedClient{client}, 5*time.Second)
 	defer closeRemote()
 	id := place.ShardID{Pool: pool}
-	var sums []place.ShardLoad
+	var loads []place.ShardLoad
 	for i := 1; i < min(shards, 5); i++ {
-		sums = append(sums, place.ShardLoad{Shard: ident.Shard(i), Age: 400 * time.Millisecond, Work: 105_000})
+		loads = append(loads, place.ShardLoad{Shard: ident.Shard(i), Age: 400 * time.Millisecond, Work: 105_000})
 	}
 	const firstPermit = base + 1_000_000
 	var c linkCosts
@@ -343,7 +343,7 @@
 			Request: place.Request{
 				Edge: "router-edge", Permit: permit, Key: ident.ChatKey(ident.Mix(uint64(i), 2)), Work: ident.OneRequest, Zone: "zone-a",
 			},
-			Shard: id, Workspace: "workspace-17", Weight: 1, Priority: 5, ShardLoads: sums,
+			Shard: id, Workspace: "workspace-17", Weight: 1, Priority: 5, ShardLoads: loads,
 		}, nil)
 		if err != nil {
 			panic(err)
--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -333,17 +333,17 @@
 }
 
 // Place requests a permit from a home.
-func (n network) Place(ctx context.Context, to ident.Router, ask home.PermitRequest, released []uint64) (home.PermitResponse, error) {
+func (n network) Place(ctx context.Context, to ident.Router, req home.PermitRequest, released []uint64) (home.PermitResponse, error) {
 	node := n.h.node(to)
 	if node == nil {
 		return home.PermitResponse{}, fault.New("measure.Place", home.Unreachable, nil)
 	}
-	answer := node.homes.Place(ctx, ask, released)
-	if to != ask.Edge {
+	resp := node.homes.Place(ctx, req, released)
+	if to != req.Edge {
 		// A request and its response are two messages.
-		n.h.countMessage(home.PermitExchangeSize(ask, released, answer) + messageOverhead)
+		n.h.countMessage(home.PermitExchangeSize(req, released, resp) + messageOverhead)
 	}
-	return answer, nil
+	return resp, nil
 }
 
 // Release releases permits at their home.
--- a/internal/oper/mesh/loop.go
+++ b/internal/oper/mesh/loop.go
@@ -29,7 +29,7 @@
 func (m *Mesh) Run(ctx context.Context) {
 	var wg sync.WaitGroup
 	defer wg.Wait()
-	wg.Go(func() { runOnSignal(ctx, m.updateDue, updateDelay, updateInterval, m.updateAndRest) })
+	wg.Go(func() { runOnSignal(ctx, m.updateDue, updateDelay, updateInterval, m.updateAndPause) })
 	wg.Go(func() { runOnSignal(ctx, m.reassignDue, 0, updateInterval, m.reassign) })
 	wg.Go(func() { RunEvery(ctx, reconcileInterval, m.reconcile) })
 	wg.Go(func() { runOnSignal(ctx, m.Homes.Urgent(), publishDelay, publishInterval, m.publish) })
@@ -43,21 +43,21 @@
 }
 
 const (
-	// updateRestFactor is the ratio of the pause after an update to the update's duration. While a
+	// updatePauseFactor is the ratio of the pause after an update to the update's duration. While a
 	// fleet starts, every gossip exchange contains a change, and each change reassigns homes.
 	// Without the pause that takes most of the CPU time of a small box.
-	updateRestFactor = 9
-	// maxUpdateRest limits the pause: a leaving target must take effect within two seconds.
-	maxUpdateRest = 400 * time.Millisecond
+	updatePauseFactor = 9
+	// maxUpdatePause limits the pause: a leaving target must take effect within two seconds.
+	maxUpdatePause = 400 * time.Millisecond
 )
 
-// updateAndRest updates pools and homes, triggers the loop for work that calls other routers, and
+// updateAndPause updates pools and homes, triggers the loop for work that calls other routers, and
 // pauses.
-func (m *Mesh) updateAndRest(ctx context.Context) {
+func (m *Mesh) updateAndPause(ctx context.Context) {
 	start := time.Now()
 	m.Update()
 	trigger(m.reassignDue)
-	pause.Sleep(ctx, min(updateRestFactor*time.Since(start), maxUpdateRest))
+	pause.Sleep(ctx, min(updatePauseFactor*time.Since(start), maxUpdatePause))
 }
 
 // trigger requests another round of a loop unless one is already pending.
--- a/internal/oper/mesh/reassign.go
+++ b/internal/oper/mesh/reassign.go
@@ -25,12 +25,12 @@
 	m.updateMu.Unlock()
 	m.Router.Move(ctx, movedPermits)
 	m.handOff(ctx, m.Set().Live)
-	m.forwardRegrouped(ctx, m.Set().Live)
+	m.forwardResharded(ctx, m.Set().Live)
 }
 
-// forwardRegrouped hands off the cache holders of prompt prefixes in pools whose shards have
+// forwardResharded hands off the cache holders of prompt prefixes in pools whose shards have
 // changed.
-func (m *Mesh) forwardRegrouped(ctx context.Context, live *place.Assignment) {
+func (m *Mesh) forwardResharded(ctx context.Context, live *place.Assignment) {
 	for _, p := range m.Homes.TakeResharded() {
 		p.To = live.Home(p.ID)
 		if p.To == m.Self.ID {
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -39,8 +39,8 @@
 // build creates the parts and connects them.
 func (n *Node) build() {
 	s := n.settings.Load()
-	n.board = feed.NewBoard(n.Logger, n.Clock)
-	n.board.OnRestored(func(table.Era) {
+	n.replicas = feed.NewBoard(n.Logger, n.Clock)
+	n.replicas.OnRestored(func(table.Era) {
 		select {
 		case n.storeRestored <- struct{}{}:
 		default:
@@ -56,7 +56,7 @@
 	n.buildMesh(s)
 	n.followTables()
 	n.buildEntry(s)
-	n.puller = feed.NewPuller(n.board, peerRows{n}, n.followedTables(), feed.DefaultTiming, n.roles, n.Logger, n.Clock)
+	n.puller = feed.NewPuller(n.replicas, peerRows{n}, n.followedTables(), feed.DefaultTiming, n.roles, n.Logger, n.Clock)
 	// Routers that are listed in the store can be contacted at once.
 	n.updateRouters()
 }
--- a/internal/oper/node/members.go
+++ b/internal/oper/node/members.go
@@ -172,7 +172,7 @@
 // have been rewritten since. Otherwise each starting router would assume that those routers are
 // live.
 func (n *Node) removeDead(ctx context.Context, rows []table.Row) {
-	for _, row := range n.longDead(rows) {
+	for _, row := range n.expiredRows(rows) {
 		txn := table.Txn{
 			Checks: []table.Check{{Table: row.Table, Key: row.Key, Version: row.Version}},
 			Puts:   []table.Put{{Table: row.Table, Key: row.Key, Delete: true}},
@@ -182,9 +182,9 @@
 	}
 }
 
-// longDead returns the rows of this zone's routers that were dead at minDeadReadings consecutive
+// expiredRows returns the rows of this zone's routers that were dead at minDeadReadings consecutive
 // reads.
-func (n *Node) longDead(rows []table.Row) []table.Row {
+func (n *Node) expiredRows(rows []table.Row) []table.Row {
 	var out []table.Row
 	deadReadings := map[table.Key]int{}
 	for _, row := range rows {
--- a/internal/oper/node/node.go
+++ b/internal/oper/node/node.go
@@ -23,11 +23,11 @@
 type Node struct {
 	Parts
 	settings atomic.Pointer[Settings]
-	// board holds replicas of the store's tables, state their decoded contents, and roles the
+	// replicas contains copies of the store's tables, state their decoded contents, and roles the
 	// source that they are read from.
-	board *feed.Replicas
-	state *state
-	roles *feed.Roles
+	replicas *feed.Replicas
+	state    *state
+	roles    *feed.Roles
 	// puller reads the tables from peers.
 	puller *feed.Puller
 	// storeRestored signals a store rollback, after which rows that the store may have lost are
--- a/internal/oper/node/node_test.go
+++ b/internal/oper/node/node_test.go
@@ -104,13 +104,13 @@
 	rows := []table.Row{{Key: "dead", Version: 7}, {Key: "elsewhere"}, {Key: "live"}, {Key: "unknown"}}
 	var got [][]table.Row
 	for range minDeadReadings {
-		got = append(got, n.longDead(rows))
+		got = append(got, n.expiredRows(rows))
 	}
 	if diff := cmp.Diff([][]table.Row{nil, nil, nil, {{Key: "dead", Version: 7}}}, got); diff != "" {
 		t.Error(diff)
 	}
-	n.longDead(nil)
-	if diff := cmp.Diff(0, len(n.longDead(rows))); diff != "" {
+	n.expiredRows(nil)
+	if diff := cmp.Diff(0, len(n.expiredRows(rows))); diff != "" {
 		t.Errorf("after a read without the row: %s", diff)
 	}
 }
--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -20,8 +20,8 @@
 
 // newPeerService returns a service with a table of the given number of rows.
 func newPeerService(rows int) *peerService {
-	board := feed.NewBoard(log.NewNopLogger(), time.Now)
-	board.AddTable(packedTable, feed.Rules{}, nil)
+	replicas := feed.NewBoard(log.NewNopLogger(), time.Now)
+	replicas.AddTable(packedTable, feed.Rules{}, nil)
 	page := table.Page{At: table.Position{Version: table.Version(rows)}, Full: true}
 	for i := range rows {
 		page.Rows = append(page.Rows, table.Row{
@@ -29,8 +29,8 @@
 			Value: fmt.Appendf(nil, `{"Service":"s","Addr":"10.1.%d.%d:8361","Zone":"zone-a","Version":"v1","Slots":16,"State":"ready"}`, i/250, i%250),
 		})
 	}
-	board.Apply(packedTable, table.Position{}, page)
-	return &peerService{board: board, packCache: newPackCache()}
+	replicas.Apply(packedTable, table.Position{}, page)
+	return &peerService{replicas: replicas, packCache: newPackCache()}
 }
 
 // fetch returns the page that a router without a copy receives.
@@ -69,7 +69,7 @@
 		t.Error(diff)
 	}
 	changed := table.Row{Table: packedTable, Key: "i-00000007", Version: rows + 1, Value: []byte("other")}
-	p.board.Apply(packedTable, table.Position{Version: rows}, table.Page{At: table.Position{Version: rows + 1}, Rows: []table.Row{changed}})
+	p.replicas.Apply(packedTable, table.Position{Version: rows}, table.Page{At: table.Position{Version: rows + 1}, Rows: []table.Row{changed}})
 	after := sortedRows(t, p.fetch(t, true))
 	if diff := gocmp.Diff(sortedRows(t, p.fetch(t, false)), after); diff != "" || string(after[7].Value) != "other" {
 		t.Errorf("after a change: %q, %s", after[7].Value, diff)
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -20,7 +20,7 @@
 type peerService struct {
 	*home.Server
 	peers     *peer.Node
-	board     *feed.Replicas
+	replicas  *feed.Replicas
 	packCache *packCache
 }
 
@@ -40,10 +40,10 @@
 
 // Rows returns the row changes of this router's replicas.
 func (p *peerService) Rows(ctx context.Context, req *connect.Request[peerpb.RowsRequest]) (*connect.Response[peerpb.RowsReply], error) {
-	p.board.Wait(ctx, waitPositions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
+	p.replicas.Wait(ctx, waitPositions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
 	reply := &peerpb.RowsReply{}
 	for _, s := range req.Msg.GetTables() {
-		page, known := p.board.Since(decodeState(s))
+		page, known := p.replicas.Since(decodeState(s))
 		if !known {
 			continue
 		}
--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -185,7 +185,7 @@
 	return ro != nil && r.state(ro) == canary.Active
 }
 
-// Choose implements entry.Trials.
+// Choose implements entry.Canaries.
 func (r *rollouts) Choose(service ident.Service) ident.Service {
 	if !r.enabled() {
 		return service
@@ -203,7 +203,7 @@
 	return service
 }
 
-// RecordSent implements entry.Trials.
+// RecordSent implements entry.Canaries.
 func (r *rollouts) RecordSent(service, as ident.Service) {
 	if !r.enabled() {
 		return
@@ -215,7 +215,7 @@
 	}
 }
 
-// Finished implements entry.Trials.
+// Finished implements entry.Canaries.
 func (r *rollouts) Finished(service, as ident.Service, route match.RouteName, ok bool, took time.Duration) {
 	if !r.enabled() {
 		return
@@ -262,7 +262,7 @@
 	return true
 }
 
-// Reports implements peer.Trials. It returns this router's evidence, and that of peers in rotation.
+// Reports implements peer.CanaryReports. It returns this router's evidence, and that of peers in rotation.
 func (r *rollouts) Reports() []canary.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -286,7 +286,7 @@
 	return own
 }
 
-// MergeReports implements peer.Trials. Evidence only grows, so the report with more answers is the later
+// MergeReports implements peer.CanaryReports. Evidence only grows, so the report with more answers is the later
 // one.
 func (r *rollouts) MergeReports(reports []canary.Report) {
 	r.mu.Lock()
@@ -334,7 +334,7 @@
 // writeVerdicts writes the verdicts on rollouts to the store. Every reader of the store may do so:
 // the check of the row's version accepts only one of them.
 func (n *Node) writeVerdicts(ctx context.Context) {
-	if _, known := n.board.Position(n.Rows.StatusTable()); !known || !n.isStoreReader() {
+	if _, known := n.replicas.Position(n.Rows.StatusTable()); !known || !n.isStoreReader() {
 		return
 	}
 	for _, v := range n.rollouts.verdicts() {
--- a/internal/oper/node/rules.go
+++ b/internal/oper/node/rules.go
@@ -22,7 +22,7 @@
 
 // Fresh reports whether the store confirmed the configuration recently.
 func (n *Node) Fresh() bool {
-	age, known := n.board.Age(n.Rows.ConfigTable())
+	age, known := n.replicas.Age(n.Rows.ConfigTable())
 	return known && age <= maxConfigAge
 }
 
--- a/internal/oper/node/servers.go
+++ b/internal/oper/node/servers.go
@@ -20,7 +20,7 @@
 	// maxHeaderBytes limits the size of a request's header. It is four times what configurations
 	// allow.
 	maxHeaderBytes = 64 << 10
-	// minCompressBytes is the minimum size of a response to a peer that is compressed. Whole tables
+	// minCompressBytes is the minimum size of a response to a peer that is compressed. Full tables
 	// are compressed; changes and permits are not worth the processor time.
 	minCompressBytes = 16 << 10
 )
@@ -56,7 +56,7 @@
 func (n *Node) peerServer() *http.Server {
 	mux := http.NewServeMux()
 	anyRouter := func(context.Context) ident.Router { return "" }
-	service := &peerService{Server: home.NewServer(n.homes, anyRouter), peers: n.peers, board: n.board, packCache: newPackCache()}
+	service := &peerService{Server: home.NewServer(n.homes, anyRouter), peers: n.peers, replicas: n.replicas, packCache: newPackCache()}
 	mux.Handle(peerpb.NewPeerServiceHandler(service, connect.WithCompressMinBytes(minCompressBytes)))
 	mux.Handle("GET /metrics", n.metrics.Handler())
 	protocols := &http.Protocols{}
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -36,7 +36,7 @@
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
-	// CallerAddr, Ready and Peers are the listen addresses for callers, for the readiness check, and
+	// CallerAddr, ReadyAddr and PeerAddr are the listen addresses for callers, for the readiness check, and
 	// for peers and metrics.
 	CallerAddr string
 	ReadyAddr  string
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -91,7 +91,7 @@
 // older configuration, and only peers have the current one.
 const peerConfirmTimeout = 300 * time.Millisecond
 
-// becomeReady waits until configuration and targets are known. It also reads the store once the
+// becomeReady waits until configuration and targets are loaded. It also reads the store once the
 // readers' head start is over, and queries peers once peerFallbackDelay is over.
 func (n *Node) becomeReady(ctx context.Context) {
 	defer n.roles.SetAlsoStore(false)
@@ -99,12 +99,12 @@
 	defer n.roles.SetConsulting(false)
 	storeFallbackAt := n.Clock().Add(n.headStart())
 	peerFallbackAt := n.Clock().Add(peerFallbackDelay)
-	var tablesKnown time.Time
+	var tablesLoaded time.Time
 	for ctx.Err() == nil {
-		if tablesKnown.IsZero() && n.tablesKnown() {
-			tablesKnown = n.Clock()
+		if tablesLoaded.IsZero() && n.tablesLoaded() {
+			tablesLoaded = n.Clock()
 		}
-		if !tablesKnown.IsZero() && n.peersConsulted(tablesKnown) {
+		if !tablesLoaded.IsZero() && n.peersConsulted(tablesLoaded) {
 			n.mesh.Update()
 			n.ready.Store(true)
 			_ = level.Info(n.Logger).Log("msg", "ready", "revision", n.Table().Revision)
@@ -120,9 +120,9 @@
 	}
 }
 
-// tablesKnown reports whether configuration and targets are known.
-func (n *Node) tablesKnown() bool {
-	_, targets := n.board.Position(n.Rows.TargetTable())
+// tablesLoaded reports whether configuration and targets are loaded.
+func (n *Node) tablesLoaded() bool {
+	_, targets := n.replicas.Position(n.Rows.TargetTable())
 	return n.state.inForce.Load() != nil && targets
 }
 
--- a/internal/oper/node/tables.go
+++ b/internal/oper/node/tables.go
@@ -18,7 +18,7 @@
 func (n *Node) followTables() {
 	n.followRouters()
 	revision := func(row table.Row) uint64 { return uint64(n.Rows.Revision(row)) }
-	n.board.AddTable(n.Rows.ConfigTable(), feed.Rules{Rank: revision, MissingRowTTL: lostConfigTTL, NotifyRewrites: true}, func(change feed.Change) {
+	n.replicas.AddTable(n.Rows.ConfigTable(), feed.Rules{Rank: revision, MissingRowTTL: lostConfigTTL, NotifyRewrites: true}, func(change feed.Change) {
 		rows := change.All()
 		n.state.setConfig(rows)
 		n.state.setClosed(rows)
@@ -28,7 +28,7 @@
 		n.peers.UpdateView(func(v *peer.View) { v.RaiseHead(n.state.revision()) })
 		n.mesh.RequestUpdate()
 	})
-	n.board.AddTable(n.Rows.TargetTable(), feed.Rules{MissingRowTTL: feed.RemovalGracePeriod}, func(change feed.Change) {
+	n.replicas.AddTable(n.Rows.TargetTable(), feed.Rules{MissingRowTTL: feed.RemovalGracePeriod}, func(change feed.Change) {
 		update, restarted := n.state.updateTargets(change)
 		for _, addr := range restarted {
 			n.conns.CloseIdle(addr)
@@ -43,7 +43,7 @@
 
 // followStatuses follows the statuses of rollouts.
 func (n *Node) followStatuses() {
-	n.board.AddTable(n.Rows.StatusTable(), feed.Rules{MissingRowTTL: lostConfigTTL}, func(change feed.Change) {
+	n.replicas.AddTable(n.Rows.StatusTable(), feed.Rules{MissingRowTTL: lostConfigTTL}, func(change feed.Change) {
 		statuses := map[ident.Service]statusRow{}
 		for _, row := range change.Rows {
 			if s, found := n.Rows.Status(row); found {
@@ -65,7 +65,7 @@
 // start together therefore discover each other at once, with one read of the table per zone. Gossip
 // reports which of them are live.
 func (n *Node) followRouters() {
-	n.board.AddTable(routerTable, feed.Rules{MissingRowTTL: lostConfigTTL}, func(change feed.Change) {
+	n.replicas.AddTable(routerTable, feed.Rules{MissingRowTTL: lostConfigTTL}, func(change feed.Change) {
 		list := n.state.decodeRouters(change.Rows)
 		n.peers.UpdateView(func(v *peer.View) { v.ObserveRouters(n.Clock(), list) })
 	})
@@ -88,5 +88,5 @@
 // follower returns the follower of one table.
 func (n *Node) follower(name table.Name) *feed.Follower {
 	seed := uint64(n.self.ID.Hash())
-	return feed.NewFollower(n.board, n.Store, name, feed.DefaultTiming, n.roles, n.Logger, seed)
+	return feed.NewFollower(n.replicas, n.Store, name, feed.DefaultTiming, n.roles, n.Logger, seed)
 }
--- a/internal/share/claim/claim.go
+++ b/internal/share/claim/claim.go
@@ -21,7 +21,7 @@
 	// Unavailable means that no claim could be made. The request did not run.
 	Unavailable Kind = "unavailable"
 	// Restored means that the store was restored from an older snapshot and may lack claims for up
-	// to Settling. The request did not run.
+	// to RestoreDelay. The request did not run.
 	Restored Kind = "restored"
 	// Running means that another attempt holds the claim and may have run.
 	Running Kind = "running"
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -41,7 +41,7 @@
 }
 
 // rewriteWorkers is the number of claims rewritten concurrently. Some hundred claims, each taking
-// milliseconds, must be rewritten within Settling.
+// milliseconds, must be rewritten within RestoreDelay.
 const rewriteWorkers = 16
 
 // rewriteClaims rewrites a list of claims one by one.
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -57,7 +57,7 @@
 		pause.Sleep(t.Context(), claim.RestoreDelay)
 		ticket, got, kind := begin(second, time.Second)
 		if ticket != nil || got == nil {
-			t.Fatalf("second router after the settling time: got ticket %v and kind %q, want the answer", ticket, kind)
+			t.Fatalf("second router after the restore delay: got ticket %v and kind %q, want the answer", ticket, kind)
 		}
 		if diff := cmp.Diff(want, *got); diff != "" {
 			t.Error(diff)
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -289,7 +289,7 @@
 // Guards against a starting router that is ready without a configuration in force. This happens if
 // it counts as initialized after reading the head revision but before installing the changes up to
 // it, and a concurrent check lets it accept requests.
-func TestSeenOnlyAfterInstall(t *testing.T) {
+func TestInitializedOnlyAfterInstall(t *testing.T) {
 	s := store.New()
 	p := &peers{routers: map[ident.Router]*router{}}
 	newRouter(s, p, "a").record(t, "one", 1)
@@ -300,6 +300,6 @@
 		t.Fatal(err)
 	}
 	if early || !late.follower.Initialized() {
-		t.Errorf("Seen before the install: %v, after it: %v; want false, true", early, late.follower.Initialized())
+		t.Errorf("Initialized before the install: %v, after it: %v; want false, true", early, late.follower.Initialized())
 	}
 }
--- a/internal/share/feed/board.go
+++ b/internal/share/feed/board.go
@@ -25,13 +25,13 @@
 	onRestored func(table.Era)
 }
 
-// NewBoard returns a board without tables.
+// NewBoard returns Replicas without tables.
 func NewBoard(logger log.Logger, clock ident.Clock) *Replicas {
 	return &Replicas{clock: clock, logger: logger, replicas: map[table.Name]*replica{}, rowsChanged: make(chan struct{})}
 }
 
 // OnRestored sets the function that is called when a replica moves to a later era. The function must
-// not block or call the board. It must be set before the first page is applied.
+// not block or call the Replicas. It must be set before the first page is applied.
 func (b *Replicas) OnRestored(onRestored func(table.Era)) { b.onRestored = onRestored }
 
 // Change contains the differences between two states of a table's effective rows.
@@ -50,7 +50,7 @@
 func (c Change) All() []table.Row { return c.source.effectiveRows() }
 
 // AddTable adds a table. The changed callback is called in order after each change of effective rows,
-// and must not call the board.
+// and must not call the Replicas.
 func (b *Replicas) AddTable(name table.Name, rules Rules, changed func(Change)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/share/feed/board_test.go
+++ b/internal/share/feed/board_test.go
@@ -15,9 +15,9 @@
 
 const tableName table.Name = "targets"
 
-// testBoard returns a board with one table, its adjustable clock, and the effective keys after the
+// testReplicas returns Replicas with one table, its adjustable clock, and the effective keys after the
 // latest change.
-func testBoard() (*Replicas, *time.Time, *[]table.Key) {
+func testReplicas() (*Replicas, *time.Time, *[]table.Key) {
 	now := time.Unix(1000, 0)
 	keys := &[]table.Key{}
 	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
@@ -50,7 +50,7 @@
 }
 
 func TestReplicaRejectsOlderPages(t *testing.T) {
-	b, _, keys := testBoard()
+	b, _, keys := testReplicas()
 	b.Apply(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5)))
 	if b.Apply(tableName, pos(0), fullPage(4, row("a", 3))) {
 		t.Error("an older full snapshot is applied")
@@ -70,7 +70,7 @@
 }
 
 func TestGracePeriodOnlyAfterOutage(t *testing.T) {
-	b, now, keys := testBoard()
+	b, now, keys := testReplicas()
 	b.Apply(tableName, pos(0), fullPage(5, row("a", 3), row("b", 5), row("c", 5)))
 	*now = now.Add(time.Second)
 	b.Apply(tableName, pos(5), deltaPage(6, deletedRow("a", 6)))
@@ -94,8 +94,8 @@
 
 // A replica that is updated from another replica's pages has the same rows.
 func TestReplicaOfReplica(t *testing.T) {
-	b, now, _ := testBoard()
-	c, _, keys := testBoard()
+	b, now, _ := testReplicas()
+	c, _, keys := testReplicas()
 	sync := func() {
 		have, loaded := c.Position(tableName)
 		page, ok := b.Since(State{Table: tableName, Known: loaded, At: have})
@@ -121,7 +121,7 @@
 }
 
 func TestAgePropagatesThroughReplicas(t *testing.T) {
-	b, now, _ := testBoard()
+	b, now, _ := testReplicas()
 	b.Apply(tableName, pos(0), fullPage(5))
 	*now = now.Add(700 * time.Millisecond)
 	page, _ := b.Since(State{Table: tableName, Known: false, At: pos(0)})
@@ -133,8 +133,8 @@
 // A replica was ahead of a peer's, and the peer then read a full snapshot. Its next page must cover
 // the rows that were added and removed meanwhile.
 func TestReplicaOfReplicaAfterFullRead(t *testing.T) {
-	b, _, _ := testBoard()
-	c, _, keys := testBoard()
+	b, _, _ := testReplicas()
+	c, _, keys := testReplicas()
 	b.Apply(tableName, pos(0), fullPage(5, row("a", 3)))
 	c.Apply(tableName, pos(0), fullPage(7, row("a", 3), row("b", 7)))
 	b.Apply(tableName, pos(0), fullPage(9, row("a", 3)))
@@ -166,7 +166,7 @@
 // callback receives the changed rows only.
 func TestChangeContainsOnlyChangedRows(t *testing.T) {
 	const rows = 1000
-	b, _, _ := testBoard()
+	b, _, _ := testReplicas()
 	var got Change
 	b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) { got = change })
 	var all []table.Row
--- a/internal/share/feed/changelog_test.go
+++ b/internal/share/feed/changelog_test.go
@@ -16,8 +16,8 @@
 func TestChangeLogMatchesScan(t *testing.T) {
 	for seed := range uint64(10) {
 		rng := rand.New(rand.NewPCG(seed, 5))
-		b, _, _ := testBoard()
-		follower, _, _ := testBoard()
+		b, _, _ := testReplicas()
+		follower, _, _ := testReplicas()
 		version := table.Version(1)
 		b.Apply(tableName, pos(0), fullPage(version, row("0", 1)))
 		follower.Apply(tableName, pos(0), fullPage(version, row("0", 1)))
@@ -60,15 +60,15 @@
 func BenchmarkSince(b *testing.B) {
 	for _, rows := range []int{1000, 10_000, 20_000} {
 		b.Run(strconv.Itoa(rows), func(b *testing.B) {
-			testBoard, _, _ := testBoard()
+			testReplicas, _, _ := testReplicas()
 			var all []table.Row
 			for i := range rows {
 				all = append(all, row(table.Key(strconv.Itoa(i)), table.Version(i+1)))
 			}
-			testBoard.Apply(tableName, pos(0), fullPage(table.Version(rows), all...))
-			testBoard.Apply(tableName, pos(table.Version(rows)), deltaPage(table.Version(rows+1), row("7", table.Version(rows+1))))
+			testReplicas.Apply(tableName, pos(0), fullPage(table.Version(rows), all...))
+			testReplicas.Apply(tableName, pos(table.Version(rows)), deltaPage(table.Version(rows+1), row("7", table.Version(rows+1))))
 			for b.Loop() {
-				testBoard.Since(State{Table: tableName, Known: true, At: pos(table.Version(rows))})
+				testReplicas.Since(State{Table: tableName, Known: true, At: pos(table.Version(rows))})
 			}
 		})
 	}
--- a/internal/share/feed/era_test.go
+++ b/internal/share/feed/era_test.go
@@ -29,7 +29,7 @@
 	return table.Page{At: posIn(era, version), Rows: rows}
 }
 
-// fixture is a board with one table, whose effective rows are recorded as key and value.
+// fixture contains Replicas with one table, whose effective rows are recorded as key and value.
 type fixture struct {
 	*Replicas
 	now  time.Time
@@ -41,7 +41,7 @@
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
 	c := &fixture{now: time.Unix(1000, 0)}
-	c.Replicas, _, _ = testBoard()
+	c.Replicas, _, _ = testReplicas()
 	c.clock = func() time.Time { return c.now }
 	c.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) {
 		c.notifications++
@@ -120,7 +120,7 @@
 // requests changes, so that no compaction error is returned. Only the era shows that a delta from
 // there lacks the writes between the replica's position and that version.
 func TestDeltaOfLaterEraIsRejected(t *testing.T) {
-	b, _, keys := testBoard()
+	b, _, keys := testReplicas()
 	s := &fakeSource{results: []result{
 		{page: fullPageIn(1, 36, rowIn(1, "a", 36, ""))},
 		{page: deltaPageIn(2, 38, rowIn(2, "d", 38, ""))},
@@ -256,7 +256,7 @@
 // If the store's version drops without a new era, the replica stays as it is until the version has
 // caught up, and the store is called no more often than during an outage.
 func TestStoreRollbackWithoutEra(t *testing.T) {
-	b, _, keys := testBoard()
+	b, _, keys := testReplicas()
 	s := &fakeSource{results: []result{
 		{page: fullPage(36, row("a", 36))},
 		{err: fault.New("test", table.Compacted, nil)},
--- a/internal/share/feed/follow.go
+++ b/internal/share/feed/follow.go
@@ -24,13 +24,13 @@
 
 // Follower updates one table's replica from the store while the router's role requires it.
 type Follower struct {
-	board  *Replicas
-	source Source
-	name   table.Name
-	timing Timing
-	roles  *Roles
-	logger log.Logger
-	rng    *rand.Rand
+	replicas *Replicas
+	source   Source
+	name     table.Name
+	timing   Timing
+	roles    *Roles
+	logger   log.Logger
+	rng      *rand.Rand
 	// needsFullRead is set when the next call must read a full snapshot.
 	needsFullRead bool
 	// storeBehind is set while full snapshots are older than the replica.
@@ -39,10 +39,10 @@
 	backoff time.Duration
 }
 
-// NewFollower returns a follower of a table of the board.
-func NewFollower(board *Replicas, source Source, name table.Name, timing Timing, roles *Roles, logger log.Logger, seed uint64) *Follower {
+// NewFollower returns a follower of a table of the Replicas.
+func NewFollower(replicas *Replicas, source Source, name table.Name, timing Timing, roles *Roles, logger log.Logger, seed uint64) *Follower {
 	return &Follower{
-		board: board, source: source, name: name, timing: timing, roles: roles, logger: logger,
+		replicas: replicas, source: source, name: name, timing: timing, roles: roles, logger: logger,
 		rng: rand.New(rand.NewPCG(seed, uint64(len(name)))),
 	}
 }
@@ -53,14 +53,14 @@
 		if !f.roles.awaitStore(ctx) {
 			return
 		}
-		before, _ := f.board.Position(f.name)
+		before, _ := f.replicas.Position(f.name)
 		if err := f.Step(ctx); err != nil {
 			f.recordFailure(ctx, err)
 			f.waitAfterFailure(ctx)
 			continue
 		}
 		f.recordSuccess()
-		if after, _ := f.board.Position(f.name); after != before {
+		if after, _ := f.replicas.Position(f.name); after != before {
 			pause.Sleep(ctx, f.timing.BatchDelay)
 		}
 	}
@@ -68,7 +68,7 @@
 
 // Step makes one call to the store and applies its response.
 func (f *Follower) Step(ctx context.Context) error {
-	at, loaded := f.board.Position(f.name)
+	at, loaded := f.replicas.Position(f.name)
 	f.source.AdvanceTo(at.Era)
 	if !loaded || f.needsFullRead {
 		return f.readAll(ctx)
@@ -89,7 +89,7 @@
 		return nil
 	}
 	// The page is rejected without harm if a peer has updated the replica meanwhile.
-	f.board.Apply(f.name, at, page)
+	f.replicas.Apply(f.name, at, page)
 	return nil
 }
 
@@ -103,7 +103,7 @@
 		return err
 	}
 	page.Full = true
-	if !f.board.Apply(f.name, table.Position{}, page) {
+	if !f.replicas.Apply(f.name, table.Position{}, page) {
 		f.logStoreBehind(page.At)
 		pause.Sleep(ctx, f.timing.MaxBackoff)
 		return nil
@@ -118,7 +118,7 @@
 		return
 	}
 	f.storeBehind = true
-	at, _ := f.board.Position(f.name)
+	at, _ := f.replicas.Position(f.name)
 	_ = level.Warn(f.logger).Log("msg", "store returned an older state", "table", f.name,
 		"era", page.Era, "version", page.Version, "have_era", at.Era, "have", at.Version)
 }
@@ -134,7 +134,7 @@
 // recordSuccess records a successful call and logs the first one after failures.
 func (f *Follower) recordSuccess() {
 	if f.backoff > 0 {
-		at, _ := f.board.Position(f.name)
+		at, _ := f.replicas.Position(f.name)
 		_ = level.Info(f.logger).Log("msg", "dependency regained", "dependency", "store", "table", f.name, "era", at.Era, "version", at.Version)
 	}
 	f.backoff = 0
--- a/internal/share/feed/follow_test.go
+++ b/internal/share/feed/follow_test.go
@@ -44,7 +44,7 @@
 }
 
 func TestCompactedChangeLogTriggersFullRead(t *testing.T) {
-	b, _, keys := testBoard()
+	b, _, keys := testReplicas()
 	s := &fakeSource{results: []result{
 		{page: table.Page{At: table.Position{Version: 5}, Rows: []table.Row{row("a", 5)}}},
 		{err: fault.New("test", table.Compacted, nil)},
@@ -83,7 +83,7 @@
 // A router whose parent fails reads from other peers and meanwhile from the store, and returns to
 // the parent later.
 func TestFailingParent(t *testing.T) {
-	b, now, _ := testBoard()
+	b, now, _ := testReplicas()
 	roles := NewRoles()
 	roles.Assign(false, "parent")
 	r := &fakePeers{others: []ident.Router{"x", "y"}}
@@ -120,7 +120,7 @@
 }
 
 func TestStalePageIsRejected(t *testing.T) {
-	b, now, keys := testBoard()
+	b, now, keys := testReplicas()
 	stale := fullPage(5, row("a", 5))
 	stale.Age = DefaultTiming.MaxPeerAge + time.Millisecond
 	r := &fakePeers{reply: func(ident.Router) ([]Reply, error) { return []Reply{{Table: tableName, Page: stale}}, nil }}
@@ -171,7 +171,7 @@
 // A full read has a much longer timeout than a wait for changes: the rows of thousands of targets
 // take long over a slow link.
 func TestFullReadTimeouts(t *testing.T) {
-	b, now, _ := testBoard()
+	b, now, _ := testReplicas()
 	s := &timeoutRecorder{fakeSource: fakeSource{results: []result{{page: table.Page{At: table.Position{Version: 5}, Rows: []table.Row{row("a", 5)}}}}}}
 	f := NewFollower(b, s, tableName, DefaultTiming, NewRoles(), log.NewNopLogger(), 1)
 	s.reply = func(ident.Router) ([]Reply, error) { return nil, fault.New("test", Unreachable, nil) }
@@ -194,7 +194,7 @@
 // A router without a first copy reads from the store as well as from a peer, and does not avoid a
 // peer that has not loaded its tables yet.
 func TestFirstCopy(t *testing.T) {
-	b, now, _ := testBoard()
+	b, now, _ := testReplicas()
 	roles := NewRoles()
 	roles.Assign(false, "parent")
 	r := &fakePeers{reply: func(ident.Router) ([]Reply, error) { return nil, nil }}
@@ -222,7 +222,7 @@
 // A starting router requests the peers' state without a wait, until one peer has returned it or
 // three have none either.
 func TestConsultation(t *testing.T) {
-	b, now, _ := testBoard()
+	b, now, _ := testReplicas()
 	var waits []time.Duration
 	r := &waitRecorder{fakePeers: fakePeers{others: []ident.Router{"x", "y", "z", "w"}}, waits: &waits}
 	for _, empty := range []int{0, 1, 2, 3} {
--- a/internal/share/feed/pull.go
+++ b/internal/share/feed/pull.go
@@ -39,13 +39,13 @@
 
 // Puller updates the replicas of all tables from peers while the router's role requires it.
 type Puller struct {
-	board  *Replicas
-	peers  Peers
-	names  []table.Name
-	timing Timing
-	roles  *Roles
-	logger log.Logger
-	clock  ident.Clock
+	replicas *Replicas
+	peers    Peers
+	names    []table.Name
+	timing   Timing
+	roles    *Roles
+	logger   log.Logger
+	clock    ident.Clock
 	// avoidUntil contains the peers that failed, and until when they are not called.
 	avoidUntil map[ident.Router]time.Time
 	// nextPeer is the index of the next peer to call in place of the parent.
@@ -61,10 +61,10 @@
 	started time.Time
 }
 
-// NewPuller returns a puller of some tables of a board.
-func NewPuller(board *Replicas, peers Peers, names []table.Name, timing Timing, roles *Roles, logger log.Logger, clock ident.Clock) *Puller {
+// NewPuller returns a puller of some tables.
+func NewPuller(replicas *Replicas, peers Peers, names []table.Name, timing Timing, roles *Roles, logger log.Logger, clock ident.Clock) *Puller {
 	return &Puller{
-		board: board, peers: peers, names: names, timing: timing, roles: roles, logger: logger, clock: clock,
+		replicas: replicas, peers: peers, names: names, timing: timing, roles: roles, logger: logger, clock: clock,
 		avoidUntil: map[ident.Router]time.Time{}, started: clock(),
 	}
 }
@@ -205,11 +205,11 @@
 			stale = fault.Newf(op, Stale, "peer %s has a stale table %s: era %d, version %d, confirmed %s ago",
 				from, reply.Table, reply.Page.At.Era, reply.Page.At.Version, reply.Page.Age)
 			if !p.acceptsStale(reply.Table) {
-				p.board.MergeRanked(reply.Table, reply.Page)
+				p.replicas.MergeRanked(reply.Table, reply.Page)
 				continue
 			}
 		}
-		p.board.Apply(reply.Table, after[reply.Table], reply.Page)
+		p.replicas.Apply(reply.Table, after[reply.Table], reply.Page)
 	}
 	if len(replies) < len(p.names) {
 		return fault.Newf(op, Empty, "peer %s has loaded %d of %d tables", from, len(replies), len(p.names))
@@ -221,7 +221,7 @@
 // it. One without a replica cannot serve, and during a store outage there is no other source, so it
 // accepts a stale page once the peers that may have a fresh one have had time to respond.
 func (p *Puller) acceptsStale(name table.Name) bool {
-	_, loaded := p.board.Position(name)
+	_, loaded := p.replicas.Position(name)
 	return !loaded && !p.clock().Before(p.started.Add(p.timing.PeerWait))
 }
 
@@ -247,7 +247,7 @@
 func (p *Puller) states() []State {
 	out := make([]State, 0, len(p.names))
 	for _, name := range p.names {
-		out = append(out, p.board.State(name))
+		out = append(out, p.replicas.State(name))
 	}
 	return out
 }
--- a/internal/share/home/codec.go
+++ b/internal/share/home/codec.go
@@ -69,9 +69,9 @@
 	return out
 }
 
-func encodeShardLoads(sums []place.ShardLoad) []*peerpb.Sum {
-	out := make([]*peerpb.Sum, 0, len(sums))
-	for _, s := range sums {
+func encodeShardLoads(loads []place.ShardLoad) []*peerpb.Sum {
+	out := make([]*peerpb.Sum, 0, len(loads))
+	for _, s := range loads {
 		out = append(out, &peerpb.Sum{Shard: uint32(s.Shard), AgeMs: uint32(s.Age.Milliseconds()), Work: int64(s.Work)})
 	}
 	return out
--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -13,14 +13,15 @@
 	// Listed is the number of permits added less those removed by edge routers' full lists of their
 	// permits.
 	Listed int
-	// Withdrawn are permits that edge routers have moved to another home, Lapsed those of edge
-	// routers that made no contact within the lease, and Forgotten those of edge routers that have
+	// Withdrawn are permits that edge routers have moved to another home, Expired those of edge
+	// routers that made no contact within the lease, and Removed those of edge routers that have
 	// left the fleet or restarted.
 	Withdrawn int
 	Expired   int
 	Removed   int
-	// Permits is the current number of permits. Own and Foreign are the work on the shard's engines
-	// that was admitted by this home and by others, Mean is the mean work per engine of the pool.
+	// Permits is the current number of permits. OwnWork and PeerWork are the work on the shard's
+	// engines that was admitted by this home and by others, MeanWork is the mean work per engine of
+	// the pool.
 	Permits  int
 	OwnWork  ident.Work
 	PeerWork ident.Work
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -143,18 +143,18 @@
 	return s
 }
 
-// mergeReceived merges the digests of other homes that are not older than life into a new home.
-func (h *Homes) mergeReceived(s *shard, life time.Duration) {
+// mergeReceived merges the digests of other homes that are not older than ttl into a new home.
+func (h *Homes) mergeReceived(s *shard, ttl time.Duration) {
 	for _, byHome := range h.peerDigests {
 		for _, l := range byHome {
-			if h.clock().Sub(l.at) <= life {
+			if h.clock().Sub(l.at) <= ttl {
 				s.home.Merge(l.at, l.digest)
 			}
 		}
 	}
 }
 
-// unknownPool is the pool name of requests whose pool hash is not known to this router.
+// unknownPool is the pool name of requests whose pool hash is not in the configuration of this router.
 const unknownPool ident.Pool = ""
 
 // poolByHash returns the name of the pool with the given hash, or unknownPool.
--- a/internal/share/home/local_failure_test.go
+++ b/internal/share/home/local_failure_test.go
@@ -43,6 +43,6 @@
 	req := home.PermitRequest{Shard: id, Request: place.Request{Edge: "router-a", Permit: 1, Key: 7, Work: ident.OneRequest}}
 	_, err = remote.Place(t.Context(), "router-b", req, nil)
 	if got := fault.KindOf[home.Kind](err); got != home.LocalDelay {
-		t.Errorf("got %v, want HeldUp", err)
+		t.Errorf("got %v, want LocalDelay", err)
 	}
 }
--- a/internal/share/home/permits.go
+++ b/internal/share/home/permits.go
@@ -99,8 +99,8 @@
 	return slices.Compact(out)
 }
 
-// RemoveEdgePermits removes the permits of earlier processes of a router and of dead routers: for each router
-// those below the given permit.
+// RemoveEdgePermits removes the permits of earlier processes of a router and of dead routers: for
+// each router those below the given permit.
 func (h *Homes) RemoveEdgePermits(below map[ident.Router]uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -128,7 +128,7 @@
 	h.Release(place.ShardID{Pool: h.poolByHash(hash), Shard: shard}, edge, released)
 }
 
-// releaseFromAnyShard releases a permit whose shard is not known to the caller.
+// releaseFromAnyShard releases a permit whose shard the caller cannot determine.
 func (h *Homes) releaseFromAnyShard(edge ident.Router, permit uint64) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/request.go
+++ b/internal/share/home/request.go
@@ -18,7 +18,7 @@
 	// Empty means that the shard has no usable engine.
 	Empty
 	// Shed means that the request is rejected because the shard is overloaded. If the edge had no
-	// other shard to try, the answer contains a Retry-After delay.
+	// other shard to try, the response contains a Retry-After delay.
 	Shed
 	// TimedOut means that no engine became free within the time that the request could wait.
 	TimedOut
@@ -56,7 +56,8 @@
 	RetryAfter time.Duration
 	// Held is the number of permits that the home counts for the edge router.
 	Held int
-	// Work is the load of the shard after this response. Sums are the loads of some other shards.
+	// Work is the load of the shard after this response. ShardLoads are the loads of some
+	// other shards.
 	Work       ident.Work
 	ShardLoads []place.ShardLoad
 	// Basis is the rule and the loads that decided a placement.
--- a/internal/share/lease/lease_test.go
+++ b/internal/share/lease/lease_test.go
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestStepAfterLostCommitResponse(t *testing.T) {
+func TestAcquireAfterLostCommitResponse(t *testing.T) {
 	s, clock := store.New(), newManualClock()
 	a := lease.New(s, "orders", "a", "1", ttl, clock.time)
 	s.LoseResponses(1)
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -63,7 +63,7 @@
 	List   time.Duration
 	// Call limits the duration of one exchange.
 	Call time.Duration
-	// Fanout is the number of peers that Tell exchanges digests with, for example for a new
+	// Fanout is the number of peers that GossipNow exchanges digests with, for example for a new
 	// revision or when the router leaves.
 	Fanout int
 }
@@ -91,7 +91,7 @@
 
 // NewNode returns a node that is idle until Run is called. The seeds are the addresses that are
 // used while the view contains no other router. With a nil lister, the caller updates the view with
-// the boxes through Do.
+// the boxes through UpdateView.
 func NewNode(view *View, dial Dialer, list Lister, pace Pace, seeds []string, seed uint64, clock ident.Clock) *Node {
 	n := &Node{
 		view:  view,
--- a/internal/share/peer/view_test.go
+++ b/internal/share/peer/view_test.go
@@ -396,7 +396,7 @@
 	}
 }
 
-// A router that starts receives the era from its peers. It can therefore tell that the store has
+// A router that starts receives the era from its peers. It can therefore detect that the store has
 // been restored from an older snapshot in the meantime: the first response of the store belongs to
 // a later era.
 func TestErasPropagate(t *testing.T) {
@@ -508,6 +508,6 @@
 		t.Errorf("dead router became %s by its row", m.State)
 	}
 	if a.RecentlyListed(start, "b") || !b.RecentlyListed(start, "a") || b.RecentlyListed(start.Add(time.Minute), "a") {
-		t.Error("Doubtful: want false for a router reported by a peer or listed a minute ago, true for one listed just now")
+		t.Error("RecentlyListed: want false for a router reported by a peer or listed a minute ago, true for one listed just now")
 	}
 }
