--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -326,7 +326,7 @@
 	path, handler := peerpb.NewPeerServiceHandler(linkServer{Server: home.NewServer(homes, func(context.Context) ident.Router { return "" })})
 	client, stop := serve(meter, path, handler, secure)
 	defer stop()
-	// A process that has run for a while has permit numbers this far above its base.
+	// A process that has run for some time has permit numbers this far above its base.
 	const base = uint64(1_764_000_000_000) << 20
 	remote, closeRemote := home.NewRemote(home.Edge{ID: "router-edge", Zone: "zone-a", Base: base}, nil, fixedClient{client}, 5*time.Second)
 	defer closeRemote()
--- a/cmd/measure/homes.go
+++ b/cmd/measure/homes.go
@@ -106,8 +106,8 @@
 	h.w.schedule(urgentPublishDelay, h.publishUrgent)
 }
 
-// crash replaces a router without notice. Its requests in flight are lost. The other routers suspect
-// it after suspectDelay, and drop its permits after deadDelay.
+// crash replaces a router that stops without a drain. Its requests in flight are lost. The
+// other routers suspect it after suspectDelay, and remove its permits after deadDelay.
 func (h *homesStrategy) crash(i int) {
 	old := h.nodes[i]
 	h.nodes[i] = h.newReplacement(i)
--- a/cmd/measure/simulation.go
+++ b/cmd/measure/simulation.go
@@ -26,7 +26,7 @@
 	cacheRatio float64
 	skew       float64
 	run        time.Duration
-	// flap is the interval at which an engine fails and comes back with an empty cache.
+	// flap is the interval at which an engine fails and restarts with an empty cache.
 	flap time.Duration
 	// viewsDiffer periodically removes a router from the membership view of half of the routers for five
 	// seconds.
@@ -103,7 +103,7 @@
 	start(w *simulation)
 	// choose returns an engine, or nil if there is none.
 	choose(w *simulation, r *request) *engine
-	// enginesChanged is called after an engine has failed or come back; reports need no call.
+	// enginesChanged is called after an engine has failed or restarted, but not for reports.
 	enginesChanged(w *simulation)
 	// evicted is called after an engine has evicted a chat's prefix.
 	evicted(w *simulation, e *engine, c *chat)
@@ -347,7 +347,7 @@
 	return e.history[0]
 }
 
-// flapEngine makes an engine fail and come back with an empty cache.
+// flapEngine makes an engine fail and restart with an empty cache.
 func (w *simulation) flapEngine() {
 	e := w.engines[w.rng.IntN(len(w.engines))]
 	if !e.up {
--- a/cmd/soak/harness.go
+++ b/cmd/soak/harness.go
@@ -138,7 +138,7 @@
 const restartDelay = 2 * time.Second
 
 // crash closes a target with all its connections and starts it again after restartDelay. Its
-// heartbeats in the store go on meanwhile, since a crashed target's row expires only later.
+// heartbeats in the store continue until then, since a crashed target's row expires only later.
 func (w *harness) crash(t *target) {
 	// The restarted target listens on a new socket. A target that is closed already has crashed
 	// before, so the error is ignored.
--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -33,9 +33,9 @@
 	w.snapshots = w.snapshots[max(len(w.snapshots)-maxSnapshots, 0):]
 }
 
-// rollBackStore makes the store unavailable for a moment and restores it from an older snapshot,
+// rollBackStore makes the store unavailable for a short time and restores it from an older snapshot,
 // once or twice. Sometimes the era rises by two, so that routers never see the era in between.
-// Routers that serve the latest route must go on serving it, whatever the store returns.
+// Routers that serve the latest route must continue to serve it, whatever the store returns.
 func (w *harness) rollBackStore() {
 	for _, r := range w.routers {
 		printOrder("wake", r)
@@ -74,8 +74,8 @@
 	}
 }
 
-// checkPropagation checks that routers apply changes of a restored store: a removed route is gone
-// in time, and a target gets no more requests after its row is removed.
+// checkPropagation checks that routers apply changes of a restored store: a removed route is not
+// served any more, and a target receives no more requests after its row is removed.
 func (w *harness) checkPropagation() {
 	before := w.extraID
 	t := w.targets[w.rng.IntN(len(w.targets))]
--- a/cmd/soak/schedule.go
+++ b/cmd/soak/schedule.go
@@ -185,8 +185,8 @@
 	// minCrashes is the number of targets crashed by one request from which all routers must
 	// quarantine it.
 	minCrashes = 3
-	// maxCrashes is the maximum of targets that one request may crash in a run, whatever happens to
-	// the routers. Two to four is usual; routers without quarantine lose some 40.
+	// maxCrashes is the maximum of targets that one request may crash in a run, whatever faults the
+	// routers have. Two to four are usual; without quarantine some 40 crash.
 	maxCrashes = 12
 )
 
--- a/internal/fake/target/engine.go
+++ b/internal/fake/target/engine.go
@@ -13,7 +13,7 @@
 type EngineOptions struct {
 	Name        ident.Target
 	Incarnation ident.Incarnation
-	// PerWord is the time that one word takes. Cold is added if the prompt prefix is not cached.
+	// PerWord is the time that one word takes. ColdDelay is added if the prompt prefix is not cached.
 	PerWord   time.Duration
 	ColdDelay time.Duration
 	// CacheSize is the maximum number of chats whose prefixes are cached; zero means no limit.
--- a/internal/oper/daemon/serve.go
+++ b/internal/oper/daemon/serve.go
@@ -78,7 +78,8 @@
 
 // waitUntilReady waits until the configuration is available and then sets the router ready.
 // The configuration comes from the store or, while the store is down, from a ready router;
-// the gossip before each attempt makes this router known to that one first.
+// the gossip before each attempt adds this router to the membership view of that router
+// first.
 func (d *Daemon) waitUntilReady(ctx context.Context) {
 	for ctx.Err() == nil {
 		d.node.GossipNow(ctx)
--- a/internal/oper/mesh/pools_test.go
+++ b/internal/oper/mesh/pools_test.go
@@ -123,9 +123,9 @@
 	}
 }
 
-// Guards against rebuilding the pools for each change. With 10,000 targets of which 400 a second
-// were added, that happened several times a second and used a quarter of 4 s of CPU time in a
-// router's first 26 s.
+// Guards against rebuilding the pools for each change. If 400 targets a second are
+// added to a pool until it has 10,000, that happens several times a second and uses a quarter of the
+// 4 s of CPU time of a router's first 26 s.
 func TestOnlyChangedTargetsAreUpdated(t *testing.T) {
 	f := newFixture()
 	var all []boxes.Box
--- a/internal/oper/node/announce_test.go
+++ b/internal/oper/node/announce_test.go
@@ -29,8 +29,8 @@
 // Guards against write storms when a large fleet starts. All routers write their rows at once,
 // while the rows of one table accept 200 writes per second and reject a write that would wait
 // longer than a second. With a fixed delay of half a second between attempts, the rejected routers
-// retry together, and rejections grow with the square of the fleet: 295 routers were rejected 73
-// times, and 986 routers made 8,548 store calls in a day, most of them in the first seconds.
+// retry together, and rejections grow with the square of the fleet: 295 routers are rejected 73
+// times, and 986 routers make 8,548 store calls in a day, most of them in the first seconds.
 func TestAnnounceRetriesInALargeFleet(t *testing.T) {
 	const perSecond, queue = 200, 200
 	for _, routers := range []int{60, 986, 2000} {
--- a/internal/oper/node/budget_test.go
+++ b/internal/oper/node/budget_test.go
@@ -12,8 +12,9 @@
 // Guards against a router without retries for the first requests of a service. If the window starts
 // with the first request instead of the process, the router's part of the fleet's extra retries
 // grows from zero over the following ten seconds. In a fleet of 986 routers, each of which receives
-// a repeatable request about every ten seconds, 130 of 1,728 such requests failed, seven times as
-// many as two failing targets in a row explain, while a tenth of the retry budget was used.
+// a repeatable request about every ten seconds, 130 of 1,728 such requests fail although only a
+// tenth of the retry budget is used. That is seven times as many as fail because two targets in a
+// row do.
 func TestRetryBudgetOfFirstRequestsInALargeFleet(t *testing.T) {
 	const routers = 986
 	allowance := retry.Allowance{Ratio: 0.2, Extra: 1040, Span: 10 * time.Second}
--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -25,13 +25,13 @@
 	// permitTimeout is the timeout of a call to a home, after which the next router in line is
 	// called. It covers many round trips between availability zones, since a home that has just
 	// started on a small box is slow, and is still a part of the latency objectives, which begin at
-	// some hundred milliseconds. At 60 ms permits were lost at each start of the fleet.
+	// some hundred milliseconds. With 60 ms, permits are lost at each start of a fleet.
 	permitTimeout = 100 * time.Millisecond
-	// gossipInterval is the interval between two exchanges of gossip digests. Homes are right only
+	// gossipInterval is the interval between two exchanges of gossip digests. Homes agree only
 	// once membership views agree. A digest has a few hundred bytes.
 	gossipInterval = 400 * time.Millisecond
 	// maxStartSpread is the maximum time between the starts of routers that start together: 0.3 s
-	// on the platform, plus the time that a small box needs to come up. Until then routers that are
+	// on the platform, plus the time that a small box needs to start. Until then routers that are
 	// up would each omit different peers and disagree on the homes of shards.
 	maxStartSpread = 600 * time.Millisecond
 )
--- a/internal/oper/node/readers.go
+++ b/internal/oper/node/readers.go
@@ -32,7 +32,7 @@
 }
 
 // assignRole sets this router's position in the tree of its availability zone. The first router in
-// an order that all routers agree on reads the store, the others read from their parent.
+// an order that all routers agree on reads the store, the other routers read from their parent.
 func (n *Node) assignRole() {
 	zone := n.zoneOrder(n.self.Zone)
 	rank := slices.Index(zone, n.self.ID)
--- a/internal/oper/node/rollouts.go
+++ b/internal/oper/node/rollouts.go
@@ -262,7 +262,8 @@
 	return true
 }
 
-// Reports implements peer.CanaryReports. It returns this router's evidence, and that of peers in rotation.
+// Reports implements peer.CanaryReports. It returns this router's evidence, and that
+// of peers in rotation.
 func (r *rollouts) Reports() []canary.Report {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -286,8 +287,8 @@
 	return own
 }
 
-// MergeReports implements peer.CanaryReports. Evidence only grows, so the report with more answers is the later
-// one.
+// MergeReports implements peer.CanaryReports. Evidence only grows, so the report with
+// more answers is the later one.
 func (r *rollouts) MergeReports(reports []canary.Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -48,7 +48,7 @@
 }
 
 // Run serves until the context ends and then drains: the router announces that it is leaving,
-// accepts new requests for a while longer, and waits for those in flight.
+// accepts new requests during drainDelay, and waits for those in flight.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal) {
 	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
--- a/internal/oper/node/start.go
+++ b/internal/oper/node/start.go
@@ -37,7 +37,7 @@
 }
 
 const (
-	// firstStartDelay is how long the first router of a new fleet waits for the others to write
+	// firstStartDelay is how long the first router of a new fleet waits for its peers to write
 	// their rows. They all start within 0.3 s.
 	firstStartDelay = 500 * time.Millisecond
 	// discoveryTimeout is the maximum time that a router of a new fleet waits for the discovery of
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -95,7 +95,7 @@
 	return inForce.Revision
 }
 
-// setClosed closes the availability zones that operators have closed, and reopens the others.
+// setClosed closes the availability zones that operators have closed, and reopens all other zones.
 func (s *state) setClosed(rows []table.Row) {
 	if s.zones.set(s.rows.ClosedZones(rows), latestPosition(rows)) {
 		s.invalidatePools()
@@ -147,8 +147,8 @@
 
 // plainRequestsPerSlot is the number of permits that a plain target may have for each of its slots.
 // A permit also covers the time in which it and its release are in transit, 15 to 20 ms in addition
-// to the 60 ms of the work itself. With one permit per slot a third of the slots were idle while
-// callers waited.
+// to the 60 ms of the work itself. With one permit per slot a third of the slots are idle while
+// callers wait.
 const plainRequestsPerSlot = 2
 
 // invalidatePools causes a rebuild of the pools although no target's row has changed.
@@ -195,8 +195,8 @@
 }
 
 // maxTargetsPerShard is the maximum number of targets that one home manages. A prompt prefix that
-// moves to another shard loses its cached state: with two shards of 9 targets this was the largest
-// part of the tokens that were read again. At 32 targets a home handles a few hundred permits per
+// moves to another shard loses its cached state: with two shards of 9 targets this is the largest
+// part of the tokens that are processed again. At 32 targets a home handles a few hundred permits per
 // second, at about 0.1 ms each.
 const maxTargetsPerShard = 32
 
--- a/internal/oper/node/targets.go
+++ b/internal/oper/node/targets.go
@@ -51,7 +51,7 @@
 // updateTargets applies the targets' rows that changed. It returns the changes of targets, and the
 // addresses of those that have restarted under the same names. Its cost depends only on the number
 // of changes: with 10,000 targets, some of which change at any moment, a pass over all of them for
-// each change was most of a router's work.
+// each change would be most of a router's work.
 func (s *state) updateTargets(change feed.Change) (update peer.TargetChanges, restarted []string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/share/claim/claims.go
+++ b/internal/share/claim/claims.go
@@ -18,7 +18,7 @@
 type Options struct {
 	// MaxInlineBytes is the size of the largest answer body that is stored in the row itself.
 	MaxInlineBytes int
-	// BatchDelay is how long a write waits for others to share its transaction.
+	// BatchDelay is how long a write waits for other writes to share its transaction.
 	BatchDelay time.Duration
 	// MaxBatch is the maximum number of rows in one transaction.
 	MaxBatch int
--- a/internal/share/config/config_test.go
+++ b/internal/share/config/config_test.go
@@ -209,7 +209,7 @@
 		case 0:
 			record(r, at, recorded, fmt.Sprint(step))
 		case 1:
-			// Another operator's change is committed between this one's reads and its commit.
+			// Another operator's change is committed between this operator's reads and commit.
 			other := p.routers[rapid.SampledFrom(names).Draw(r, "other")]
 			s.BeforeCommit(func(table.Txn) {
 				s.BeforeCommit(nil)
--- a/internal/share/feed/replicas_test.go
+++ b/internal/share/feed/replicas_test.go
@@ -161,9 +161,9 @@
 	}
 }
 
-// Guards against building a list of all rows for each small change. With 10,000 targets of which 400
-// a second were added this used most of 4 s of CPU time in a router's first 26 s. The change
-// callback receives the changed rows only.
+// Guards against building a list of all rows for each small change. If 400 targets a
+// second are added to a table until it has 10,000, these lists use most of the 4 s of CPU time of a
+// router's first 26 s. The change callback receives the changed rows only.
 func TestChangeContainsOnlyChangedRows(t *testing.T) {
 	const rows = 1000
 	b, _, _ := testReplicas()
--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -20,7 +20,7 @@
 	Expired   int
 	Removed   int
 	// Permits is the current number of permits. OwnWork and PeerWork are the work on the shard's
-	// engines that was admitted by this home and by others, MeanWork is the mean work per engine of
+	// engines that was admitted by this home and by other homes, MeanWork is the mean work per engine of
 	// the pool.
 	Permits  int
 	OwnWork  ident.Work
--- a/internal/share/home/homes_test.go
+++ b/internal/share/home/homes_test.go
@@ -153,10 +153,10 @@
 	}
 }
 
-// The test guards against a crash when the targets of a pool change. An edge router with a newer
-// membership view, and so four shards, requested a permit of the fourth shard from a router whose
-// pool had two. That router became home of a shard without engines, and the next change of the pool
-// indexed its lists of engines by shard beyond their length.
+// Guards against a crash when the targets of a pool change. An edge router with a newer membership
+// view, and so four shards, requests a permit of the fourth shard from a router whose pool has two.
+// That router becomes home of a shard without engines, and the next change of the pool must not
+// index its lists of engines by shard beyond their length.
 func TestShardOutsidePool(t *testing.T) {
 	h, _, _ := newHomes()
 	outside := place.ShardID{Pool: pool, Shard: 3}
--- a/internal/share/home/rate.go
+++ b/internal/share/home/rate.go
@@ -56,7 +56,7 @@
 	return r.releasedWork / r.workSeconds * float64(r.inFlight) / float64(ident.OneRequest)
 }
 
-// queueDelay estimates how long a new request would wait behind the given number of others.
+// queueDelay estimates how long a new request would wait behind the given number of requests.
 func (r *releaseRate) queueDelay(ahead int) (queueDelay time.Duration, known bool) {
 	requestsPerSecond := r.requestsPerSecond()
 	if requestsPerSecond <= 0 {
--- a/internal/share/peer/address_test.go
+++ b/internal/share/peer/address_test.go
@@ -12,7 +12,7 @@
 
 // Guards against a large memory footprint per peer. In a fleet of 400 routers each router calls all
 // others from time to time. The memory of the client of one router, its connection aside, must be
-// small compared with the 0.3 KB of a member: with one generated client each it was 12 KB, 4.8 MB
+// small compared with the 0.3 KB of a member: a generated client for each takes 12 KB, 4.8 MB
 // for such a fleet.
 func TestClientMemory(t *testing.T) {
 	clients, closeClients := NewClients(nil, &Meter{})
--- a/internal/share/peer/codec.go
+++ b/internal/share/peer/codec.go
@@ -17,14 +17,14 @@
 		From:         string(d.From),
 		HeadRevision: uint64(d.Head),
 		MembersHash:  d.MembersHash,
-		Whole:        d.Whole,
+		Whole:        d.RequestMembers,
 		InForce:      d.InForce,
 		Era:          uint64(d.Era),
 	}
 	for _, m := range d.Members {
 		out.Members = append(out.Members, EncodeMember(m))
 	}
-	for _, m := range d.Marks {
+	for _, m := range d.Leaving {
 		out.Marks = append(out.Marks, &peerpb.Mark{Target: string(m.Target), Incarnation: uint64(m.Incarnation)})
 	}
 	for _, a := range d.Acks {
@@ -33,7 +33,7 @@
 	for _, s := range d.Suspects {
 		out.Suspects = append(out.Suspects, encodeSuspect(now, s))
 	}
-	for _, r := range d.Trials {
+	for _, r := range d.CanaryReports {
 		out.Trials = append(out.Trials, &peerpb.Trial{
 			Number: r.Number, Source: r.Source, Answers: uint32(r.Answers), Poor: uint32(r.Poor), Expected: float32(r.Expected),
 		})
@@ -82,18 +82,18 @@
 // Decode reads the wire form of a digest.
 func Decode(now time.Time, in *peerpb.Digest) Digest {
 	d := Digest{
-		From:        ident.Router(in.GetFrom()),
-		Head:        ident.Revision(in.GetHeadRevision()),
-		MembersHash: in.GetMembersHash(),
-		Whole:       in.GetWhole(),
-		InForce:     in.GetInForce(),
-		Era:         table.Era(in.GetEra()),
+		From:           ident.Router(in.GetFrom()),
+		Head:           ident.Revision(in.GetHeadRevision()),
+		MembersHash:    in.GetMembersHash(),
+		RequestMembers: in.GetWhole(),
+		InForce:        in.GetInForce(),
+		Era:            table.Era(in.GetEra()),
 	}
 	for _, m := range in.GetMembers() {
 		d.Members = append(d.Members, decodeMember(m))
 	}
 	for _, m := range in.GetMarks() {
-		d.Marks = append(d.Marks, LeavingTarget{Target: ident.Target(m.GetTarget()), Incarnation: ident.Incarnation(m.GetIncarnation())})
+		d.Leaving = append(d.Leaving, LeavingTarget{Target: ident.Target(m.GetTarget()), Incarnation: ident.Incarnation(m.GetIncarnation())})
 	}
 	for _, a := range in.GetAcks() {
 		d.Acks = append(d.Acks, Ack{Member: a.GetMember(), Revision: ident.Revision(a.GetRevision())})
@@ -102,7 +102,7 @@
 		d.Suspects = append(d.Suspects, decodeSuspect(now, s))
 	}
 	for _, r := range in.GetTrials() {
-		d.Trials = append(d.Trials, canary.Report{Number: r.GetNumber(), Source: r.GetSource(), Evidence: canary.Evidence{
+		d.CanaryReports = append(d.CanaryReports, canary.Report{Number: r.GetNumber(), Source: r.GetSource(), Evidence: canary.Evidence{
 			Answers: int(r.GetAnswers()), Poor: int(r.GetPoor()), Expected: float64(r.GetExpected()),
 		}})
 	}
--- a/internal/share/peer/digest.go
+++ b/internal/share/peer/digest.go
@@ -23,19 +23,19 @@
 	From    ident.Router
 	Head    ident.Revision
 	Members []Member
-	Marks   []LeavingTarget
+	Leaving []LeavingTarget
 	Acks    []Ack
 	// MembersHash is equal at routers whose views contain the same members in the same states.
 	MembersHash uint64
-	// Whole requests the full list of members from the receiver.
-	Whole bool
+	// RequestMembers requests the full list of members from the receiver.
+	RequestMembers bool
 	// InForce has one bit for each member, in order of id, which is set if the member has Head in
 	// force. It is used only between routers with the same MembersHash.
 	InForce []byte
 	// Suspects are the requests under which targets crashed.
 	Suspects []crash.Suspect
-	// Trials are the reports of routers on versions under canary rollout.
-	Trials []canary.Report
+	// CanaryReports are the reports of routers on versions under canary rollout.
+	CanaryReports []canary.Report
 	// Era is the latest era of the store that the sender has received.
 	Era table.Era
 }
@@ -46,7 +46,7 @@
 
 // Outgoing returns the digest for one peer. Updates that were sent least often come first.
 func (v *View) Outgoing(to ident.Router, full bool) Digest {
-	d := Digest{From: v.self, Head: v.head, Era: v.era, MembersHash: v.hash, Whole: v.requestMembers}
+	d := Digest{From: v.self, Head: v.head, Era: v.era, MembersHash: v.hash, RequestMembers: v.requestMembers}
 	v.requestMembers = false
 	d.Members = v.outgoingMembers(full)
 	peer, known := v.members[to]
@@ -56,7 +56,7 @@
 	}
 	d.Acks = v.outgoingAcks()
 	d.InForce = v.inForce()
-	d.Marks = v.outgoingLeaving()
+	d.Leaving = v.outgoingLeaving()
 	return d
 }
 
@@ -141,7 +141,7 @@
 	for _, m := range d.Members {
 		v.mergeMember(now, m)
 	}
-	for _, m := range d.Marks {
+	for _, m := range d.Leaving {
 		v.MarkLeaving(now, m)
 	}
 	for _, a := range d.Acks {
@@ -159,7 +159,7 @@
 		update.Era = d.Era
 	}
 	v.compareHash(d)
-	update.SendMembers = d.Whole
+	update.SendMembers = d.RequestMembers
 	return update
 }
 
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -73,18 +73,18 @@
 
 // Node exchanges digests with other routers and reads the list of boxes.
 type Node struct {
-	mu      sync.Mutex
-	view    *View
-	version uint64
-	rng     *rand.Rand
-	dial    Dialer
-	list    Lister
-	pace    Pace
-	hooks   Hooks
-	seeds   []Member
-	clock   ident.Clock
-	crashes Crashes
-	trials  CanaryReports
+	mu            sync.Mutex
+	view          *View
+	version       uint64
+	rng           *rand.Rand
+	dial          Dialer
+	list          Lister
+	pace          Pace
+	hooks         Hooks
+	seeds         []Member
+	clock         ident.Clock
+	crashes       Crashes
+	canaryReports CanaryReports
 	// trigger requests an exchange ahead of the next round.
 	trigger chan struct{}
 }
@@ -117,7 +117,7 @@
 func (n *Node) SetCrashes(c Crashes) { n.crashes = c }
 
 // SetCanaryReports sets the source and receiver of the canary reports. It must be called before Run.
-func (n *Node) SetCanaryReports(t CanaryReports) { n.trials = t }
+func (n *Node) SetCanaryReports(reports CanaryReports) { n.canaryReports = reports }
 
 // TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from router to
 // router without waiting for rounds.
@@ -263,8 +263,8 @@
 	if n.crashes != nil {
 		d.Suspects = n.crashes.Outgoing(routers)
 	}
-	if n.trials != nil {
-		d.Trials = n.trials.Reports()
+	if n.canaryReports != nil {
+		d.CanaryReports = n.canaryReports.Reports()
 	}
 	return d
 }
@@ -282,8 +282,8 @@
 	if n.crashes != nil && len(d.Suspects) > 0 {
 		n.crashes.Incoming(d.Suspects)
 	}
-	if n.trials != nil && len(d.Trials) > 0 {
-		n.trials.MergeReports(d.Trials)
+	if n.canaryReports != nil && len(d.CanaryReports) > 0 {
+		n.canaryReports.MergeReports(d.CanaryReports)
 	}
 	return update.SendMembers
 }
--- a/internal/share/peer/pick.go
+++ b/internal/share/peer/pick.go
@@ -45,7 +45,7 @@
 
 // gossipPeers returns the routers that are not dead and have the highest rendezvous hash with this
 // router: some in its availability zone, some in other zones. A router that dies is replaced by the
-// next one; the others remain selected.
+// next one; the other peers remain selected.
 func (v *View) gossipPeers() []Member {
 	self := v.members[v.self]
 	var near, far topScored
--- a/internal/share/peer/view.go
+++ b/internal/share/peer/view.go
@@ -211,7 +211,7 @@
 		return false
 	}
 	if m.Incarnation > self.Incarnation {
-		// A later process runs under this id; this one must not compete with it.
+		// A later process runs under this id; the present process must not compete with it.
 		return false
 	}
 	self.Seq = m.Seq + 1
--- a/internal/share/peer/view_test.go
+++ b/internal/share/peer/view_test.go
@@ -420,7 +420,7 @@
 // digests with random peers, five times a second in both directions, opens a new connection for
 // nearly every exchange and holds hundreds after a minute. It uses a small fixed set of peers
 // instead, over which updates still reach all routers in as many rounds, also in a fleet of several
-// availability zones. A router that dies is replaced; the others remain selected.
+// availability zones. A dead router is replaced; the other peers remain selected.
 func TestGossipPeersAreStable(t *testing.T) {
 	const routers, zones, limit = 300, 6, 16
 	f := newFleet(t, 0)
@@ -470,13 +470,11 @@
 	t.Logf("head received by all after %d rounds", rounds)
 }
 
-// Guards against redundant updates at start: a router that started among 300 logged each of the
-// others twice, once from its row and once from its own update, recomputed all homes for both, and
-// requested full member lists until the updates had spread.
-//
-// The cause was that a row, although it contains the incarnation of its router, ranked below the
-// update of the router itself, so that no two views were equal until each had received updates from
-// all routers.
+// Guards against redundant updates at start. If a row ranks below the update of its router, although
+// it contains the router's incarnation, no two views are equal until each has received updates from
+// all routers. A router that starts among 300 then adds each peer twice, once from its row and once
+// from the peer's own update, recomputes all homes for both, and requests full member lists until
+// the updates have spread.
 func TestSameListGivesSameView(t *testing.T) {
 	members := []peer.Member{
 		{ID: "a", Addr: "10.0.0.1:1", Region: "co", Incarnation: 5, Cores: 1}, {ID: "b", Addr: "10.0.0.2:1", Region: "co", Incarnation: 6, Cores: 2},
@@ -498,7 +496,7 @@
 	if diff := cmp.Diff(before, a.Version()); diff != "" {
 		t.Errorf("view version changed by digests of a router with the same members: %s", diff)
 	}
-	if d := a.Outgoing("b", false); d.Whole || d.MembersHash != b.Outgoing("a", false).MembersHash {
+	if d := a.Outgoing("b", false); d.RequestMembers || d.MembersHash != b.Outgoing("a", false).MembersHash {
 		t.Error("views of two routers that read the same list differ")
 	}
 	// Updates from peers still take precedence over the row.
