--- a/cmd/measure/capacity.go
+++ b/cmd/measure/capacity.go
@@ -15,8 +15,8 @@
 	"valescale/internal/share/peer"
 )
 
-// capacity builds the state of each role at several sizes and measures its memory and the time of its
-// operations, from which the growth per item follows.
+// capacity builds the state of each role at several sizes and measures its memory and the time of
+// its operations, from which the growth per item follows.
 func capacity(options) []row {
 	var rows []row
 	for _, n := range []int{10_000, 100_000, 1_000_000, 2_500_000} {
--- a/cmd/measure/fair.go
+++ b/cmd/measure/fair.go
@@ -26,8 +26,8 @@
 	quietLoad = 0.6
 )
 
-// fair measures how long requests of quiet workspaces wait while another workspace surges, relative to
-// a run without the surge.
+// fair measures how long requests of quiet workspaces wait while another workspace surges, relative
+// to a run without the surge.
 func fair(o options) []row {
 	base := fairCase{slots: 240, service: 14 * time.Second, run: 20 * time.Minute}
 	var rows []row
--- a/cmd/measure/plot.go
+++ b/cmd/measure/plot.go
@@ -30,7 +30,8 @@
 	"fair":    {{"fair.png", "Quiet workspaces' time to the end, over no surge", "ratio", 0, func(r row) float64 { return r.MaxRatio }}},
 }
 
-// plotRows writes the charts of a measurement: a group of bars for each case, a bar for each strategy.
+// plotRows writes the charts of a measurement: a group of bars for each case, a bar for each
+// strategy.
 func plotRows(dir, what string, rows []row) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
 		return errors.Wrap(err, "plot")
--- a/cmd/measure/simulation.go
+++ b/cmd/measure/simulation.go
@@ -28,8 +28,8 @@
 	run        time.Duration
 	// flap is the interval at which an engine fails and restarts with an empty cache.
 	flap time.Duration
-	// viewsDiffer periodically removes a router from the membership view of half of the routers for five
-	// seconds.
+	// viewsDiffer periodically removes a router from the membership view of half of the routers for
+	// five seconds.
 	viewsDiffer bool
 	// surge doubles the arrival rate for a fifth of the run.
 	surge bool
@@ -249,7 +249,8 @@
 	r.engine = e
 	e.running++
 	w.recordAdmission(e, c)
-	// The duration is lognormal with the given mean; sigma 0.8 gives a long tail without extreme values.
+	// The duration is lognormal with the given mean; sigma 0.8 gives a long tail without extreme
+	// values.
 	const sigma = 0.8
 	d := time.Duration(math.Exp(w.rng.NormFloat64()*sigma-sigma*sigma/2) * float64(w.duration))
 	e.active[r] = true
--- a/cmd/measure/skew.go
+++ b/cmd/measure/skew.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// today and future are the two fleet sizes: the fleet of one user at present, and the fleet of one of
-// five pools in one of five regions in two years.
+// today and future are the two fleet sizes: the fleet of one user at present, and the fleet of one
+// of five pools in one of five regions in two years.
 var (
 	today = scenario{
 		routers: 8, engines: 20, shards: 2, mean: 10, duration: 14 * time.Second, chats: 4000, cacheRatio: 1.7, skew: 0.9,
--- a/cmd/soak/rollback.go
+++ b/cmd/soak/rollback.go
@@ -16,7 +16,8 @@
 	maxLostVersions = 4
 	// applyDelay is the time that routers have to apply the last of these configurations.
 	applyDelay = time.Second
-	// maxOutage is the maximum time that the store is down before it is restored from an older snapshot.
+	// maxOutage is the maximum time that the store is down before it is restored from an older
+	// snapshot.
 	maxOutage = 2 * time.Second
 	// maxRewriteDelay is the maximum time until the writers of lost rows write them again.
 	maxRewriteDelay = 2 * time.Second
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -103,8 +103,8 @@
 // peerRows reads tables from peers.
 type peerRows struct{ node *Node }
 
-// Candidates returns the peers that may answer: first one of each zone, which is its reader or the next
-// after this router, then the other live ones, then those that are leaving. While a fleet is
+// Candidates returns the peers that may answer: first one of each zone, which is its reader or the
+// next after this router, then the other live ones, then those that are leaving. While a fleet is
 // replaced, only the latter may have any data.
 func (p peerRows) Candidates() []ident.Router {
 	n := p.node
--- a/internal/oper/node/reload.go
+++ b/internal/oper/node/reload.go
@@ -14,8 +14,8 @@
 // without one, and reading a file of a few kilobytes takes a fraction of a millisecond.
 const settingsInterval = time.Second
 
-// reloadable contains the settings that may change while the router runs. The other settings apply from the
-// next start.
+// reloadable contains the settings that may change while the router runs. The other settings apply
+// from the next start.
 type reloadable struct {
 	retries    retry.Allowance
 	loadFactor float64
--- a/internal/oper/node/settings.go
+++ b/internal/oper/node/settings.go
@@ -36,8 +36,8 @@
 	ID     ident.Router
 	Zone   ident.Zone
 	Region ident.Region
-	// CallerAddr, ReadyAddr and PeerAddr are the listen addresses for callers, for the readiness check, and
-	// for peers and metrics.
+	// CallerAddr, ReadyAddr and PeerAddr are the listen addresses for callers, for the readiness
+	// check, and for peers and metrics.
 	CallerAddr string
 	ReadyAddr  string
 	PeerAddr   string
--- a/internal/oper/node/state.go
+++ b/internal/oper/node/state.go
@@ -196,8 +196,8 @@
 
 // maxTargetsPerShard is the maximum number of targets that one home manages. A prompt prefix that
 // moves to another shard loses its cached state: with two shards of 9 targets this is the largest
-// part of the tokens that are processed again. At 32 targets a home handles a few hundred permits per
-// second, at about 0.1 ms each.
+// part of the tokens that are processed again. At 32 targets a home handles a few hundred permits
+// per second, at about 0.1 ms each.
 const maxTargetsPerShard = 32
 
 // shardsFor returns the number of shards of a pool. It is a power of two, so that it rarely changes
--- a/internal/oper/telem/writer.go
+++ b/internal/oper/telem/writer.go
@@ -19,8 +19,8 @@
 	BurstLines     int
 }
 
-// DefaultWriterLimits allows a few times the rate at which a busy router logs, which is two lines for
-// each of some hundred requests per second.
+// DefaultWriterLimits allows a few times the rate at which a busy router logs, which is two lines
+// for each of some hundred requests per second.
 var DefaultWriterLimits = WriterLimits{MaxQueuedLines: 4096, LinesPerSecond: 2000, BurstLines: 4000}
 
 // Writer writes log lines in the background and never blocks the caller. It drops lines beyond
--- a/internal/share/claim/doc.go
+++ b/internal/share/claim/doc.go
@@ -3,7 +3,7 @@
 // Before the first byte of such a request is sent to a target, a claim on its key is written to the
 // platform's table service, conditional on the key being unclaimed. A claim whose request may have
 // been sent is never taken over, because a paused holder can resume and send at any time. Only the
-// holder itself releases a claim, and only if it knows that it has sent nothing.
+// holder itself releases a claim, and only if it has certainly sent nothing.
 //
 // The version of the claim row grows with each claim. Combined with the store's era it serves as
 // the fencing token. A store restored from an older snapshot may lack claims: each router rewrites
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -14,8 +14,8 @@
 	"valescale/internal/plat/table"
 )
 
-// RestoreDelay is how long no claims are made after the store was restored from an older snapshot. Each
-// router detects the rollback within a second and rewrites the claims that the snapshot lacks.
+// RestoreDelay is how long no claims are made after the store was restored from an older snapshot.
+// Each router detects the rollback within a second and rewrites the claims that the snapshot lacks.
 const RestoreDelay = 3 * time.Second
 
 // onRestore rewrites this router's claims and blocks new ones until other routers have had time to
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -16,8 +16,8 @@
 	"valescale/internal/share/claim"
 )
 
-// newRouter returns the claims of an additional router and its store client, which learns the
-// store's era from its own calls.
+// newRouter returns the claims of an additional router and its store client, which receives the
+// store's era with its own calls.
 func (f *fixture) newRouter() (*claim.Claims, *store.Client) {
 	client := store.NewClient(f.store)
 	c, stop := claim.New(client, f.objects, claim.DefaultOptions, log.NewNopLogger(), time.Now)
--- a/internal/share/claim/sweep.go
+++ b/internal/share/claim/sweep.go
@@ -9,7 +9,8 @@
 	"valescale/internal/plat/table"
 )
 
-// Retention defines how long claims are retained by state. A key that is reused after that runs again.
+// Retention defines how long claims are retained by state. A key that is reused after that runs
+// again.
 type Retention struct {
 	// Ended applies to claims with an answer and to released claims.
 	Ended time.Duration
@@ -34,7 +35,7 @@
 	next      table.Key
 }
 
-// sweepPageRows is the number of rows that one step reads.
+// sweepPageRows is the number of rows that one call of SweepPage reads.
 const sweepPageRows = 200
 
 // NewSweeper returns a sweeper that starts at the first row.
--- a/internal/share/config/follow.go
+++ b/internal/share/config/follow.go
@@ -128,8 +128,8 @@
 	return err
 }
 
-// FollowPeer follows a new head reported by a peer. It fetches the changes from that peer, or from the
-// store if the peer does not respond.
+// FollowPeer follows a new head reported by a peer. It fetches the changes from that peer, or from
+// the store if the peer does not respond.
 func (f *Follower) FollowPeer(ctx context.Context, from ident.Router) error {
 	f.fetchMu.Lock()
 	err := f.fetch(ctx, from)
@@ -151,8 +151,8 @@
 	return f.install(got.Changes)
 }
 
-// Bootstrap installs the configuration of a ready router. It is used at startup while the store does not
-// respond.
+// Bootstrap installs the configuration of a ready router. It is used at startup while the store
+// does not respond.
 func (f *Follower) Bootstrap(ctx context.Context, from ident.Router) error {
 	f.fetchMu.Lock()
 	defer f.fetchMu.Unlock()
@@ -163,8 +163,8 @@
 	return nil
 }
 
-// Initialized reports whether this router has ever obtained the configuration, from the store or from a
-// ready router.
+// Initialized reports whether this router has ever obtained the configuration, from the store or
+// from a ready router.
 func (f *Follower) Initialized() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/share/feed/error.go
+++ b/internal/share/feed/error.go
@@ -8,7 +8,7 @@
 const (
 	// Stale means that a peer's replica is too old to be used.
 	Stale Kind = "stale"
-	// Alone means that there is no peer to read from.
+	// Alone means that this router has no peer to read from.
 	Alone Kind = "alone"
 	// Empty means that a peer has not loaded all tables yet.
 	Empty Kind = "empty"
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -151,8 +151,8 @@
 }
 
 // The store hangs for eight seconds, and a change made meanwhile must reach all routers soon after.
-// When a parent's replica becomes stale, its children must not all call the store: in a zone
-// of 49 routers that would be 31 calls a second, or 376 for a fleet of six such zones and two tables,
+// When a parent's replica becomes stale, its children must not all call the store: in a zone of 49
+// routers that would be 31 calls a second, or 376 for a fleet of six such zones and two tables,
 // which a recovering store has to serve besides its other load.
 func TestCallsToHangingStore(t *testing.T) {
 	const (
--- a/internal/share/feed/replica.go
+++ b/internal/share/feed/replica.go
@@ -105,8 +105,8 @@
 }
 
 const (
-	// RemovalGracePeriod is how long after the store's recovery a row stays effective that was removed in
-	// the meantime. The platform makes live targets rewrite their rows within about two seconds.
+	// RemovalGracePeriod is how long after the store's recovery a row stays effective that was removed
+	// in the meantime. The platform makes live targets rewrite their rows within about two seconds.
 	RemovalGracePeriod = 2200 * time.Millisecond
 	// minOutage is the shortest time without a response of the store that may have caused rows to be
 	// removed: a target's row is removed after three missed heartbeats of about a second.
--- a/internal/share/feed/replicas.go
+++ b/internal/share/feed/replicas.go
@@ -49,8 +49,8 @@
 // callback.
 func (c Change) All() []table.Row { return c.source.effectiveRows() }
 
-// AddTable adds a table. The changed callback is called in order after each change of effective rows,
-// and must not call the Replicas.
+// AddTable adds a table. The changed callback is called in order after each change of effective
+// rows, and must not call the Replicas.
 func (b *Replicas) AddTable(name table.Name, rules Rules, changed func(Change)) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
--- a/internal/share/feed/replicas_test.go
+++ b/internal/share/feed/replicas_test.go
@@ -15,8 +15,8 @@
 
 const tableName table.Name = "targets"
 
-// testReplicas returns Replicas with one table, its adjustable clock, and the effective keys after the
-// latest change.
+// testReplicas returns Replicas with one table, its adjustable clock, and the effective keys after
+// the latest change.
 func testReplicas() (*Replicas, *time.Time, *[]table.Key) {
 	now := time.Unix(1000, 0)
 	keys := &[]table.Key{}
--- a/internal/share/feed/timing.go
+++ b/internal/share/feed/timing.go
@@ -7,8 +7,8 @@
 	// StoreWait is how long the store may hold a call until something changes. A broken connection
 	// that was not closed is only detected after it.
 	StoreWait time.Duration
-	// FullReadTimeout is the timeout for reading a full table. The source sets a much shorter timeout for each
-	// of its pages.
+	// FullReadTimeout is the timeout for reading a full table. The source sets a much shorter timeout
+	// for each of its pages.
 	FullReadTimeout time.Duration
 	// TimeoutMargin is added to the wait of a call to get its timeout.
 	TimeoutMargin time.Duration
--- a/internal/share/home/blocked.go
+++ b/internal/share/home/blocked.go
@@ -39,8 +39,8 @@
 	}
 }
 
-// reportBlocked calls the SetOnBlocked function for an engine that was blocked because of a report of
-// an edge router.
+// reportBlocked calls the SetOnBlocked function for an engine that was blocked because of a report
+// of an edge router.
 func (h *Homes) reportBlocked(req PermitRequest, engine ident.TargetHash, backoff time.Duration) {
 	if h.onBlocked != nil {
 		h.onBlocked(Blocked{Shard: req.Shard, Engine: engine, Edge: req.Edge, Zone: req.Zone, Backoff: backoff})
--- a/internal/share/home/corrections.go
+++ b/internal/share/home/corrections.go
@@ -20,8 +20,8 @@
 	Expired   int
 	Removed   int
 	// Permits is the current number of permits. OwnWork and PeerWork are the work on the shard's
-	// engines that was admitted by this home and by other homes, MeanWork is the mean work per engine of
-	// the pool.
+	// engines that was admitted by this home and by other homes, MeanWork is the mean work per engine
+	// of the pool.
 	Permits  int
 	OwnWork  ident.Work
 	PeerWork ident.Work
--- a/internal/share/home/homes.go
+++ b/internal/share/home/homes.go
@@ -154,7 +154,8 @@
 	}
 }
 
-// unknownPool is the pool name of requests whose pool hash is not in the configuration of this router.
+// unknownPool is the pool name of requests whose pool hash is not in the configuration of this
+// router.
 const unknownPool ident.Pool = ""
 
 // poolByHash returns the name of the pool with the given hash, or unknownPool.
--- a/internal/share/home/remote.go
+++ b/internal/share/home/remote.go
@@ -81,8 +81,8 @@
 	return resp, err
 }
 
-// maxLocalDelay is how late a timeout may fire before the router attributes it to its own
-// delay. Routers that suspected homes because of their own shortage of processor time would each select
+// maxLocalDelay is how late a timeout may fire before the router attributes it to its own delay.
+// Routers that suspected homes because of their own shortage of processor time would each select
 // different homes for one shard, for as long as they are overloaded.
 const maxLocalDelay = 50 * time.Millisecond
 
--- a/internal/share/home/stats.go
+++ b/internal/share/home/stats.go
@@ -16,8 +16,8 @@
 	return permits, waiting
 }
 
-// EngineRequests returns the load of an engine in requests, or zero if this router is not the home of
-// its shard.
+// EngineRequests returns the load of an engine in requests, or zero if this router is not the home
+// of its shard.
 func (h *Homes) EngineRequests(pool ident.Pool, engine ident.TargetHash) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/home/transfer.go
+++ b/internal/share/home/transfer.go
@@ -24,10 +24,10 @@
 // sent.
 const maxTransferPlaces = 50_000
 
-// PendingTransfers returns the chat places of shards whose home is another router according to homeOf,
-// once for each such router. A shard is removed when all its permits have been released. Until then
-// it serves the edge routers that still use this home, and its counts are published to the new
-// home.
+// PendingTransfers returns the chat places of shards whose home is another router according to
+// homeOf, once for each such router. A shard is removed when all its permits have been released.
+// Until then it serves the edge routers that still use this home, and its counts are published to
+// the new home.
 func (h *Homes) PendingTransfers(homeOf func(place.ShardID) ident.Router) []Transfer {
 	h.mu.Lock()
 	defer h.mu.Unlock()
--- a/internal/share/lease/lease.go
+++ b/internal/share/lease/lease.go
@@ -84,8 +84,8 @@
 	return l.epoch, true
 }
 
-// AcquireOrRenew renews the lease if it is held, or acquires it if its row has not changed for the holder's
-// TTL. It must be called several times per TTL.
+// AcquireOrRenew renews the lease if it is held, or acquires it if its row has not changed for the
+// holder's TTL. It must be called several times per TTL.
 func (l *Lease) AcquireOrRenew(ctx context.Context) error {
 	const op = "lease.Step"
 	// The TTL is counted from before the write, so that the lease expires here no later than for
@@ -115,7 +115,7 @@
 	}
 	l.setWriteEra(row.Era)
 	if err := l.store.Commit(ctx, txn); err != nil {
-		// If the write took effect despite the error, the next step reads the row as this router's
+		// If the write took effect despite the error, the next call reads the row as this router's
 		// own.
 		return fault.New(op, Unavailable, err)
 	}
--- a/internal/share/peer/client.go
+++ b/internal/share/peer/client.go
@@ -68,8 +68,8 @@
 	return &client{addr: addr, calls: c.calls}
 }
 
-// ReportUnanswered reports that requests to an address timed out. Connections to the address that count
-// as silent are closed.
+// ReportUnanswered reports that requests to an address timed out. Connections to the address that
+// count as silent are closed.
 func (c *Clients) ReportUnanswered(addr string) { c.open.closeSilent(addr) }
 
 // trimHeaders removes the headers that routers do not use from unary calls.
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -119,8 +119,8 @@
 // SetCanaryReports sets the source and receiver of the canary reports. It must be called before Run.
 func (n *Node) SetCanaryReports(reports CanaryReports) { n.canaryReports = reports }
 
-// TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from router to
-// router without waiting for rounds.
+// TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from
+// router to router without waiting for rounds.
 func (n *Node) TriggerGossip() {
 	select {
 	case n.trigger <- struct{}{}:
@@ -213,7 +213,8 @@
 	}
 }
 
-// GossipNow exchanges digests with several peers at once, so that updates spread ahead of the rounds.
+// GossipNow exchanges digests with several peers at once, so that updates spread ahead of the
+// rounds.
 func (n *Node) GossipNow(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range n.pick(n.pace.Fanout) {
