--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -42,7 +42,7 @@
 	unchangedListBytes          = 260.0
 	headPollBytes               = 420.0
 	changeBytes                 = 700.0
-	asksPerRequest              = 1.02
+	permitRequestsPerRequest    = 1.02
 	publishPerSecond            = 2.0
 )
 
@@ -86,7 +86,7 @@
 	}{
 		// A router initiates one exchange and, on average, receives one.
 		{"gossip", 2 * gossipPerSecond * exchange / 2},
-		{"permits", perRouter * asksPerRequest * link.bytes},
+		{"permits", perRouter * permitRequestsPerRequest * link.bytes},
 		{"counts to standbys", shards * publishPerSecond * (messageOverhead + 30 + 8*engines/max(shards, 0.01))},
 		{"engine reports", engines / reportIntervalSeconds * reportBytes},
 		{"list", listPerSecond * unchangedListBytes},
@@ -103,7 +103,7 @@
 	rows = append(rows, row{
 		Case: s.name, Strategy: "permits at the busiest home", Routers: s.routers, Engines: s.engines,
 		// Of the bytes of a permit the home sends the response, about two fifths.
-		ControlBytes: perRouter * asksPerRequest * link.bytes * (3 + 2*float64(maxShards)/max(shards, 0.01)) / 5,
+		ControlBytes: perRouter * permitRequestsPerRequest * link.bytes * (3 + 2*float64(maxShards)/max(shards, 0.01)) / 5,
 		Note:         fmt.Sprintf("it has %d of %d shards", maxShards, s.shards),
 	})
 	note := fmt.Sprintf("digest %d bytes, exchange %.0f bytes and %.0f us of processor, permit and its return %.0f bytes and %.0f us, both sides",
--- a/cmd/measure/main.go
+++ b/cmd/measure/main.go
@@ -36,7 +36,7 @@
 	OverShare      float64 `json:"share_over_bound"`
 	Reuse          float64 `json:"reuse"`
 	ReuseOfOracle  float64 `json:"reuse_of_oracle"`
-	AsksPerRequest float64 `json:"asks_per_request"`
+	PermitRequests float64 `json:"asks_per_request"`
 	ControlBytes   float64 `json:"control_bytes_s"`
 	CPUMicros      float64 `json:"cpu_us_per_decision"`
 	BytesPer       float64 `json:"bytes_per_router"`
@@ -100,7 +100,7 @@
 func formatPlacement(r row) string {
 	return fmt.Sprintf("| %s | %s | %d | %d | %.2f | %.2f | %.2f | %.4f | %.3f | %.3f | %.2f | %.0f | %s |",
 		r.Case, r.Strategy, r.Routers, r.Engines, r.MaxRatio, r.P99Ratio, r.MaxExcess, r.OverShare,
-		r.Reuse, r.ReuseOfOracle, r.AsksPerRequest, r.ControlBytes, r.Note)
+		r.Reuse, r.ReuseOfOracle, r.PermitRequests, r.ControlBytes, r.Note)
 }
 
 var tables = map[string]table{
--- a/cmd/measure/simulation.go
+++ b/cmd/measure/simulation.go
@@ -393,7 +393,7 @@
 	st := w.strategy.stats()
 	r := row{Case: w.scenario.name, Strategy: w.strategy.name(), Routers: w.routers, Engines: w.scenario.engines, Note: st.note}
 	r.MaxExcess = w.sample.excess
-	r.AsksPerRequest = st.permitRequests
+	r.PermitRequests = st.permitRequests
 	r.ControlBytes = st.bytes / w.run.Seconds() / float64(w.routers)
 	if st.choices > 0 {
 		r.CPUMicros = float64(st.cpu.Microseconds()) / float64(st.choices)
