--- a/internal/fake/listen/stalling_proxy.go
+++ b/internal/fake/listen/stalling_proxy.go
@@ -17,8 +17,8 @@
 	stalls atomic.Int64
 }
 
-// NewStallingProxy returns a StallingProxy to the server at an address. It accepts connections until the
-// test ends.
+// NewStallingProxy returns a StallingProxy to the server at an address. It accepts connections
+// until the test ends.
 func NewStallingProxy(t *testing.T, to string) *StallingProxy {
 	t.Helper()
 	p := &StallingProxy{}
--- a/internal/fake/scarce/scarce.go
+++ b/internal/fake/scarce/scarce.go
@@ -9,8 +9,8 @@
 // that a limit of this number leaves no descriptor free.
 const standardStreams = 3
 
-// ExhaustDescriptors prevents this process from opening further file descriptors until the test ends.
-// Those that are open stay usable.
+// ExhaustDescriptors prevents this process from opening further file descriptors until the test
+// ends. Those that are open stay usable.
 func ExhaustDescriptors(t *testing.T) {
 	t.Helper()
 	var before syscall.Rlimit
