--- a/cmd/measure/control.go
+++ b/cmd/measure/control.go
@@ -42,7 +42,7 @@
 	unchangedListBytes          = 260.0
 	headPollBytes               = 420.0
 	changeBytes                 = 700.0
-	asksPerRequest              = 1.02
+	permitRequestsPerRequest    = 1.02
 	publishPerSecond            = 2.0
 )
 
@@ -86,7 +86,7 @@
 	}{
 		// A router initiates one exchange and, on average, receives one.
 		{"gossip", 2 * gossipPerSecond * exchange / 2},
-		{"permits", perRouter * asksPerRequest * link.bytes},
+		{"permits", perRouter * permitRequestsPerRequest * link.bytes},
 		{"counts to standbys", shards * publishPerSecond * (messageOverhead + 30 + 8*engines/max(shards, 0.01))},
 		{"engine reports", engines / reportIntervalSeconds * reportBytes},
 		{"list", listPerSecond * unchangedListBytes},
@@ -99,20 +99,20 @@
 		total += p.bytes
 		rows = append(rows, row{Case: s.name, Strategy: p.name, Routers: s.routers, Engines: s.engines, ControlBytes: p.bytes})
 	}
-	busiest := s.busiestHome()
+	maxShards := s.maxShardsPerHome()
 	rows = append(rows, row{
 		Case: s.name, Strategy: "permits at the busiest home", Routers: s.routers, Engines: s.engines,
 		// Of the bytes of a permit the home sends the response, about two fifths.
-		ControlBytes: perRouter * asksPerRequest * link.bytes * (3 + 2*float64(busiest)/max(shards, 0.01)) / 5,
-		Note:         fmt.Sprintf("it has %d of %d shards", busiest, s.shards),
+		ControlBytes: perRouter * permitRequestsPerRequest * link.bytes * (3 + 2*float64(maxShards)/max(shards, 0.01)) / 5,
+		Note:         fmt.Sprintf("it has %d of %d shards", maxShards, s.shards),
 	})
 	note := fmt.Sprintf("digest %d bytes, exchange %.0f bytes and %.0f us of processor, permit and its return %.0f bytes and %.0f us, both sides",
 		digest, exchange, exchangeCPU, link.bytes, link.micros)
 	return append(rows, row{Case: s.name, Strategy: "all", Routers: s.routers, Engines: s.engines, ControlBytes: total, Note: note})
 }
 
-// busiestHome returns the maximum number of shards that one router is home of.
-func (s fleetShape) busiestHome() int {
+// maxShardsPerHome returns the maximum number of shards that one router is home of.
+func (s fleetShape) maxShardsPerHome() int {
 	var routers []ident.Router
 	for i := range s.regionRouters {
 		routers = append(routers, ident.Router(fmt.Sprintf("router-%03d", i)))
@@ -326,14 +326,14 @@
 	path, handler := peerpb.NewPeerServiceHandler(linkServer{Server: home.NewServer(homes, func(context.Context) ident.Router { return "" })})
 	client, stop := serve(meter, path, handler, secure)
 	defer stop()
-	// A process that has run for a while has permit numbers this far above its base.
+	// A process that has run for some time has permit numbers this far above its base.
 	const base = uint64(1_764_000_000_000) << 20
 	remote, closeRemote := home.NewRemote(home.Edge{ID: "router-edge", Zone: "zone-a", Base: base}, nil, fixedClient{client}, 5*time.Second)
 	defer closeRemote()
 	id := place.ShardID{Pool: pool}
-	var sums []place.ShardLoad
+	var loads []place.ShardLoad
 	for i := 1; i < min(shards, 5); i++ {
-		sums = append(sums, place.ShardLoad{Shard: ident.Shard(i), Age: 400 * time.Millisecond, Work: 105_000})
+		loads = append(loads, place.ShardLoad{Shard: ident.Shard(i), Age: 400 * time.Millisecond, Work: 105_000})
 	}
 	const firstPermit = base + 1_000_000
 	var c linkCosts
@@ -343,7 +343,7 @@
 			Request: place.Request{
 				Edge: "router-edge", Permit: permit, Key: ident.ChatKey(ident.Mix(uint64(i), 2)), Work: ident.OneRequest, Zone: "zone-a",
 			},
-			Shard: id, Workspace: "workspace-17", Weight: 1, Priority: 5, ShardLoads: sums,
+			Shard: id, Workspace: "workspace-17", Weight: 1, Priority: 5, ShardLoads: loads,
 		}, nil)
 		if err != nil {
 			panic(err)
--- a/cmd/measure/simulation.go
+++ b/cmd/measure/simulation.go
@@ -26,10 +26,10 @@
 	cacheRatio float64
 	skew       float64
 	run        time.Duration
-	// flap is the interval at which an engine fails and comes back with an empty cache.
+	// flap is the interval at which an engine fails and restarts with an empty cache.
 	flap time.Duration
-	// viewsDiffer periodically removes a router from the membership view of half of the routers for five
-	// seconds.
+	// viewsDiffer periodically removes a router from the membership view of half of the routers for
+	// five seconds.
 	viewsDiffer bool
 	// surge doubles the arrival rate for a fifth of the run.
 	surge bool
@@ -103,7 +103,7 @@
 	start(w *simulation)
 	// choose returns an engine, or nil if there is none.
 	choose(w *simulation, r *request) *engine
-	// enginesChanged is called after an engine has failed or come back; reports need no call.
+	// enginesChanged is called after an engine has failed or restarted, but not for reports.
 	enginesChanged(w *simulation)
 	// evicted is called after an engine has evicted a chat's prefix.
 	evicted(w *simulation, e *engine, c *chat)
@@ -249,7 +249,8 @@
 	r.engine = e
 	e.running++
 	w.recordAdmission(e, c)
-	// The duration is lognormal with the given mean; sigma 0.8 gives a long tail without extreme values.
+	// The duration is lognormal with the given mean; sigma 0.8 gives a long tail without extreme
+	// values.
 	const sigma = 0.8
 	d := time.Duration(math.Exp(w.rng.NormFloat64()*sigma-sigma*sigma/2) * float64(w.duration))
 	e.active[r] = true
@@ -347,7 +348,7 @@
 	return e.history[0]
 }
 
-// flapEngine makes an engine fail and come back with an empty cache.
+// flapEngine makes an engine fail and restart with an empty cache.
 func (w *simulation) flapEngine() {
 	e := w.engines[w.rng.IntN(len(w.engines))]
 	if !e.up {
@@ -392,7 +393,7 @@
 	st := w.strategy.stats()
 	r := row{Case: w.scenario.name, Strategy: w.strategy.name(), Routers: w.routers, Engines: w.scenario.engines, Note: st.note}
 	r.MaxExcess = w.sample.excess
-	r.AsksPerRequest = st.permitRequests
+	r.PermitRequests = st.permitRequests
 	r.ControlBytes = st.bytes / w.run.Seconds() / float64(w.routers)
 	if st.choices > 0 {
 		r.CPUMicros = float64(st.cpu.Microseconds()) / float64(st.choices)
--- a/internal/oper/node/peers.go
+++ b/internal/oper/node/peers.go
@@ -20,7 +20,7 @@
 type peerService struct {
 	*home.Server
 	peers     *peer.Node
-	board     *feed.Replicas
+	replicas  *feed.Replicas
 	packCache *packCache
 }
 
@@ -40,10 +40,10 @@
 
 // Rows returns the row changes of this router's replicas.
 func (p *peerService) Rows(ctx context.Context, req *connect.Request[peerpb.RowsRequest]) (*connect.Response[peerpb.RowsReply], error) {
-	p.board.Wait(ctx, waitPositions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
+	p.replicas.Wait(ctx, waitPositions(req.Msg.GetTables()), min(time.Duration(req.Msg.GetWaitMs())*time.Millisecond, maxRowsWait))
 	reply := &peerpb.RowsReply{}
 	for _, s := range req.Msg.GetTables() {
-		page, known := p.board.Since(decodeState(s))
+		page, known := p.replicas.Since(decodeState(s))
 		if !known {
 			continue
 		}
@@ -103,8 +103,8 @@
 // peerRows reads tables from peers.
 type peerRows struct{ node *Node }
 
-// Candidates returns the peers that may answer: first one of each zone, which is its reader or the next
-// after this router, then the other live ones, then those that are leaving. While a fleet is
+// Candidates returns the peers that may answer: first one of each zone, which is its reader or the
+// next after this router, then the other live ones, then those that are leaving. While a fleet is
 // replaced, only the latter may have any data.
 func (p peerRows) Candidates() []ident.Router {
 	n := p.node
--- a/internal/oper/node/serve.go
+++ b/internal/oper/node/serve.go
@@ -48,7 +48,7 @@
 }
 
 // Run serves until the context ends and then drains: the router announces that it is leaving,
-// accepts new requests for a while longer, and waits for those in flight.
+// accepts new requests during drainDelay, and waits for those in flight.
 func (n *Node) Run(ctx context.Context, reload <-chan os.Signal) {
 	background, stop := context.WithCancel(context.Background())
 	var wg sync.WaitGroup
@@ -81,7 +81,7 @@
 	}
 	wg.Go(func() { n.puller.Run(ctx) })
 	wg.Go(func() { n.catchUp(ctx) })
-	wg.Go(func() { mesh.RunEvery(ctx, sweepInterval, func(context.Context) { n.board.Sweep() }) })
+	wg.Go(func() { mesh.RunEvery(ctx, sweepInterval, func(context.Context) { n.replicas.Sweep() }) })
 	wg.Go(func() { mesh.RunEvery(ctx, connSweepInterval, func(context.Context) { n.conns.Sweep(n.Clock()) }) })
 	wg.Go(func() {
 		n.waitForDiscovery(ctx)
--- a/internal/share/claim/restore.go
+++ b/internal/share/claim/restore.go
@@ -14,8 +14,8 @@
 	"valescale/internal/plat/table"
 )
 
-// RestoreDelay is how long no claims are made after the store was restored from an older snapshot. Each
-// router detects the rollback within a second and rewrites the claims that the snapshot lacks.
+// RestoreDelay is how long no claims are made after the store was restored from an older snapshot.
+// Each router detects the rollback within a second and rewrites the claims that the snapshot lacks.
 const RestoreDelay = 3 * time.Second
 
 // onRestore rewrites this router's claims and blocks new ones until other routers have had time to
@@ -41,7 +41,7 @@
 }
 
 // rewriteWorkers is the number of claims rewritten concurrently. Some hundred claims, each taking
-// milliseconds, must be rewritten within Settling.
+// milliseconds, must be rewritten within RestoreDelay.
 const rewriteWorkers = 16
 
 // rewriteClaims rewrites a list of claims one by one.
--- a/internal/share/claim/rollback_test.go
+++ b/internal/share/claim/rollback_test.go
@@ -16,8 +16,8 @@
 	"valescale/internal/share/claim"
 )
 
-// newRouter returns the claims of an additional router and its store client, which learns the
-// store's era from its own calls.
+// newRouter returns the claims of an additional router and its store client, which receives the
+// store's era with its own calls.
 func (f *fixture) newRouter() (*claim.Claims, *store.Client) {
 	client := store.NewClient(f.store)
 	c, stop := claim.New(client, f.objects, claim.DefaultOptions, log.NewNopLogger(), time.Now)
@@ -57,7 +57,7 @@
 		pause.Sleep(t.Context(), claim.RestoreDelay)
 		ticket, got, kind := begin(second, time.Second)
 		if ticket != nil || got == nil {
-			t.Fatalf("second router after the settling time: got ticket %v and kind %q, want the answer", ticket, kind)
+			t.Fatalf("second router after the restore delay: got ticket %v and kind %q, want the answer", ticket, kind)
 		}
 		if diff := cmp.Diff(want, *got); diff != "" {
 			t.Error(diff)
--- a/internal/share/peer/node.go
+++ b/internal/share/peer/node.go
@@ -63,7 +63,7 @@
 	List   time.Duration
 	// Call limits the duration of one exchange.
 	Call time.Duration
-	// Fanout is the number of peers that Tell exchanges digests with, for example for a new
+	// Fanout is the number of peers that GossipNow exchanges digests with, for example for a new
 	// revision or when the router leaves.
 	Fanout int
 }
@@ -73,25 +73,25 @@
 
 // Node exchanges digests with other routers and reads the list of boxes.
 type Node struct {
-	mu      sync.Mutex
-	view    *View
-	version uint64
-	rng     *rand.Rand
-	dial    Dialer
-	list    Lister
-	pace    Pace
-	hooks   Hooks
-	seeds   []Member
-	clock   ident.Clock
-	crashes Crashes
-	trials  CanaryReports
+	mu            sync.Mutex
+	view          *View
+	version       uint64
+	rng           *rand.Rand
+	dial          Dialer
+	list          Lister
+	pace          Pace
+	hooks         Hooks
+	seeds         []Member
+	clock         ident.Clock
+	crashes       Crashes
+	canaryReports CanaryReports
 	// trigger requests an exchange ahead of the next round.
 	trigger chan struct{}
 }
 
 // NewNode returns a node that is idle until Run is called. The seeds are the addresses that are
 // used while the view contains no other router. With a nil lister, the caller updates the view with
-// the boxes through Do.
+// the boxes through UpdateView.
 func NewNode(view *View, dial Dialer, list Lister, pace Pace, seeds []string, seed uint64, clock ident.Clock) *Node {
 	n := &Node{
 		view:  view,
@@ -117,10 +117,10 @@
 func (n *Node) SetCrashes(c Crashes) { n.crashes = c }
 
 // SetCanaryReports sets the source and receiver of the canary reports. It must be called before Run.
-func (n *Node) SetCanaryReports(t CanaryReports) { n.trials = t }
+func (n *Node) SetCanaryReports(reports CanaryReports) { n.canaryReports = reports }
 
-// TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from router to
-// router without waiting for rounds.
+// TriggerGossip triggers an exchange ahead of the next round, so that urgent updates spread from
+// router to router without waiting for rounds.
 func (n *Node) TriggerGossip() {
 	select {
 	case n.trigger <- struct{}{}:
@@ -213,7 +213,8 @@
 	}
 }
 
-// GossipNow exchanges digests with several peers at once, so that updates spread ahead of the rounds.
+// GossipNow exchanges digests with several peers at once, so that updates spread ahead of the
+// rounds.
 func (n *Node) GossipNow(ctx context.Context) {
 	var wg sync.WaitGroup
 	for _, peer := range n.pick(n.pace.Fanout) {
@@ -263,8 +264,8 @@
 	if n.crashes != nil {
 		d.Suspects = n.crashes.Outgoing(routers)
 	}
-	if n.trials != nil {
-		d.Trials = n.trials.Reports()
+	if n.canaryReports != nil {
+		d.CanaryReports = n.canaryReports.Reports()
 	}
 	return d
 }
@@ -282,8 +283,8 @@
 	if n.crashes != nil && len(d.Suspects) > 0 {
 		n.crashes.Incoming(d.Suspects)
 	}
-	if n.trials != nil && len(d.Trials) > 0 {
-		n.trials.MergeReports(d.Trials)
+	if n.canaryReports != nil && len(d.CanaryReports) > 0 {
+		n.canaryReports.MergeReports(d.CanaryReports)
 	}
 	return update.SendMembers
 }
