--- a/internal/oper/node/build.go
+++ b/internal/oper/node/build.go
@@ -39,7 +39,7 @@
 // build creates the parts and connects them.
 func (n *Node) build() {
 	s := n.settings.Load()
-	n.replicas = feed.NewBoard(n.Logger, n.Clock)
+	n.replicas = feed.NewReplicas(n.Logger, n.Clock)
 	n.replicas.OnRestored(func(table.Era) {
 		select {
 		case n.storeRestored <- struct{}{}:
--- a/internal/oper/node/pack_test.go
+++ b/internal/oper/node/pack_test.go
@@ -20,7 +20,7 @@
 
 // newPeerService returns a service with a table of the given number of rows.
 func newPeerService(rows int) *peerService {
-	replicas := feed.NewBoard(log.NewNopLogger(), time.Now)
+	replicas := feed.NewReplicas(log.NewNopLogger(), time.Now)
 	replicas.AddTable(packedTable, feed.Rules{}, nil)
 	page := table.Page{At: table.Position{Version: table.Version(rows)}, Full: true}
 	for i := range rows {
--- a/internal/share/feed/outage_test.go
+++ b/internal/share/feed/outage_test.go
@@ -113,7 +113,7 @@
 // run runs the routers until the context ends, the first one as the reader.
 func (z *fakeZone) run(ctx context.Context, wg *sync.WaitGroup) {
 	for i := range routersPerZone {
-		b := NewBoard(log.NewNopLogger(), time.Now)
+		b := NewReplicas(log.NewNopLogger(), time.Now)
 		b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, nil)
 		z.boards[routerAt(i)] = b
 	}
--- a/internal/share/feed/replicas.go
+++ b/internal/share/feed/replicas.go
@@ -25,8 +25,8 @@
 	onRestored func(table.Era)
 }
 
-// NewBoard returns Replicas without tables.
-func NewBoard(logger log.Logger, clock ident.Clock) *Replicas {
+// NewReplicas returns Replicas without tables.
+func NewReplicas(logger log.Logger, clock ident.Clock) *Replicas {
 	return &Replicas{clock: clock, logger: logger, replicas: map[table.Name]*replica{}, rowsChanged: make(chan struct{})}
 }
 
--- a/internal/share/feed/replicas_test.go
+++ b/internal/share/feed/replicas_test.go
@@ -20,7 +20,7 @@
 func testReplicas() (*Replicas, *time.Time, *[]table.Key) {
 	now := time.Unix(1000, 0)
 	keys := &[]table.Key{}
-	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
+	b := NewReplicas(log.NewNopLogger(), func() time.Time { return now })
 	b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(change Change) {
 		*keys = nil
 		for _, r := range change.All() {
@@ -150,7 +150,7 @@
 // would reject requests for a route added meanwhile.
 func TestAgeIncludesSuspendedTime(t *testing.T) {
 	now := time.Now()
-	b := NewBoard(log.NewNopLogger(), func() time.Time { return now })
+	b := NewReplicas(log.NewNopLogger(), func() time.Time { return now })
 	b.AddTable(tableName, Rules{MissingRowTTL: RemovalGracePeriod}, func(Change) {})
 	b.Apply(tableName, pos(0), fullPage(5, row("a", 3)))
 	now = asleep.For(now, 4)
